--- a/src/main/java/cranedeal/node/Door.java
+++ b/src/main/java/cranedeal/node/AdminEndpoint.java
@@ -37,7 +37,7 @@
  * The operators' address. It has a thread of its own, so that it answers whatever the node is busy with: it
  * reads what the node publishes, and posts orders to the node's loop.
  */
-final class Door {
+final class AdminEndpoint {
 
     /** Connections at a time; the descriptors for them are set aside. */
     static final int CONNECTIONS = 16;
@@ -56,7 +56,7 @@
     interface Operations {
 
         /** Whether it takes clients. */
-        boolean isTaking();
+        boolean isReady();
 
         /** The figures, a line each. */
         String stats();
@@ -80,7 +80,7 @@
     private int open;
     private Channel listening;
 
-    Door(Operations operations, EventLoop node) {
+    AdminEndpoint(Operations operations, EventLoop node) {
         this.operations = operations;
         this.node = node;
     }
@@ -116,7 +116,7 @@
     }
 
     /** Ends at once; for tests. */
-    void kill() {
+    void shutdownNow() {
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
@@ -187,7 +187,7 @@
             } else if (!method.equals(asks ? HttpMethod.GET : HttpMethod.PUT)) {
                 answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "another method is wanted\n");
             } else if (call.equals("readiness")) {
-                boolean taking = operations.isTaking();
+                boolean taking = operations.isReady();
                 answer(taking ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                         taking ? "takes clients\n" : "takes no clients\n");
             } else if (call.equals("stats")) {
--- a/src/main/java/cranedeal/node/WholeFile.java
+++ b/src/main/java/cranedeal/node/AtomicFile.java
@@ -6,12 +6,12 @@
 import java.nio.file.StandardCopyOption;
 
 /** A file that is only ever replaced whole, so that no reader sees half of it. It is not forced to disk. */
-final class WholeFile {
+final class AtomicFile {
 
     /** Not {@code .new}: a store in the same folder deletes what has that ending. */
     private static final String UNFINISHED = ".next";
 
-    private WholeFile() {
+    private AtomicFile() {
     }
 
     /** Replaces a file in one step; one process at a time. */
--- a/src/main/java/cranedeal/node/DiscoveryWatch.java
+++ b/src/main/java/cranedeal/node/DiscoveryWatch.java
@@ -38,7 +38,7 @@
             throw new IOException(e.getMessage(), e);
         }
         Clock clock = new Clock();
-        DiscoveryClient client = new DiscoveryClient(loop, clock::now, read.discoveryStart(),
+        DiscoveryClient client = new DiscoveryClient(loop, clock::now, read.discoveryOptions(),
                 read::parseList, UnpooledByteBufAllocator.DEFAULT, new DiscoveryClient.Listener() {
                     @Override
                     public void changed(UpstreamList list) {
--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/cranedeal/node/Exchange.java
@@ -47,7 +47,7 @@
     /** Its class's name as the configuration has it, and the class by the settings of its arrival. */
     private final String className;
     private final ServiceClass serviceClass;
-    private final Figures figures;
+    private final NodeMetrics figures;
     final FullHttpRequest request;
     /** The body where that comes on its own; null for others. */
     final Upload upload;
@@ -67,7 +67,7 @@
     private boolean begun;
 
     Exchange(long id, String className, ServiceClass serviceClass, FullHttpRequest request, double deadline,
-            Caller caller, double now, Figures figures) {
+            Caller caller, double now, NodeMetrics figures) {
         this.id = id;
         this.className = className;
         this.serviceClass = serviceClass;
@@ -77,7 +77,7 @@
         this.deadline = deadline;
         this.caller = caller;
         seenAt = now;
-        figures.taken();
+        figures.requestStarted();
     }
 
     boolean isOpen() {
@@ -134,7 +134,7 @@
             return;
         }
         close();
-        figures.answered(className, begun ? HttpResponseStatus.BAD_GATEWAY : status);
+        figures.requestAnswered(className, begun ? HttpResponseStatus.BAD_GATEWAY : status);
         if (begun) {
             waiting.abort();
         } else {
@@ -165,14 +165,14 @@
     void end() {
         Caller waiting = caller;
         close();
-        figures.answered(className, HttpResponseStatus.OK);
+        figures.requestAnswered(className, HttpResponseStatus.OK);
         waiting.end();
     }
 
     /** Nobody waits for an answer any more. */
     void close() {
         if (caller != null) {
-            figures.ended();
+            figures.requestEnded();
         }
         caller = null;
         if (overdue != null) {
--- a/src/main/java/cranedeal/node/Fleet.java
+++ b/src/main/java/cranedeal/node/Fleet.java
@@ -49,7 +49,7 @@
      *
      * @param old the folder where they were kept before, and are taken over from once; may be null
      */
-    static OrderBook ordersIn(Path folder, Path old) {
+    static OverrideStore overrideStore(Path folder, Path old) {
         return new KeptOrders(folder, old);
     }
 
@@ -59,10 +59,10 @@
     }
 
     /** Takes what the fleet has published for a balancer's service. */
-    interface Published {
+    interface PublishedConfigListener {
 
         /** Goes by it; null for nothing. Throws {@link ConfigException}, and then all is as before. */
-        void take(JsonNode section) throws ConfigException, InterruptedException;
+        void apply(JsonNode section) throws ConfigException, InterruptedException;
     }
 
     /**
@@ -70,7 +70,7 @@
      *
      * @param to told what the fleet publishes, if the configuration names a service
      */
-    static Presence member(NodeConfig config, Published to) {
+    static MembershipHandle join(NodeConfig config, PublishedConfigListener to) {
         FleetConfig given = config.fleet();
         Package program = Program.class.getPackage();
         String version = program.getImplementationVersion();
@@ -98,7 +98,7 @@
                     section -> take(section, to), new SecureRandom().nextLong());
         }
         member.start();
-        return new Presence() {
+        return new MembershipHandle() {
 
             @Override
             public void handOver() {
@@ -111,15 +111,16 @@
             }
 
             @Override
-            public Map<String, Long> figures() {
+            public Map<String, Long> metrics() {
                 return member.figures();
             }
         };
     }
 
-    private static void take(byte[] section, Published to) throws ConfigMember.RefusedException {
+    private static void take(byte[] section, PublishedConfigListener to)
+            throws ConfigMember.RefusedException {
         try {
-            to.take(section == null ? null : NodeConfig.JSON.readTree(section));
+            to.apply(section == null ? null : NodeConfig.JSON.readTree(section));
         } catch (ConfigException e) {
             Matcher named = KEY.matcher(e.getMessage());
             String key = !named.find() ? "" : named.group(1) != null ? "settings." + named.group(1)
@@ -154,7 +155,7 @@
     }
 
     /** Orders in a store: each record has them whole, and the last one holds. */
-    private static final class KeptOrders implements OrderBook {
+    private static final class KeptOrders implements OverrideStore {
 
         private static final int FORM = 1;
 
@@ -167,18 +168,18 @@
         }
 
         @Override
-        public Orders read() throws IOException {
+        public OperatorOverrides read() throws IOException {
             return orders(kept.read());
         }
 
         @Override
-        public Orders change(UnaryOperator<Orders> change) throws IOException {
+        public OperatorOverrides change(UnaryOperator<OperatorOverrides> change) throws IOException {
             return orders(kept.change(before -> bytes(change.apply(orders(before)))));
         }
 
-        private Orders orders(byte[] bytes) throws IOException {
+        private OperatorOverrides orders(byte[] bytes) throws IOException {
             if (bytes == null) {
-                return old == null ? Orders.NONE : Orders.read(old);
+                return old == null ? OperatorOverrides.NONE : OperatorOverrides.read(old);
             }
             JsonNode whole = NodeConfig.JSON.readTree(bytes);
             if (whole.path("form").asInt() > FORM) {
@@ -187,13 +188,14 @@
             }
             Set<String> out = new TreeSet<>();
             whole.path("out").forEach(id -> out.add(id.asText()));
-            return new Orders(out, whole.path("draining").asBoolean(), whole.path("reloads").asLong());
+            return new OperatorOverrides(out, whole.path("draining").asBoolean(),
+                    whole.path("reloads").asLong());
         }
 
-        private static byte[] bytes(Orders orders) throws IOException {
+        private static byte[] bytes(OperatorOverrides orders) throws IOException {
             ObjectNode whole = NodeConfig.JSON.createObjectNode().put("form", FORM)
                     .put("draining", orders.draining()).put("reloads", orders.reloads());
-            orders.out().forEach(whole.putArray("out")::add);
+            orders.disabledUpstreams().forEach(whole.putArray("out")::add);
             return NodeConfig.JSON.writeValueAsBytes(whole);
         }
     }
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -98,7 +98,7 @@
     private final Sockets sockets;
     private final ByteBufAllocator memory;
     private final Node node;
-    private final Figures figures;
+    private final NodeMetrics figures;
     private final LoopMonitor monitor;
     /** The connections whose requests have been read and wait to be handled. */
     private final Arrivals<Connection> arrivals;
@@ -124,7 +124,7 @@
     private double toldAt = Double.NEGATIVE_INFINITY;
 
     Frontend(EventLoop loop, NodeConfig config, Sockets sockets, ByteBufAllocator memory, Node node,
-            Figures figures, LoopMonitor monitor, Clock clock) {
+            NodeMetrics figures, LoopMonitor monitor, Clock clock) {
         this.loop = loop;
         this.config = config;
         this.sockets = sockets;
@@ -161,7 +161,7 @@
         socket = open();
         ServerBootstrap server = new ServerBootstrap().group(loop)
                 .channelFactory(() -> new CallerListener(socket, this::mayTake,
-                        () -> figures.closed(Figures.Closing.CALLER_NOT_TAKEN)))
+                        () -> figures.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN)))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTED_AT_ONCE))
@@ -206,7 +206,7 @@
             if (sockets.roomForCaller() || evictSilent()) {
                 ctx.fireChannelRead(accepted);
             } else {
-                figures.closed(Figures.Closing.CALLER_NOT_TAKEN);
+                figures.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN);
                 ((Channel) accepted).unsafe().closeForcibly();
             }
         }
@@ -217,7 +217,7 @@
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            figures.closed(Figures.Closing.ACCEPT_FAILED);
+            figures.connectionClosed(NodeMetrics.CloseReason.ACCEPT_FAILED);
             sockets.evictIdle();
             ctx.channel().config().setAutoRead(false);
             loop.schedule(() -> {
@@ -255,9 +255,9 @@
                 }
             }
         }
-        figures.loop(monitor.takeLongestBusy(), arrivals.takeLongestWait(), arrivals.size());
-        figures.work(node.work());
-        figures.descriptors(connections.size(), resting.size(), sockets.open(), sockets.limit());
+        figures.loopDelay(monitor.takeLongestBusy(), arrivals.takeLongestWait(), arrivals.size());
+        figures.decisionWork(node.work());
+        figures.descriptorUse(connections.size(), resting.size(), sockets.open(), sockets.limit());
         if (malformed + silent > 0 && now >= toldAt + TELL_EVERY_MS) {
             Node.LOG.info("turned down " + malformed + " bad requests and " + silent + " silent callers");
             toldAt = now;
@@ -342,7 +342,8 @@
 
     /** At the end of a drain: nothing that comes from now on is taken, and who waits is refused. */
     void endAll() {
-        List.copyOf(connections).forEach(connection -> connection.refuseWaiting(Figures.Refusal.ENDING));
+        List.copyOf(connections).forEach(
+                connection -> connection.refuseWaiting(NodeMetrics.RefusalReason.ENDING));
         List.copyOf(connections).stream().filter(Connection::isIdle)
                 .forEach(connection -> connection.shutDown());
     }
@@ -357,7 +358,7 @@
             // A request may have come that nobody has read yet.
             connection.readNow();
             if (connection.isEvictable()) {
-                figures.closed(Figures.Closing.CALLER_FOR_ROOM);
+                figures.connectionClosed(NodeMetrics.CloseReason.CALLER_FOR_ROOM);
                 connection.shutDown();
                 leaving.addLast(connection);
                 if (leaving.size() > MOST_LEAVING) {
@@ -383,7 +384,7 @@
             // One that has begun to send has its time, like any.
             unserved.remove(connection);
             if (connection.isIdle() && !connection.served && !connection.partial()) {
-                figures.closed(Figures.Closing.SILENT_CALLER_FOR_ROOM);
+                figures.connectionClosed(NodeMetrics.CloseReason.SILENT_CALLER_FOR_ROOM);
                 silent++;
                 connection.channel.close();
                 return true;
@@ -515,7 +516,7 @@
                     || !RequestParser.isGet(request) && !RequestParser.isPost(request)
                     || ahead.size() == MAX_AHEAD - 1 || !channel.isWritable();
             // Where the loop is late, that may be long ago.
-            double arrivedAt = node.now() - monitor.lateness();
+            double arrivedAt = node.now() - monitor.lag();
             Received received = new Received(request.retain(), arrivedAt);
             if (current == null) {
                 take(received);
@@ -559,7 +560,7 @@
             } catch (RuntimeException e) {
                 Node.LOG.log(Level.SEVERE, "a request could not be handled", e);
                 if (current != null) {
-                    figures.failed(Figures.Failure.HANDLER_ERROR);
+                    figures.failed(NodeMetrics.FailureReason.HANDLER_ERROR);
                     write(HttpResponseStatus.INTERNAL_SERVER_ERROR, Unpooled.EMPTY_BUFFER, 0);
                 }
             }
@@ -568,14 +569,14 @@
         /** Its turn has come too late for it to be served. */
         void refuseLate() {
             if (isRefusable()) {
-                refuseWaiting(Figures.Refusal.PROCESSOR);
+                refuseWaiting(NodeMetrics.RefusalReason.PROCESSOR);
             } else {
                 handleWaiting();
             }
         }
 
         /** Refuses the request that waits for its turn, if there is one. */
-        void refuseWaiting(Figures.Refusal why) {
+        void refuseWaiting(NodeMetrics.RefusalReason why) {
             if (waits) {
                 waits = false;
                 refuseOverloaded(why);
@@ -588,11 +589,11 @@
         }
 
         /** Refuses the request at work before anything is done for it. */
-        private void refuseOverloaded(Figures.Refusal why) {
+        private void refuseOverloaded(NodeMetrics.RefusalReason why) {
             String name = RequestParser.className(current);
-            figures.refused(why);
+            figures.requestRefused(why);
             if (parser.knows(name)) {
-                figures.answered(name, HttpResponseStatus.SERVICE_UNAVAILABLE);
+                figures.requestAnswered(name, HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
             double longest = config.settings().limits().maxRetryAfter();
             boolean advised = config.settings().limits().retryAfter();
@@ -636,7 +637,7 @@
             }
             try {
                 RequestParser.Template template = parser.parse(request, currentAt);
-                Exchange begun = node.request(template::withId, request.retain(), this);
+                Exchange begun = node.acceptRequest(template::withId, request.retain(), this);
                 // The answer may have come already, and with it the next request.
                 if (begun.isOpen()) {
                     exchange = begun;
--- a/src/main/java/cranedeal/node/LoopMonitor.java
+++ b/src/main/java/cranedeal/node/LoopMonitor.java
@@ -16,7 +16,7 @@
 final class LoopMonitor implements IoHandler {
 
     /** The delay in ms from which on the loop is late. */
-    static final double LATE_MS = 50;
+    static final double LATE_THRESHOLD_MS = 50;
     /** A look that found nothing for so long has waited for it to come. */
     private static final double WAITED_MS = 1;
     /** The selector rounds its waits to ms. */
@@ -47,7 +47,7 @@
     }
 
     /** Makes another factory's handlers with a monitor around each, and tells of that; times are in ms. */
-    static IoHandlerFactory around(IoHandlerFactory factory, DoubleSupplier clock,
+    static IoHandlerFactory wrap(IoHandlerFactory factory, DoubleSupplier clock,
             Consumer<LoopMonitor> made) {
         return executor -> {
             LoopMonitor monitor = new LoopMonitor(factory.newHandler(executor), clock);
@@ -57,9 +57,9 @@
     }
 
     /** How long something that is read now has lain unread, in ms; 0 while the loop is not late. */
-    double lateness() {
+    double lag() {
         double delay = clock.getAsDouble() - unreadSince();
-        return delay > LATE_MS ? delay : 0;
+        return delay > LATE_THRESHOLD_MS ? delay : 0;
     }
 
     /** Since when something that is read now may have waited to be read, in ms of the clock. */
@@ -75,7 +75,7 @@
     }
 
     /** For how long the loop has had nothing to do since its start, in ms. */
-    double spare() {
+    double idleTime() {
         return spare;
     }
 
--- a/src/main/java/cranedeal/node/Presence.java
+++ b/src/main/java/cranedeal/node/MembershipHandle.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** This process's place among the members of a fleet. Nothing here waits for the network. */
-interface Presence {
+interface MembershipHandle {
 
     /** How many descriptors it takes at most. */
     int DESCRIPTORS = 32;
@@ -15,5 +15,5 @@
     void leave();
 
     /** The figures by their names. */
-    Map<String, Long> figures();
+    Map<String, Long> metrics();
 }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -52,7 +52,7 @@
  * One balancer: owns the decision module, tells it what happens on the sockets and carries out what it asks
  * for. It decides nothing itself. All of it runs on one event loop thread, so nothing is locked.
  */
-final class Node implements LoadBalancer.Actions, Door.Operations {
+final class Node implements LoadBalancer.Actions, AdminEndpoint.Operations {
 
     static final Logger LOG = Logger.getLogger("sablehinge");
     /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
@@ -82,7 +82,7 @@
     private volatile NodeConfig config;
     private final EventLoop loop;
     /** The processes of an upgrade; null where there are none. */
-    private final Succession succession;
+    private final ProcessHandover succession;
     private final Clock clock;
     private final LoopMonitor monitor;
     private final LoadBalancer balancer;
@@ -90,21 +90,21 @@
     private final DiscoveryClient discovery;
     private final Frontend frontend;
     private final Sockets sockets;
-    private final Figures figures = new Figures();
+    private final NodeMetrics figures = new NodeMetrics();
     /** The operators' door; null if the configuration names none. */
-    private final Door door;
+    private final AdminEndpoint door;
     private volatile boolean serving;
     private volatile boolean draining;
     /** Where what operators want is kept on disk; null if the configuration names no folder for it. */
-    private final OrderBook book;
+    private final OverrideStore book;
     /** Keeps what the module learns for the next process; null if there is no folder for it. */
-    private final LearntKeeper keeper;
+    private final WarmStateSaver keeper;
     /** Its place among the members of a fleet; null if it is of none. */
-    private volatile Presence presence;
+    private volatile MembershipHandle presence;
     /** What the fleet has published for this balancer's service; null if nothing is in force. */
     private JsonNode published;
     /** What operators want. */
-    private Orders orders = Orders.NONE;
+    private OperatorOverrides orders = OperatorOverrides.NONE;
     /** Where the orders are kept, with {@link #succession}. */
     private final Path folder;
     /** Whether another process of this balancer lived at the last look. */
@@ -136,7 +136,7 @@
     private record Event(Exchange about, Runnable call) { }
 
     private Node(NodeConfig config, EventLoop loop, Clock clock, LoopMonitor monitor,
-            Succession succession, Path folder, OrderBook book,
+            ProcessHandover succession, Path folder, OverrideStore book,
             Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.config = config;
         this.loop = loop;
@@ -146,19 +146,20 @@
         this.folder = folder;
         this.book = book;
         keeper = config.stateDir() == null ? null
-                : new LearntKeeper(new LearntFile(config.stateDir()), clock);
+                : new WarmStateSaver(new WarmStateFile(config.stateDir()), clock);
         PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
                 CACHED, false);
-        sockets = new Sockets(config.sockets() - (config.admin() == null ? 0 : Door.DESCRIPTORS)
-                - (config.fleet() == null ? 0 : Presence.DESCRIPTORS));
+        sockets = new Sockets(config.maxDescriptors()
+                - (config.admin() == null ? 0 : AdminEndpoint.DESCRIPTORS)
+                - (config.fleet() == null ? 0 : MembershipHandle.DESCRIPTORS));
         balancer = module.apply(this);
-        upstreams = new UpstreamClient(loop, clock, monitor::lateness, config.settings(), sockets, figures,
+        upstreams = new UpstreamClient(loop, clock, monitor::lag, config.settings(), sockets, figures,
                 memory);
-        discovery = new DiscoveryClient(loop, clock::now, config.discoveryStart(), this::parseList, memory,
+        discovery = new DiscoveryClient(loop, clock::now, config.discoveryOptions(), this::parseList, memory,
                 new ListUpdates());
         frontend = new Frontend(loop, config, sockets, memory, this, figures, monitor, clock);
-        figures.show(config.classes());
-        door = config.admin() == null ? null : new Door(this, loop);
+        figures.registerClasses(config.classes());
+        door = config.admin() == null ? null : new AdminEndpoint(this, loop);
     }
 
     /**
@@ -176,45 +177,46 @@
         Clock clock = new Clock();
         LoopMonitor[] monitor = new LoopMonitor[1];
         EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
-                new DefaultThreadFactory("node", true), LoopMonitor.around(NioIoHandler.newFactory(),
+                new DefaultThreadFactory("node", true), LoopMonitor.wrap(NioIoHandler.newFactory(),
                         clock::now, made -> monitor[0] = made)).next();
-        Succession succession = folder == null || config.admin() == null ? null : join(folder);
-        OrderBook book = config.stateDir() == null ? null : Fleet.ordersIn(config.stateDir(), folder);
+        ProcessHandover succession = folder == null || config.admin() == null ? null : join(folder);
+        OverrideStore book = config.stateDir() == null ? null
+                : Fleet.overrideStore(config.stateDir(), folder);
         Node node = new Node(config, loop, clock, monitor[0], succession, folder, book,
                 module);
         if (node.door != null) {
             node.door.bind(config.admin());
         }
-        Orders kept = book == null ? Orders.NONE : node.kept();
-        LearntFile.Kept learnt = node.keeper == null ? null : node.keeper.read();
+        OperatorOverrides kept = book == null ? OperatorOverrides.NONE : node.kept();
+        WarmStateFile.Snapshot learnt = node.keeper == null ? null : node.keeper.read();
         loop.submit(() -> node.begin(kept, learnt)).sync();
         node.frontend.bind(succession != null);
         node.serving = true;
         if (succession != null) {
-            node.inSuccession(Succession::serve);
+            node.inSuccession(ProcessHandover::markServing);
         }
         if (config.fleet() != null) {
-            node.presence = Fleet.member(config, node::takePublished);
+            node.presence = Fleet.join(config, node::applyPublished);
         }
         return node;
     }
 
     /** What is kept from before; a disk that can't tell stops no balancer, but is no secret either. */
-    private Orders kept() {
+    private OperatorOverrides kept() {
         try {
-            Orders kept = book.read();
-            figures.ordersKnown(true);
+            OperatorOverrides kept = book.read();
+            figures.overridesKnown(true);
             return kept;
         } catch (IOException | RuntimeException e) {
             LOG.severe("serves without the orders of before: " + e.getMessage());
-            figures.ordersKnown(false);
-            return Orders.NONE;
+            figures.overridesKnown(false);
+            return OperatorOverrides.NONE;
         }
     }
 
-    private static Succession join(Path folder) {
+    private static ProcessHandover join(Path folder) {
         try {
-            return Succession.join(folder);
+            return ProcessHandover.join(folder);
         } catch (IOException e) {
             LOG.warning("no upgrade of this process is possible: " + e);
             return null;
@@ -223,7 +225,7 @@
 
     /** Something to ask or to tell the other process of this balancer. */
     private interface SuccessionCall {
-        void in(Succession succession) throws IOException;
+        void in(ProcessHandover succession) throws IOException;
     }
 
     private void inSuccession(SuccessionCall call) {
@@ -242,8 +244,9 @@
         }
     }
 
-    private void begin(Orders kept, LearntFile.Kept learnt) {
-        UpstreamList known = new UpstreamList(config.known().version(), true, config.known().members());
+    private void begin(OperatorOverrides kept, WarmStateFile.Snapshot learnt) {
+        UpstreamList known = new UpstreamList(config.knownUpstreams().version(), true,
+                config.knownUpstreams().members());
         upstreams.update(known);
         discovery.setPushed(!config.settings().subscribe());
         tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
@@ -286,10 +289,10 @@
     /** Looks whether another process of this balancer lives, and what operators have ordered there. */
     private void lookAround() {
         inSuccession(processes -> {
-            boolean other = processes.hasOther();
+            boolean other = processes.hasOtherProcess();
             sockets.share(other);
             if ((other || hadOther) && book == null) {
-                obey(Orders.read(folder), 0);
+                obey(OperatorOverrides.read(folder), 0);
             } else if (other || hadOther) {
                 door.loop().execute(this::obeyBook);
             }
@@ -311,40 +314,40 @@
     }
 
     @Override
-    public boolean isTaking() {
+    public boolean isReady() {
         return serving && !draining;
     }
 
     @Override
     public String stats() {
-        Presence member = presence;
-        return figures.text() + Figures.text(discovery.figures().values())
-                + (member == null ? "" : Figures.text(member.figures()));
+        MembershipHandle member = presence;
+        return figures.text() + NodeMetrics.text(discovery.figures().values())
+                + (member == null ? "" : NodeMetrics.text(member.metrics()));
     }
 
     /** Sends callers away as SIGTERM does, but goes on: {@link #stopDrain} undoes it. */
     @Override
     public CompletionStage<Boolean> startDrain() {
-        return order(given -> given.withDrain(true));
+        return order(given -> given.withDraining(true));
     }
 
     @Override
     public CompletionStage<Boolean> stopDrain() {
-        return order(given -> given.withDrain(false));
+        return order(given -> given.withDraining(false));
     }
 
     @Override
     public CompletionStage<Boolean> ban(String id, boolean banned) {
-        long upstream = UpstreamList.number(id);
+        long upstream = UpstreamList.numericId(id);
         if (!everListed.containsKey(upstream) && !upstreams.isListed(upstream)
-                && !orders.out().contains(id)) {
+                && !orders.disabledUpstreams().contains(id)) {
             return CompletableFuture.completedFuture(false);
         }
-        return order(given -> given.with(id, banned));
+        return order(given -> given.withUpstream(id, banned));
     }
 
     /** Changes what operators want, without a wait of this loop for a disk. */
-    private CompletionStage<Boolean> order(UnaryOperator<Orders> change) {
+    private CompletionStage<Boolean> order(UnaryOperator<OperatorOverrides> change) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         if (book == null) {
             try {
@@ -357,9 +360,9 @@
         }
         door.loop().execute(() -> {
             try {
-                Orders changed = book.change(change);
+                OperatorOverrides changed = book.change(change);
                 loop.execute(() -> {
-                    figures.ordersKnown(true);
+                    figures.overridesKnown(true);
                     obey(changed, 0);
                     done.complete(true);
                 });
@@ -373,7 +376,7 @@
     /** Obeys what is kept, which another process of this balancer may have changed. */
     private void obeyBook() {
         try {
-            Orders kept = book.read();
+            OperatorOverrides kept = book.read();
             loop.execute(() -> obey(kept, 0));
         } catch (IOException | RuntimeException e) {
             unknown("what was ordered at another process of this balancer", e);
@@ -381,15 +384,15 @@
     }
 
     /** Changes what operators want; if that can't be kept, nothing changes. */
-    private void order(UnaryOperator<Orders> change, int own) throws IOException {
+    private void order(UnaryOperator<OperatorOverrides> change, int own) throws IOException {
         if (succession == null) {
             obey(change.apply(orders), 0);
             return;
         }
-        Orders changed;
+        OperatorOverrides changed;
         FileLock lock = succession.lockShared();
         try {
-            changed = change.apply(Orders.read(folder));
+            changed = change.apply(OperatorOverrides.read(folder));
             changed.write(folder);
         } finally {
             lock.close();
@@ -398,14 +401,16 @@
     }
 
     /** Does what operators want; {@code own} of the reloads were this process's. */
-    private void obey(Orders given, long own) {
-        Orders before = orders;
+    private void obey(OperatorOverrides given, long own) {
+        OperatorOverrides before = orders;
         orders = given;
-        given.out().stream().filter(id -> !before.out().contains(id)).forEach(id -> use(id, false));
+        given.disabledUpstreams().stream().filter(id -> !before.disabledUpstreams().contains(id))
+                .forEach(id -> use(id, false));
         if (given.reloads() - own > before.reloads()) {
             follow();
         }
-        before.out().stream().filter(id -> !given.out().contains(id)).forEach(id -> use(id, true));
+        before.disabledUpstreams().stream().filter(id -> !given.disabledUpstreams().contains(id))
+                .forEach(id -> use(id, true));
         // What SIGTERM has begun, no order undoes.
         if (given.draining() && !ending) {
             beginHandDrain();
@@ -416,11 +421,11 @@
 
     private void use(String id, boolean used) {
         LOG.info(id + (used ? " is put back to use" : " is taken out of use") + " by hand");
-        long upstream = UpstreamList.number(id);
+        long upstream = UpstreamList.numericId(id);
         upstreams.ban(upstream, !used);
         tell(null, () -> {
             balancer.upstreamBanned(clock.now(), upstream, !used);
-            figures.upstreams(upstreams.listed(), balancer.avoided());
+            figures.upstreamCounts(upstreams.listed(), balancer.avoided());
         });
     }
 
@@ -445,7 +450,7 @@
     }
 
     /** Where operators call; for tests. */
-    InetSocketAddress doorAddress() {
+    InetSocketAddress adminAddress() {
         return door.address();
     }
 
@@ -492,7 +497,7 @@
             frontend.endAll();
             List.copyOf(exchanges.values()).stream().filter(Exchange::isOpen)
                     .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT,
-                            Figures.Failure.ENDING));
+                            NodeMetrics.FailureReason.ENDING));
         }).sync();
         if (!done) {
             awaitEnd(latest + LAST_WORDS_MS);
@@ -504,7 +509,7 @@
         boolean done = false;
         while (!done && clock.now() < latest) {
             Thread.sleep(DRAIN_CHECK_MS);
-            done = endDrain();
+            done = closeIdleCallers();
         }
         return done;
     }
@@ -533,12 +538,12 @@
      * Signals come on threads of their own; what was read later must be taken later.
      */
     void reload(String path) throws InterruptedException {
-        figures.reloaded(read(path));
+        figures.configReloaded(read(path));
         if (succession != null && book == null) {
-            loop.submit(() -> inSuccession(processes -> order(Orders::withReload, 1))).sync();
+            loop.submit(() -> inSuccession(processes -> order(OperatorOverrides::withReload, 1))).sync();
         } else if (succession != null) {
             try {
-                Orders changed = book.change(Orders::withReload);
+                OperatorOverrides changed = book.change(OperatorOverrides::withReload);
                 loop.submit(() -> obey(changed, 1)).sync();
             } catch (IOException | RuntimeException e) {
                 LOG.warning("the other process of this balancer, if there is one, does not hear of this: "
@@ -562,7 +567,7 @@
      * Lays what the fleet has published for this balancer's service over its own file, as from now on each
      * reload does; null for nothing. Throws {@link ConfigException}, and then all is as before.
      */
-    synchronized void takePublished(JsonNode section) throws ConfigException, InterruptedException {
+    synchronized void applyPublished(JsonNode section) throws ConfigException, InterruptedException {
         NodeConfig replaced = NodeConfig.read(config.path(), config, section);
         loop.submit(() -> retune(replaced)).sync();
         published = section;
@@ -582,7 +587,7 @@
 
     private void retune(NodeConfig replaced) {
         config = replaced;
-        figures.show(replaced.classes());
+        figures.registerClasses(replaced.classes());
         upstreams.retune(replaced.settings());
         frontend.retune(replaced);
         // Before the module, which may begin to ask for itself.
@@ -593,20 +598,20 @@
     }
 
     /** Closes callers' connections that are idle; whether none is left. */
-    boolean endDrain() throws InterruptedException {
+    boolean closeIdleCallers() throws InterruptedException {
         return loop.submit(frontend::endDrain).sync().getNow();
     }
 
     /** Ends at once, whatever is under way; for tests. */
-    void kill() {
+    void shutdownNow() {
         if (door != null) {
-            door.kill();
+            door.shutdownNow();
         }
         if (presence != null) {
             presence.handOver();
         }
         if (succession != null) {
-            inSuccession(Succession::leave);
+            inSuccession(ProcessHandover::leave);
         }
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
@@ -642,12 +647,12 @@
     private void broken(Exchange about, Throwable cause) {
         LOG.log(Level.SEVERE, "the decision module failed", cause);
         if (about != null && about.isOpen()) {
-            fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR, Figures.Failure.DECISION_ERROR);
+            fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR, NodeMetrics.FailureReason.DECISION_ERROR);
         }
     }
 
     /** Fails a request over the module's head and tells it that the client waits no more. */
-    private void fail(Exchange exchange, HttpResponseStatus status, Figures.Failure why) {
+    private void fail(Exchange exchange, HttpResponseStatus status, NodeMetrics.FailureReason why) {
         figures.failed(why);
         exchange.answer(status, Unpooled.EMPTY_BUFFER, 0);
         leave(exchange);
@@ -667,7 +672,7 @@
             upstreams.update(list);
             list.members().forEach(member -> everListed.put(member.upstream().id(), true));
             tell(null, () -> listChanged(list.full() ? Change.FULL : Change.DELTA, entries));
-            figures.list(list.version(), clock.now() - arrivedAt);
+            figures.listInForce(list.version(), clock.now() - arrivedAt);
         }
 
         @Override
@@ -678,11 +683,12 @@
 
     private void listChanged(Change change, List<Upstream> entries) {
         balancer.upstreamsChanged(clock.now(), change, entries);
-        figures.upstreams(upstreams.listed(), balancer.avoided());
+        figures.upstreamCounts(upstreams.listed(), balancer.avoided());
     }
 
     /** Takes a request in; the node owns a reference to {@code message} from here on. */
-    Exchange request(Function<Long, Request> description, FullHttpRequest message, Exchange.Caller caller) {
+    Exchange acceptRequest(Function<Long, Request> description, FullHttpRequest message,
+            Exchange.Caller caller) {
         Request request = description.apply(++lastId);
         Exchange exchange = new Exchange(request.id(), config.classes().get(request.serviceClass()),
                 config.settings().classes().get(request.serviceClass()), message, request.deadline(), caller,
@@ -745,7 +751,7 @@
             exchange.overdue = loop.schedule(() -> overdue(exchange), LARGE_CHECK_MS, TimeUnit.MILLISECONDS);
         } else if (exchange.isOpen()) {
             LOG.warning("a request was left without an answer");
-            fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, Figures.Failure.DEADLINE);
+            fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, NodeMetrics.FailureReason.DEADLINE);
         }
     }
 
@@ -780,7 +786,7 @@
             if (result == Result.OK) {
                 exchange.end();
             } else {
-                figures.failed(Figures.Failure.BROKEN_ANSWER);
+                figures.failed(NodeMetrics.FailureReason.BROKEN_ANSWER);
                 exchange.answer(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
             }
         } else if (result == Result.OK) {
@@ -800,7 +806,7 @@
             return 0;
         }
         double since = clock.now() - Math.max(sentAt, exchange.arrivedAt);
-        return Math.max(0, since - exchange.heldUp(number) - monitor.lateness());
+        return Math.max(0, since - exchange.heldUp(number) - monitor.lag());
     }
 
     /** An answer too large to be held has begun; null if nobody waits for it. */
@@ -846,7 +852,7 @@
         int number = exchange.sends++;
         exchange.running++;
         if (number > 0) {
-            figures.retried(exchange.lastResult);
+            figures.requestRetried(exchange.lastResult);
         }
         if (!exchange.isAwaited(now) || now >= exchange.deadline
                 || number >= config.settings().limits().maxAttempts()
@@ -882,7 +888,7 @@
 
     @Override
     public void fail(long requestId) {
-        figures.failed(Figures.Failure.UPSTREAMS);
+        figures.failed(NodeMetrics.FailureReason.UPSTREAMS);
         answer(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
@@ -905,12 +911,12 @@
     @Override
     public double heldUp(long requestId, int attempt) {
         Exchange exchange = exchanges.get(requestId);
-        return exchange == null ? 0 : exchange.heldUp(attempt) + monitor.lateness();
+        return exchange == null ? 0 : exchange.heldUp(attempt) + monitor.lag();
     }
 
     @Override
     public double spareTime(double now) {
-        return monitor.spare();
+        return monitor.idleTime();
     }
 
     private static void cancel(UpstreamClient.Attempt attempt) {
@@ -951,7 +957,7 @@
     public void setTimer(long token, double at) {
         Exchange about = subject;
         loop.schedule(() -> {
-            if (clock.now() > at + LoopMonitor.LATE_MS) {
+            if (clock.now() > at + LoopMonitor.LATE_THRESHOLD_MS) {
                 // The loop is late: the sockets have their turn first, and with them what ends the wait.
                 loop.schedule(() -> ring(about, token), 1, TimeUnit.NANOSECONDS);
             } else {
--- a/src/main/java/cranedeal/node/NodeConfig.java
+++ b/src/main/java/cranedeal/node/NodeConfig.java
@@ -26,31 +26,32 @@
  *
  * @param path where it was read
  * @param admin where operators call; null if they don't
- * @param sockets how many file descriptors the process may hold
+ * @param maxDescriptors how many file descriptors the process may hold
  * @param zones the names of the zones, by the index that the module uses; likewise the others
  * @param keys the keys that the file itself has, in the settings' classes only those that all with one effect
  *     have
- * @param known the upstreams as this balancer last had them
+ * @param knownUpstreams the upstreams as this balancer last had them
  * @param stateDir where what must outlast a power loss is kept; null if nothing is
  * @param fleet of which fleet it is a member; null if of none
  */
 record NodeConfig(String path, String name, InetSocketAddress listen, InetSocketAddress admin,
-        InetSocketAddress discovery, long seed, int sockets, Settings settings, List<String> zones,
-        List<String> kinds, List<String> classes, List<String> tenants, Set<String> keys, UpstreamList known,
-        Path stateDir, FleetConfig fleet) {
+        InetSocketAddress discovery, long seed, int maxDescriptors, Settings settings, List<String> zones,
+        List<String> machineTypes, List<String> classes, List<String> tenants, Set<String> keys,
+        UpstreamList knownUpstreams, Path stateDir, FleetConfig fleet) {
 
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
     private static final String CLASS = "a class that is ";
 
     /** What a client of discovery begins with. */
-    DiscoveryClient.Start discoveryStart() {
-        return new DiscoveryClient.Start(discovery, known.version(), seed, DiscoveryClient.LONGEST_WAIT_MS);
+    DiscoveryClient.Options discoveryOptions() {
+        return new DiscoveryClient.Options(discovery, knownUpstreams.version(), seed,
+                DiscoveryClient.MAX_WAIT_MS);
     }
 
     /** Reads a list as discovery answers with it, by the names of zones and kinds in the settings. */
     UpstreamList parseList(InputStream body) throws IOException {
-        return UpstreamList.parse(JSON.readTree(body), zones, kinds);
+        return UpstreamList.parse(JSON.readTree(body), zones, machineTypes);
     }
 
     /**
@@ -61,7 +62,8 @@
     static NodeConfig read(String path, NodeConfig inForce, JsonNode section) throws ConfigException {
         NodeConfig config = read(path, section);
         requireKeys(path, inForce.keys, config.keys);
-        if (!startsWith(config.zones, inForce.zones) || !startsWith(config.kinds, inForce.kinds)) {
+        if (!startsWith(config.zones, inForce.zones)
+                || !startsWith(config.machineTypes, inForce.machineTypes)) {
             throw new ConfigException(path + ": zones and machine types in use can't change in service");
         }
         return config;
--- a/src/main/java/cranedeal/node/Figures.java
+++ b/src/main/java/cranedeal/node/NodeMetrics.java
@@ -15,7 +15,7 @@
  * What a balancer counts, from 0 at its start. The node's loop feeds it where an event happens; any thread
  * may read.
  */
-final class Figures {
+final class NodeMetrics {
 
     /** The one control character that is not below the blank. */
     private static final int DELETE = 0x7f;
@@ -23,10 +23,10 @@
     private static final double PERCENT = 100;
 
     /** Why a request was refused before the decision module had it. */
-    enum Refusal { PROCESSOR, ENDING }
+    enum RefusalReason { PROCESSOR, ENDING }
 
     /** Why a connection was closed, or none was taken. */
-    enum Closing {
+    enum CloseReason {
         CALLER_FOR_ROOM, SILENT_CALLER_FOR_ROOM, CALLER_NOT_TAKEN, ACCEPT_FAILED, UPSTREAM_FOR_ROOM,
         UPSTREAM_IDLE
     }
@@ -39,7 +39,7 @@
      * no answer when its time was over, the decision module or the handling of its message threw, or the
      * process ended.
      */
-    enum Failure { UPSTREAMS, BROKEN_ANSWER, DEADLINE, DECISION_ERROR, HANDLER_ERROR, ENDING }
+    enum FailureReason { UPSTREAMS, BROKEN_ANSWER, DEADLINE, DECISION_ERROR, HANDLER_ERROR, ENDING }
 
     /** How the requests of one class ended. */
     private static final class Answers {
@@ -66,22 +66,22 @@
     private final AtomicLong reloadFailure = new AtomicLong();
 
     /** Names classes that are to be shown, also before their first request. */
-    void show(Collection<String> classes) {
+    void registerClasses(Collection<String> classes) {
         classes.forEach(name -> answers.computeIfAbsent(name, absent -> new Answers()));
     }
 
     /** A request was taken. */
-    void taken() {
+    void requestStarted() {
         concurrent.incrementAndGet();
     }
 
     /** A request that was taken has its answer, or nobody waits for one any more. */
-    void ended() {
+    void requestEnded() {
         concurrent.decrementAndGet();
     }
 
     /** A request has its final answer, whoever worded it. */
-    void answered(String serviceClass, HttpResponseStatus status) {
+    void requestAnswered(String serviceClass, HttpResponseStatus status) {
         Answers counts = answers.computeIfAbsent(serviceClass, absent -> new Answers());
         if (status.code() == 200) {
             counts.success.incrementAndGet();
@@ -93,7 +93,7 @@
     }
 
     /** An attempt was written whole to an upstream. */
-    void dispatched() {
+    void attemptSent() {
         dispatches.incrementAndGet();
     }
 
@@ -114,32 +114,32 @@
     private record ListInForce(long version, double tookMs) { }
 
     /** How late the loop was since this was last told. */
-    void loop(double busyMs, double waitMs, int waiting) {
+    void loopDelay(double busyMs, double waitMs, int waiting) {
         loopDelay = new LoopDelay(busyMs, waitMs, waiting, Math.max(loopDelay.longestMs(), busyMs));
     }
 
     /** Who holds descriptors now. */
-    void descriptors(int callers, int resting, int open, int limit) {
+    void descriptorUse(int callers, int resting, int open, int limit) {
         descriptors = new Descriptors(callers, resting, open, limit);
     }
 
     /** A list is in force. */
-    void list(long version, double tookMs) {
+    void listInForce(long version, double tookMs) {
         list = new ListInForce(version, tookMs);
     }
 
     /** What the decisions have cost so far. */
-    void work(LoadBalancer.Work cost) {
+    void decisionWork(LoadBalancer.Work cost) {
         work = cost;
     }
 
     /** A request was refused before the module had it. */
-    void refused(Refusal why) {
+    void requestRefused(RefusalReason why) {
         count(why);
     }
 
     /** A connection was closed, or none was taken. */
-    void closed(Closing why) {
+    void connectionClosed(CloseReason why) {
         count(why);
     }
 
@@ -149,17 +149,17 @@
     }
 
     /** A request was answered as failed. */
-    void failed(Failure why) {
+    void failed(FailureReason why) {
         count(why);
     }
 
     /** An attempt after the first was asked for, as the one before ended so. */
-    void retried(LoadBalancer.Result after) {
+    void requestRetried(LoadBalancer.Result after) {
         count(after);
     }
 
     /** A connection to an upstream was begun. */
-    void connected() {
+    void connectionStarted() {
         connections.incrementAndGet();
     }
 
@@ -202,25 +202,25 @@
         line(text, "unserved_attempts_failed", work.unserved().attemptsFailed());
         line(text, "retries", Stream.of(LoadBalancer.Result.values()).mapToLong(this::counted).sum());
         lines(text, "retried_after_", LoadBalancer.Result.values());
-        lines(text, "refused_for_", Refusal.values());
-        lines(text, "failed_for_", Failure.values());
-        lines(text, "closed_", Closing.values());
+        lines(text, "refused_for_", RefusalReason.values());
+        lines(text, "failed_for_", FailureReason.values());
+        lines(text, "closed_", CloseReason.values());
         lines(text, "connect_failed_", ConnectFailure.values());
     }
 
     /** How many upstreams the list has, and how many of them the module avoids now. */
-    void upstreams(int listed, int avoided) {
+    void upstreamCounts(int listed, int avoided) {
         targets = listed;
         targetsDisabled = avoided;
     }
 
     /** What operators ordered before could be read from disk, or could not. */
-    void ordersKnown(boolean known) {
+    void overridesKnown(boolean known) {
         ordersKnown = known;
     }
 
     /** A configuration was taken at SIGHUP, or turned down. */
-    void reloaded(boolean taken) {
+    void configReloaded(boolean taken) {
         (taken ? reloadSuccess : reloadFailure).incrementAndGet();
     }
 
--- a/src/main/java/cranedeal/node/Orders.java
+++ b/src/main/java/cranedeal/node/OperatorOverrides.java
@@ -17,12 +17,12 @@
  * What operators have ordered and not taken back: which upstreams are out of use, and whether callers are
  * sent away.
  *
- * @param out the ids of the upstreams, as discovery has them
+ * @param disabledUpstreams the ids of the upstreams, as discovery has them
  * @param reloads how often a process was told to read its configuration again
  */
-record Orders(Set<String> out, boolean draining, long reloads) {
+record OperatorOverrides(Set<String> disabledUpstreams, boolean draining, long reloads) {
 
-    static final Orders NONE = new Orders(Set.of(), false, 0);
+    static final OperatorOverrides NONE = new OperatorOverrides(Set.of(), false, 0);
     private static final String FILE = "orders";
     private static final String OUT = "out ";
     private static final String DRAIN = "drain";
@@ -30,31 +30,31 @@
     /** Far more than operators will ever have out; a file that is larger is none of ours. */
     private static final long LONGEST = 1 << 20;
 
-    Orders {
-        out = Collections.unmodifiableSet(new TreeSet<>(out));
+    OperatorOverrides {
+        disabledUpstreams = Collections.unmodifiableSet(new TreeSet<>(disabledUpstreams));
     }
 
     /** The orders with one upstream taken out of use or put back. */
-    Orders with(String id, boolean banned) {
-        Set<String> changed = new TreeSet<>(out);
+    OperatorOverrides withUpstream(String id, boolean banned) {
+        Set<String> changed = new TreeSet<>(disabledUpstreams);
         if (banned) {
             changed.add(id);
         } else {
             changed.remove(id);
         }
-        return new Orders(changed, draining, reloads);
+        return new OperatorOverrides(changed, draining, reloads);
     }
 
-    Orders withDrain(boolean drains) {
-        return new Orders(out, drains, reloads);
+    OperatorOverrides withDraining(boolean drains) {
+        return new OperatorOverrides(disabledUpstreams, drains, reloads);
     }
 
-    Orders withReload() {
-        return new Orders(out, draining, reloads + 1);
+    OperatorOverrides withReload() {
+        return new OperatorOverrides(disabledUpstreams, draining, reloads + 1);
     }
 
     /** Reads what was kept in a folder: nothing if there is no such file, and no line that makes no sense. */
-    static Orders read(Path folder) throws IOException {
+    static OperatorOverrides read(Path folder) throws IOException {
         Path file = folder.resolve(FILE);
         try {
             if (Files.size(file) > LONGEST) {
@@ -71,7 +71,7 @@
                 draining |= line.equals(DRAIN);
                 reloads = Math.max(reloads, line.startsWith(RELOADS) ? count(line) : 0);
             }
-            return new Orders(out, draining, reloads);
+            return new OperatorOverrides(out, draining, reloads);
         } catch (NoSuchFileException e) {
             return NONE;
         }
@@ -80,12 +80,12 @@
     /** Replaces what is kept in a folder in one step; one process at a time. */
     void write(Path folder) throws IOException {
         List<String> lines = new ArrayList<>();
-        out.forEach(id -> lines.add(OUT + encode(id)));
+        disabledUpstreams.forEach(id -> lines.add(OUT + encode(id)));
         if (draining) {
             lines.add(DRAIN);
         }
         lines.add(RELOADS + reloads);
-        WholeFile.replace(folder.resolve(FILE),
+        AtomicFile.replace(folder.resolve(FILE),
                 (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/cranedeal/node/Succession.java
+++ b/src/main/java/cranedeal/node/ProcessHandover.java
@@ -11,7 +11,7 @@
  * Each has a place in their order, and locks a byte of a file that they share at that place while it lives,
  * and a second one while it serves. The system drops the locks of a process that ends, however it ends.
  */
-final class Succession {
+final class ProcessHandover {
 
     private static final String FILE = "succession";
     /** The bytes from here on tell who serves, those before who lives; nothing is ever written to them. */
@@ -24,13 +24,13 @@
     private final FileChannel file;
     private final long place;
 
-    private Succession(FileChannel file, long place) {
+    private ProcessHandover(FileChannel file, long place) {
         this.file = file;
         this.place = place;
     }
 
     /** Takes the place behind all that live. */
-    static Succession join(Path folder) throws IOException {
+    static ProcessHandover join(Path folder) throws IOException {
         FileChannel file = FileChannel.open(folder.resolve(FILE), StandardOpenOption.CREATE,
                 StandardOpenOption.READ, StandardOpenOption.WRITE);
         long place = 0;
@@ -39,7 +39,7 @@
                 place++;
             }
             if (file.tryLock(place, 1, false) != null) {
-                return new Succession(file, place);
+                return new ProcessHandover(file, place);
             }
             Thread.onSpinWait();
         }
@@ -61,7 +61,7 @@
     }
 
     /** From now on this process serves. */
-    void serve() throws IOException {
+    void markServing() throws IOException {
         for (int i = 0; i < TRIES; i++) {
             if (file.tryLock(SERVING + place, 1, false) != null) {
                 return;
@@ -77,7 +77,7 @@
     }
 
     /** Whether another process of this balancer lives, earlier or later. */
-    boolean hasOther() throws IOException {
+    boolean hasOtherProcess() throws IOException {
         return isHeld(file, 0, place) || isHeld(file, place + 1, SERVING - place - 1);
     }
 
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -97,7 +97,7 @@
     private final DoubleSupplier lateness;
     private Settings settings;
     private final Sockets sockets;
-    private final Figures figures;
+    private final NodeMetrics figures;
     private final Bootstrap bootstrap;
     /** All connections that stand idle, the longest idle first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
@@ -119,7 +119,7 @@
 
     /** {@code lateness} tells how long what is read now has lain unread, in ms. */
     UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier lateness, Settings settings, Sockets sockets,
-            Figures figures, ByteBufAllocator memory) {
+            NodeMetrics figures, ByteBufAllocator memory) {
         this.loop = loop;
         this.clock = clock;
         this.lateness = lateness;
@@ -279,7 +279,7 @@
         List.copyOf(moving).stream().filter(attempt -> attempt.isStalled(still)).forEach(Attempt::expire);
         double oldest = clock.now() - longestIdle();
         while (!idle.isEmpty() && idle.iterator().next().idleSince < oldest) {
-            figures.closed(Figures.Closing.UPSTREAM_IDLE);
+            figures.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_IDLE);
             evictIdle();
         }
         // Whoever left long ago and holds nothing need not be remembered.
@@ -400,7 +400,7 @@
                 begin(kept);
             } else if (!sockets.roomForUpstream()) {
                 // This process's own want says nothing of the upstream.
-                figures.failed(Figures.ConnectFailure.NO_DESCRIPTOR);
+                figures.failed(NodeMetrics.ConnectFailure.NO_DESCRIPTOR);
                 end(Result.NOT_SENT, null);
             } else {
                 connect(to);
@@ -410,13 +410,13 @@
         private void connect(Target to) {
             ChannelFuture connect = Channels.connect(bootstrap, to.member.address());
             if (connect == null) {
-                figures.failed(Figures.ConnectFailure.NO_SOCKET);
+                figures.failed(NodeMetrics.ConnectFailure.NO_SOCKET);
                 end(Result.NOT_SENT, null);
                 return;
             }
             channel = connect.channel();
             sockets.count(channel);
-            figures.connected();
+            figures.connectionStarted();
             connect.addListener(up -> {
                 if (over) {
                     channel.close();
@@ -424,7 +424,7 @@
                     putOff(lateness.getAsDouble());
                     begin(channel.pipeline().get(Connection.class));
                 } else {
-                    figures.failed(Figures.ConnectFailure.NOT_UP);
+                    figures.failed(NodeMetrics.ConnectFailure.NOT_UP);
                     end(Result.CONNECT_FAILED, null);
                 }
             });
@@ -501,7 +501,7 @@
             if (!written) {
                 broke();
             } else if (!probe) {
-                figures.dispatched();
+                figures.attemptSent();
             }
         }
 
@@ -717,7 +717,7 @@
             target.idle.addLast(this);
             idle.add(this);
             if (idle.size() > sockets.mostIdleUpstreams()) {
-                figures.closed(Figures.Closing.UPSTREAM_FOR_ROOM);
+                figures.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_FOR_ROOM);
                 evictIdle();
             }
         }
--- a/src/main/java/cranedeal/node/LearntFile.java
+++ b/src/main/java/cranedeal/node/WarmStateFile.java
@@ -22,10 +22,10 @@
  * rest, which is JSON. It is replaced in one step and never forced: what a power loss takes has faded before
  * the machine is back.
  */
-final class LearntFile {
+final class WarmStateFile {
 
     /** How many upstreams it tells of: those that most is known of. */
-    static final int MOST_UPSTREAMS = 2_000;
+    static final int MAX_UPSTREAMS = 2_000;
     private static final int MOST_CLASSES = 1_000;
     private static final String FILE = "learnt";
     private static final int FORM = 1;
@@ -34,15 +34,15 @@
 
     private final Path folder;
 
-    LearntFile(Path folder) {
+    WarmStateFile(Path folder) {
         this.folder = folder;
     }
 
     /** What was learnt, and when, in ms since 1970. */
-    record Kept(double at, Learnt learnt) { }
+    record Snapshot(double savedAt, Learnt state) { }
 
     /** What was written last; null if nothing was. Throws {@link IOException} for what can't be trusted. */
-    Kept read() throws IOException {
+    Snapshot read() throws IOException {
         Path file = folder.resolve(FILE);
         byte[] bytes;
         try {
@@ -73,16 +73,16 @@
                         number(one, "answers"), number(one, "served_all"), number(one, "tries_all"),
                         numbers(one, "served", classes.size()), numbers(one, "tries", classes.size())));
             }
-            return new Kept(number(root, "at"), new Learnt(classes, upstreams));
+            return new Snapshot(number(root, "at"), new Learnt(classes, upstreams));
         } catch (IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
     }
 
     /** Replaces what was written. */
-    void write(Kept kept) throws IOException {
+    void write(Snapshot kept) throws IOException {
         Files.createDirectories(folder);
-        WholeFile.replace(folder.resolve(FILE), encode(kept.at(), bounded(kept.learnt())));
+        AtomicFile.replace(folder.resolve(FILE), encode(kept.savedAt(), bounded(kept.state())));
     }
 
     private static byte[] encode(double at, Learnt learnt) throws IOException {
@@ -135,12 +135,12 @@
         if (all.classes().size() > MOST_CLASSES) {
             return Learnt.NOTHING;
         }
-        if (all.upstreams().size() <= MOST_UPSTREAMS) {
+        if (all.upstreams().size() <= MAX_UPSTREAMS) {
             return all;
         }
         return new Learnt(all.classes(), all.upstreams().stream()
                 .sorted(Comparator.comparingDouble(OfUpstream::triesInAll).reversed())
-                .limit(MOST_UPSTREAMS).toList());
+                .limit(MAX_UPSTREAMS).toList());
     }
 
     private static String sum(byte[] bytes) {
--- a/src/main/java/cranedeal/node/LearntKeeper.java
+++ b/src/main/java/cranedeal/node/WarmStateSaver.java
@@ -13,7 +13,7 @@
  * Has what the module learns written down now and then, and reads it at the next start. It asks the module on
  * the node's loop, and writes elsewhere.
  */
-final class LearntKeeper {
+final class WarmStateSaver {
 
     private static final long LEAST_EVERY_MS = 1_000;
     /** The pause after a write is so many times as long as that took, which bounds its share of the core. */
@@ -21,20 +21,20 @@
     /** Told only so often, however often it fails. */
     private static final double TELL_EVERY_MS = 60_000;
 
-    private final LearntFile file;
+    private final WarmStateFile file;
     private final Clock clock;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
-    LearntKeeper(LearntFile file, Clock clock) {
+    WarmStateSaver(WarmStateFile file, Clock clock) {
         this.file = file;
         this.clock = clock;
     }
 
     /** Tells the module what an earlier process had learnt; a file that can't be trusted is only told of. */
-    LearntFile.Kept read() {
+    WarmStateFile.Snapshot read() {
         try {
-            LearntFile.Kept kept = file.read();
-            if (kept != null && kept.at() > clock.now()) {
+            WarmStateFile.Snapshot kept = file.read();
+            if (kept != null && kept.savedAt() > clock.now()) {
                 throw new IOException("it was written in the future, so its age is not known");
             }
             return kept;
@@ -45,12 +45,12 @@
     }
 
     /** Gives the module what was read, before its first list. */
-    void recall(LearntFile.Kept kept, LoadBalancer balancer) {
+    void recall(WarmStateFile.Snapshot kept, LoadBalancer balancer) {
         double now = clock.now();
-        double age = now - kept.at();
-        balancer.recall(now, kept.learnt(), age);
+        double age = now - kept.savedAt();
+        balancer.recall(now, kept.state(), age);
         Node.LOG.info(String.format("recalls what was learnt %.0f ms ago of %d upstreams", age,
-                kept.learnt().upstreams().size()));
+                kept.state().upstreams().size()));
     }
 
     /**
@@ -74,7 +74,7 @@
                 again(LEAST_EVERY_MS, loop, writer, learnt, last);
                 return;
             }
-            LearntFile.Kept kept = new LearntFile.Kept(clock.now(), learnt.get());
+            WarmStateFile.Snapshot kept = new WarmStateFile.Snapshot(clock.now(), learnt.get());
             writer.execute(() -> {
                 double begun = clock.now();
                 write(kept);
@@ -84,9 +84,9 @@
         }, afterMs, TimeUnit.MILLISECONDS);
     }
 
-    private void write(LearntFile.Kept kept) {
+    private void write(WarmStateFile.Snapshot kept) {
         try {
-            if (!kept.learnt().upstreams().isEmpty()) {
+            if (!kept.state().upstreams().isEmpty()) {
                 file.write(kept);
             }
         } catch (IOException e) {
--- a/src/main/java/cranedeal/node/discovery/DiscoveryClient.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryClient.java
@@ -26,7 +26,7 @@
 public final class DiscoveryClient {
 
     /** The longest that a watch waits for news, in ms; to go on with it costs discovery little. */
-    public static final int LONGEST_WAIT_MS = 2_500;
+    public static final int MAX_WAIT_MS = 2_500;
     static final Logger LOG = Logger.getLogger("sablehinge");
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /** How long the whole list is waited for where it is asked for on its own. */
@@ -50,16 +50,16 @@
      * @param address where discovery listens
      * @param version of the list that is known
      * @param seed of the waits that are drawn
-     * @param longestWaitMs the longest that a watch waits for news
+     * @param maxWaitMs the longest that a watch waits for news
      */
-    public record Start(InetSocketAddress address, long version, long seed, int longestWaitMs) { }
+    public record Options(InetSocketAddress address, long version, long seed, int maxWaitMs) { }
 
     private final EventLoop loop;
     private final DoubleSupplier clock;
     private final ListParser parser;
     private final Listener listener;
     private final Bootstrap bootstrap;
-    private final DiscoveryFigures figures;
+    private final DiscoveryMetrics figures;
     private final WatchSchedule schedule;
     /** The calls of the watch that are out, by their numbers. */
     private final Map<Long, DiscoveryCall> calls = new HashMap<>();
@@ -76,15 +76,15 @@
      * @param clock in milliseconds; it never goes back
      * @param start where discovery is, and what is known of the list
      */
-    public DiscoveryClient(EventLoop loop, DoubleSupplier clock, Start start, ListParser parser,
+    public DiscoveryClient(EventLoop loop, DoubleSupplier clock, Options start, ListParser parser,
             ByteBufAllocator memory, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.parser = parser;
         this.listener = listener;
         address = start.address();
-        figures = new DiscoveryFigures(clock, start.version(), LOG::info);
-        schedule = new WatchSchedule(new Carrier(), start.longestWaitMs(), start.version(), start.seed());
+        figures = new DiscoveryMetrics(clock, start.version(), LOG::info);
+        schedule = new WatchSchedule(new Carrier(), start.maxWaitMs(), start.version(), start.seed());
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -97,7 +97,7 @@
     }
 
     /** What is counted of the calls, and the age of the list. */
-    public DiscoveryFigures figures() {
+    public DiscoveryMetrics figures() {
         return figures;
     }
 
@@ -125,7 +125,7 @@
             idle.close();
             idle = null;
         }
-        schedule.moved(clock.getAsDouble());
+        schedule.addressChanged(clock.getAsDouble());
     }
 
     /** Asks once for the whole list. */
@@ -223,7 +223,7 @@
 
         @Override
         public void begun() {
-            schedule.begun(clock.getAsDouble(), id);
+            schedule.answerStarted(clock.getAsDouble(), id);
         }
 
         @Override
--- a/src/main/java/cranedeal/node/discovery/DiscoveryFigures.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryMetrics.java
@@ -13,13 +13,13 @@
  * What is counted and logged of the calls to discovery, and how old the list in use is. One thread tells what
  * happens; any thread may read.
  */
-public final class DiscoveryFigures {
+public final class DiscoveryMetrics {
 
     /** By then a change counts as told, by the operators' terms. */
     private static final double STALE_MS = 6_000;
 
     private final DoubleSupplier clock;
-    private final BoundedLog log;
+    private final RateLimitedLog log;
     private final AtomicInteger out = new AtomicInteger();
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicLongArray ended = new AtomicLongArray(CallEnd.values().length);
@@ -28,10 +28,10 @@
     private volatile long version;
 
     /** Figures from now on, by a clock in milliseconds; lines of a log go to {@code lines}. */
-    public DiscoveryFigures(DoubleSupplier clock, long version, Consumer<String> lines) {
+    public DiscoveryMetrics(DoubleSupplier clock, long version, Consumer<String> lines) {
         this.clock = clock;
         this.version = version;
-        log = new BoundedLog(clock, lines);
+        log = new RateLimitedLog(clock, lines);
         confirmedAt = clock.getAsDouble();
     }
 
--- a/src/main/java/cranedeal/node/discovery/BoundedLog.java
+++ b/src/main/java/cranedeal/node/discovery/RateLimitedLog.java
@@ -4,7 +4,7 @@
 import java.util.function.DoubleSupplier;
 
 /** Passes on so many lines in a period at most, and tells how many it has left out. */
-final class BoundedLog {
+final class RateLimitedLog {
 
     private static final int MOST_LINES = 30;
     private static final double PERIOD_MS = 10_000;
@@ -16,7 +16,7 @@
     private long leftOut;
 
     /** A log into {@code lines}, by a clock in milliseconds. */
-    BoundedLog(DoubleSupplier clock, Consumer<String> lines) {
+    RateLimitedLog(DoubleSupplier clock, Consumer<String> lines) {
         this.clock = clock;
         this.lines = lines;
     }
--- a/src/main/java/cranedeal/node/discovery/UpstreamList.java
+++ b/src/main/java/cranedeal/node/discovery/UpstreamList.java
@@ -49,7 +49,7 @@
             case "removed" -> State.REMOVED;
             default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
         };
-        Upstream upstream = new Upstream(number(id), index(zones, entry.path("zone").asText("")),
+        Upstream upstream = new Upstream(numericId(id), index(zones, entry.path("zone").asText("")),
                 index(kinds, entry.path("kind").asText("")), entry.path("cell").asInt(0), state,
                 entry.path("weight").asDouble(1), entry.path("started_ms").asDouble(0));
         String address = entry.path("addr").asText("");
@@ -58,7 +58,7 @@
     }
 
     /** The same number for an id at every balancer, as the module's subsets rest on it. */
-    public static long number(String id) {
+    public static long numericId(String id) {
         CRC32C low = new CRC32C();
         low.update(id.getBytes(StandardCharsets.UTF_8));
         return (long) id.hashCode() << Integer.SIZE | low.getValue();
--- a/src/main/java/cranedeal/node/discovery/WatchSchedule.java
+++ b/src/main/java/cranedeal/node/discovery/WatchSchedule.java
@@ -11,13 +11,13 @@
  * <p>A call that is out on a standing connection is kept, however long it takes, since a slow discovery may
  * be about to answer it. What bounds the age of the list is a further call beside it, which goes out early
  * enough for its answer to come within {@link #BOUND_MS}, by the time that answers have been seen to take.
- * At most {@link #MOST_OUT} calls are out at a time, and one that was sent first is kept for the longest, so
- * that an answer is heard however slow discovery is.
+ * At most {@link #MAX_CONCURRENT_CALLS} calls are out at a time, and one that was sent first is kept for
+ * the longest, so that an answer is heard however slow discovery is.
  */
 public final class WatchSchedule {
 
     /** How many calls are out at one time at most. */
-    public static final int MOST_OUT = 3;
+    public static final int MAX_CONCURRENT_CALLS = 3;
     /** Within this time of a change it should be known; some time less than it counts as told. */
     static final double BOUND_MS = 5_500;
     /** The same for the first call to another address, by when all that is listed there counts as told. */
@@ -97,7 +97,7 @@
     private final int longestWaitMs;
     private final SplittableRandom random;
     /** The calls that are out, in the order in which they were sent. */
-    private final List<Call> out = new ArrayList<>(MOST_OUT);
+    private final List<Call> out = new ArrayList<>(MAX_CONCURRENT_CALLS);
     private boolean watching;
     private boolean retriesAtOnce;
     private long lastId;
@@ -148,7 +148,7 @@
     }
 
     /** Discovery is at another address: nothing is known against it, and all calls are given up. */
-    public void moved(double now) {
+    public void addressChanged(double now) {
         giveUpAll();
         heard();
         answerMs = Double.NaN;
@@ -157,7 +157,7 @@
     }
 
     /** A first part of the answer to a call has come. */
-    public void begun(double now, long id) {
+    public void answerStarted(double now, long id) {
         Call call = find(id);
         if (call != null && !call.hasBegun()) {
             call.begunAt = now;
@@ -305,14 +305,14 @@
         }
         Call newest = out.get(out.size() - 1);
         double due = isFull() ? newest.sentAt + fullSpacing() : lateAt(newest);
-        if (newest.hasBegun() && furtherCalls <= MOST_OUT) {
+        if (newest.hasBegun() && furtherCalls <= MAX_CONCURRENT_CALLS) {
             due = Math.min(due, newest.begunAt + (isFull() ? 2 : 1) * stallMs());
         }
         return Math.max(due, retryAt);
     }
 
     private boolean isFull() {
-        return out.size() == MOST_OUT;
+        return out.size() == MAX_CONCURRENT_CALLS;
     }
 
     /**
--- a/src/test/java/cranedeal/node/DoorTest.java
+++ b/src/test/java/cranedeal/node/AdminEndpointTest.java
@@ -14,7 +14,7 @@
 
 /** What operators see at their door, and what their drain does to callers. */
 @Timeout(60)
-class DoorTest {
+class AdminEndpointTest {
 
     private static Stage stage() throws Exception {
         Stage stage = new Stage();
@@ -44,7 +44,7 @@
 
     @Test
     void theFiguresComeAsLines() throws Exception {
-        try (Stage stage = stage(); Peer operator = Peer.to(stage.node.doorAddress())) {
+        try (Stage stage = stage(); Peer operator = Peer.to(stage.node.adminAddress())) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             Peer.Message answer = operator.read();
             assertTrue(answer.body().contains("edge_proxy.concurrent=0\n"), answer.body());
@@ -54,7 +54,7 @@
 
     @Test
     void whatIsNoCallIsTurnedDown() throws Exception {
-        try (Stage stage = stage(); Peer operator = Peer.to(stage.node.doorAddress())) {
+        try (Stage stage = stage(); Peer operator = Peer.to(stage.node.adminAddress())) {
             operator.write("drain\r\n\r\n");
             assertEquals(400, operator.read().status());
             assertEquals(200, health(stage));
@@ -65,8 +65,8 @@
     void callersThatSendNoWholeCallKeepNobodyOut() throws Exception {
         List<Peer> silent = new ArrayList<>();
         try (Stage stage = stage()) {
-            for (int i = 0; i < 3 * Door.CONNECTIONS; i++) {
-                silent.add(Peer.to(stage.node.doorAddress()));
+            for (int i = 0; i < 3 * AdminEndpoint.CONNECTIONS; i++) {
+                silent.add(Peer.to(stage.node.adminAddress()));
                 silent.get(i).write("GET /ops/rea");
             }
             assertEquals(200, stage.order("GET", "/ops/readiness"));
--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -153,7 +153,7 @@
             threads.shutdownNow();
         }
         SlopeReport report = new SlopeReport("discovery", COMMAND, "upstream")
-                .with("watch_ms", DiscoveryClient.LONGEST_WAIT_MS).with("release_ms", RELEASE_MS)
+                .with("watch_ms", DiscoveryClient.MAX_WAIT_MS).with("release_ms", RELEASE_MS)
                 .with("zones", ZONES).with("not_in_it", "TCP and IP headers");
         Map<Integer, List<Double>> points = new LinkedHashMap<>();
         add(report, "whole-list", "bytes", runs, (size, seen) -> seen.whole().bytes());
@@ -224,7 +224,7 @@
             throws Exception {
         AtomicLong told = new AtomicLong();
         DiscoveryClient discovery = loop.submit(() -> new DiscoveryClient(loop, new Clock()::now,
-                config.discoveryStart(), config::parseList, UnpooledByteBufAllocator.DEFAULT,
+                config.discoveryOptions(), config::parseList, UnpooledByteBufAllocator.DEFAULT,
                 new DiscoveryClient.Listener() {
                     @Override
                     public void changed(UpstreamList list) {
--- a/src/test/java/cranedeal/node/DiscoveryReturnTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryReturnTest.java
@@ -62,7 +62,7 @@
         private double wakeAt;
 
         Watcher(long seed) {
-            schedule = new WatchSchedule(this, DiscoveryClient.LONGEST_WAIT_MS, 1, seed);
+            schedule = new WatchSchedule(this, DiscoveryClient.MAX_WAIT_MS, 1, seed);
         }
 
         @Override
--- a/src/test/java/cranedeal/node/DiscoveryTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryTest.java
@@ -69,7 +69,7 @@
             started();
             Peer watch = stage.discovery.accept();
             watch.read();
-            Thread.sleep(DiscoveryClient.LONGEST_WAIT_MS + CROWDED_MS);
+            Thread.sleep(DiscoveryClient.MAX_WAIT_MS + CROWDED_MS);
             watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
             assertEquals(Change.DELTA, Script.next(stage.script.changes));
         }
@@ -191,8 +191,9 @@
             Files.writeString(file, stage.config());
             LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
             NodeConfig config = NodeConfig.read(file.toString());
-            DiscoveryClient discovery = new DiscoveryClient(loop, new Clock()::now, new DiscoveryClient.Start(
-                    config.discovery(), config.known().version(), 1, 100), config::parseList,
+            DiscoveryClient discovery = new DiscoveryClient(loop, new Clock()::now,
+                    new DiscoveryClient.Options(
+                    config.discovery(), config.knownUpstreams().version(), 1, 100), config::parseList,
                     ByteBufAllocator.DEFAULT, new DiscoveryClient.Listener() {
                         @Override
                         public void changed(UpstreamList list) {
--- a/src/test/java/cranedeal/node/DrainTest.java
+++ b/src/test/java/cranedeal/node/DrainTest.java
@@ -135,7 +135,7 @@
             caller.read();
             caller.write(Stage.get("1", "10"));
             // The request lies in the kernel or is at work; either way it must not be lost.
-            assertFalse(stage.node.endDrain());
+            assertFalse(stage.node.closeIdleCallers());
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
             upstream.write(Stage.ok("kept"));
@@ -217,7 +217,7 @@
             caller.write(request.substring(0, request.length() - 2));
             // What the caller wrote before has been read once this one, on the same thread, has its answer.
             stage.settle();
-            assertFalse(stage.node.endDrain());
+            assertFalse(stage.node.closeIdleCallers());
             caller.write(request.substring(request.length() - 2));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
--- a/src/test/java/cranedeal/node/GracefulCloseTest.java
+++ b/src/test/java/cranedeal/node/GracefulCloseTest.java
@@ -107,7 +107,7 @@
                 if (evicted) {
                     takeItsPlace(stage);
                 } else {
-                    stage.node.endDrain();
+                    stage.node.closeIdleCallers();
                 }
                 // It is on its way while the answer still is: a close over it would be a reset.
                 caller.write(Stage.get("2", "10"));
--- a/src/test/java/cranedeal/node/LoopMonitorTest.java
+++ b/src/test/java/cranedeal/node/LoopMonitorTest.java
@@ -22,7 +22,7 @@
     private Runnable read = () -> { };
 
     LoopMonitorTest() {
-        LoopMonitor.around(executor -> new Waiting(), () -> now, made -> monitor = made).newHandler(null);
+        LoopMonitor.wrap(executor -> new Waiting(), () -> now, made -> monitor = made).newHandler(null);
     }
 
     private final class Waiting implements IoHandler {
@@ -71,9 +71,9 @@
     @Test
     void whatComesWhileTheLoopWaitsIsReadAtOnce() {
         wait = () -> now += 4;
-        read = () -> assertEquals(0, monitor.lateness());
+        read = () -> assertEquals(0, monitor.lag());
         look();
-        assertEquals(4, monitor.spare(), EXACT);
+        assertEquals(4, monitor.idleTime(), EXACT);
     }
 
     @Test
@@ -81,9 +81,9 @@
         look();
         now += 200;
         canBlock = false;
-        read = () -> assertEquals(200, monitor.lateness(), EXACT);
+        read = () -> assertEquals(200, monitor.lag(), EXACT);
         look();
-        assertEquals(0, monitor.spare(), EXACT);
+        assertEquals(0, monitor.idleTime(), EXACT);
         assertEquals(200, monitor.takeLongestBusy(), EXACT);
     }
 
@@ -91,15 +91,15 @@
     @Test
     void whatComesWhileTheProcessIsStoppedHasWaited() {
         wait = () -> now += 505;
-        read = () -> assertEquals(500, monitor.lateness(), EXACT);
+        read = () -> assertEquals(500, monitor.lag(), EXACT);
         look();
-        assertEquals(5, monitor.spare(), EXACT);
+        assertEquals(5, monitor.idleTime(), EXACT);
     }
 
     @Test
     void aTimerCountsWhatHasComeSinceTheLastLookAsUnread() {
         look();
         now += 120;
-        assertEquals(120, monitor.lateness(), EXACT);
+        assertEquals(120, monitor.lag(), EXACT);
     }
 }
--- a/src/test/java/cranedeal/node/FiguresTest.java
+++ b/src/test/java/cranedeal/node/NodeMetricsTest.java
@@ -11,7 +11,7 @@
 
 /** Every figure is counted where its event happens. */
 @Timeout(60)
-class FiguresTest {
+class NodeMetricsTest {
 
     private static Map<String, Long> read(Stage stage) {
         return stage.node.stats().lines().map(line -> line.split("="))
@@ -52,8 +52,8 @@
 
     @Test
     void aClassWhoseNameWouldBreakItsLineIsShownAllTheSame() {
-        Figures figures = new Figures();
-        figures.show(List.of("slide=ct.1", "50% off\nnow"));
+        NodeMetrics figures = new NodeMetrics();
+        figures.registerClasses(List.of("slide=ct.1", "50% off\nnow"));
         assertEquals("edge_proxy.success.50%25%20off%0Anow=0",
                 figures.text().lines().findFirst().orElseThrow());
         assertTrue(figures.text().contains("edge_proxy.success.slide%3Dct.1=0\n"), figures.text());
--- a/src/test/java/cranedeal/node/OrdersTest.java
+++ b/src/test/java/cranedeal/node/OperatorOverridesTest.java
@@ -9,20 +9,21 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What operators have ordered outlasts the process, and a damaged file stops nobody. */
-class OrdersTest {
+class OperatorOverridesTest {
 
     @TempDir
     private Path folder;
 
     @Test
     void whatIsWrittenIsReadAgain() throws Exception {
-        assertEquals(Orders.NONE, Orders.read(folder));
-        Orders orders = Orders.NONE.with("s-1", true).with("a b\nc\u0905", true).withDrain(true).withReload();
+        assertEquals(OperatorOverrides.NONE, OperatorOverrides.read(folder));
+        OperatorOverrides orders = OperatorOverrides.NONE.withUpstream("s-1", true)
+                .withUpstream("a b\nc\u0905", true).withDraining(true).withReload();
         orders.write(folder);
-        assertEquals(orders, Orders.read(folder));
-        Orders fewer = orders.with("s-1", false).withDrain(false);
+        assertEquals(orders, OperatorOverrides.read(folder));
+        OperatorOverrides fewer = orders.withUpstream("s-1", false).withDraining(false);
         fewer.write(folder);
-        assertEquals(new Orders(Set.of("a b\nc\u0905"), false, 1), Orders.read(folder));
+        assertEquals(new OperatorOverrides(Set.of("a b\nc\u0905"), false, 1), OperatorOverrides.read(folder));
         try (var files = Files.list(folder)) {
             assertEquals(1, files.count());
         }
@@ -32,8 +33,8 @@
     void aDamagedFileGivesWhatCanBeReadOfIt() throws Exception {
         Files.write(folder.resolve("orders"), new byte[] {'o', 'u', 't', ' ', 's', '\n', -1, 0, '\n',
             'o', 'u', 't', ' ', '%', 'z', '\n', 'd', 'r', '\n', 'r', 'e', 'l', 'o', 'a', 'd', 's', ' ', 'x'});
-        assertEquals(new Orders(Set.of("s", "%z"), false, 0), Orders.read(folder));
+        assertEquals(new OperatorOverrides(Set.of("s", "%z"), false, 0), OperatorOverrides.read(folder));
         Files.write(folder.resolve("orders"), new byte[2 << 20]);
-        assertEquals(Orders.NONE, Orders.read(folder));
+        assertEquals(OperatorOverrides.NONE, OperatorOverrides.read(folder));
     }
 }
--- a/src/test/java/cranedeal/node/PublishedTest.java
+++ b/src/test/java/cranedeal/node/PublishedConfigTest.java
@@ -15,7 +15,7 @@
 
 /** What the fleet publishes lies over a balancer's own file, whole or not at all. */
 @Timeout(60)
-class PublishedTest {
+class PublishedConfigTest {
 
     @TempDir
     private Path folder;
@@ -42,7 +42,7 @@
     @Test
     void aSectionIsInForceUntilItGoesAndAReloadKeepsIt() throws Exception {
         try (Stage stage = stage()) {
-            stage.node.takePublished(section(stage, "tile-order", "tile-view"));
+            stage.node.applyPublished(section(stage, "tile-order", "tile-view"));
             assertTrue(shows(stage, "success.tile-view=0"), stage.node.stats());
             // The file changes, and what was published still goes before it.
             Path file = folder.resolve("config.json");
@@ -52,7 +52,7 @@
             assertTrue(shows(stage, "reload_success=1") && shows(stage, "success.tile-view=0")
                     && shows(stage, "success.look-up=0") && !shows(stage, "success.debit=0"),
                     stage.node.stats());
-            stage.node.takePublished(null);
+            stage.node.applyPublished(null);
             assertTrue(shows(stage, "success.look-over=0") && shows(stage, "success.debit=0"),
                     stage.node.stats());
             Files.writeString(file, stage.config());
@@ -66,9 +66,9 @@
         try (Stage stage = stage()) {
             ObjectNode more = NodeConfig.JSON.createObjectNode();
             more.putObject("settings").putObject("rules").put("maxShare", 0.5);
-            stage.node.takePublished(more);
-            stage.node.takePublished(NodeConfig.JSON.createObjectNode());
-            stage.node.takePublished(null);
+            stage.node.applyPublished(more);
+            stage.node.applyPublished(NodeConfig.JSON.createObjectNode());
+            stage.node.applyPublished(null);
             stage.servesStill();
         }
     }
@@ -76,18 +76,18 @@
     @Test
     void aSectionThatIsWrongInAnyPartChangesNothing() throws Exception {
         try (Stage stage = stage()) {
-            stage.node.takePublished(section(stage, "tile-order", "tile-view"));
+            stage.node.applyPublished(section(stage, "tile-order", "tile-view"));
             ObjectNode bad = (ObjectNode) section(stage, "tile-order", "tile-look");
             ((ObjectNode) bad.get("settings")).putObject("limits").put("attemptsCap", 0);
-            ConfigException e = assertThrows(ConfigException.class, () -> stage.node.takePublished(bad));
+            ConfigException e = assertThrows(ConfigException.class, () -> stage.node.applyPublished(bad));
             assertTrue(e.getMessage().contains("settings.limits.attemptsCap"), e.getMessage());
             ObjectNode fewer = (ObjectNode) section(stage, "tile-order", "tile-look");
             ((ArrayNode) fewer.at("/settings/services")).forEach(one -> ((ObjectNode) one).remove("worth"));
-            e = assertThrows(ConfigException.class, () -> stage.node.takePublished(fewer));
+            e = assertThrows(ConfigException.class, () -> stage.node.applyPublished(fewer));
             assertTrue(e.getMessage().contains("worth is missing"), e.getMessage());
             ObjectNode zones = NodeConfig.JSON.createObjectNode();
             zones.putObject("settings").putArray("zones").add("elsewhere");
-            assertThrows(ConfigException.class, () -> stage.node.takePublished(zones));
+            assertThrows(ConfigException.class, () -> stage.node.applyPublished(zones));
             assertTrue(shows(stage, "success.tile-view=0"), stage.node.stats());
             stage.servesStill();
             assertEquals(0, stage.node.stats().split("tile-look").length - 1);
--- a/src/test/java/cranedeal/node/RetuneTest.java
+++ b/src/test/java/cranedeal/node/ReconfigureTest.java
@@ -13,7 +13,7 @@
 
 /** A configuration that is read again holds as a whole, or not at all. */
 @Timeout(60)
-class RetuneTest {
+class ReconfigureTest {
 
     @TempDir
     private Path folder;
--- a/src/test/java/cranedeal/node/ReloadBenchmark.java
+++ b/src/test/java/cranedeal/node/ReloadBenchmark.java
@@ -44,7 +44,7 @@
         Path file = folder.resolve("config-" + upstreams + "-" + classes + ".json");
         Files.writeString(file, text);
         NodeConfig read = NodeConfig.read(file.toString());
-        if (read.known().members().size() != upstreams || read.classes().size() != classes) {
+        if (read.knownUpstreams().members().size() != upstreams || read.classes().size() != classes) {
             throw new AssertionError("another configuration than was meant: " + read);
         }
         return file;
--- a/src/test/java/cranedeal/node/Stage.java
+++ b/src/test/java/cranedeal/node/Stage.java
@@ -140,7 +140,7 @@
 
     /** An operator's call; the status of its answer. */
     int order(String method, String path) throws IOException {
-        try (Peer operator = Peer.to(node.doorAddress())) {
+        try (Peer operator = Peer.to(node.adminAddress())) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
         }
@@ -182,7 +182,7 @@
             caller.close();
         }
         if (node != null) {
-            node.kill();
+            node.shutdownNow();
         }
         for (Listener upstream : upstreams) {
             upstream.close();
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -31,7 +31,7 @@
     }
 
     private static String stats(Stage stage) throws Exception {
-        try (Peer operator = Peer.to(stage.node.doorAddress())) {
+        try (Peer operator = Peer.to(stage.node.adminAddress())) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body();
         }
@@ -78,7 +78,7 @@
             assertEquals(503, stage.order("GET", "/ops/readiness"));
             assertEquals(200, stage.order("PUT", "/ops/drain/stop"));
             assertEquals(200, stage.order("GET", "/ops/readiness"));
-            assertTrue(stage.script.banned.contains(UpstreamList.number(id(0))), "the module is told");
+            assertTrue(stage.script.banned.contains(UpstreamList.numericId(id(0))), "the module is told");
             assertEquals(1, stage.script.banned.size());
             assertTrue(stats(stage).contains("orders_unknown=0"));
         }
@@ -87,21 +87,22 @@
     @Test
     void theOrdersOfAnUpgradesFolderAreTakenOverOnce() throws Exception {
         Path old = Files.createDirectory(folder.resolve("tmp"));
-        new Orders(Set.of(id(1)), false, 3).write(old);
-        OrderBook book = Fleet.ordersIn(folder.resolve("state"), old);
-        assertEquals(Set.of(id(1)), book.read().out());
-        assertEquals(Set.of(id(0), id(1)), book.change(orders -> orders.with(id(0), true)).out());
-        new Orders(Set.of("another"), false, 9).write(old);
-        assertEquals(Set.of(id(0), id(1)), book.read().out());
+        new OperatorOverrides(Set.of(id(1)), false, 3).write(old);
+        OverrideStore book = Fleet.overrideStore(folder.resolve("state"), old);
+        assertEquals(Set.of(id(1)), book.read().disabledUpstreams());
+        assertEquals(Set.of(id(0), id(1)),
+                book.change(orders -> orders.withUpstream(id(0), true)).disabledUpstreams());
+        new OperatorOverrides(Set.of("another"), false, 9).write(old);
+        assertEquals(Set.of(id(0), id(1)), book.read().disabledUpstreams());
     }
 
     @Test
     void manyChangesLeaveASmallFolderAndTheLastOfThem() throws Exception {
-        OrderBook book = Fleet.ordersIn(folder, null);
+        OverrideStore book = Fleet.overrideStore(folder, null);
         for (int i = 0; i < 1_000; i++) {
             String id = "s-" + i % 7;
             boolean banned = i % 3 != 0;
-            Orders changed = book.change(orders -> orders.with(id, banned).withReload());
+            OperatorOverrides changed = book.change(orders -> orders.withUpstream(id, banned).withReload());
             assertEquals(i + 1, changed.reloads());
         }
         assertEquals(1_000, book.read().reloads());
--- a/src/test/java/cranedeal/node/UpgradeTest.java
+++ b/src/test/java/cranedeal/node/UpgradeTest.java
@@ -153,7 +153,7 @@
 
     @Test
     void anyThreadMayAskForASuccessor() throws Exception {
-        Succession processes = Succession.join(folder);
+        ProcessHandover processes = ProcessHandover.join(folder);
         List<CompletableFuture<Boolean>> asked = new ArrayList<>();
         for (int thread = 0; thread < 4; thread++) {
             asked.add(CompletableFuture.supplyAsync(() -> {
--- a/src/test/java/cranedeal/node/UpstreamClientTest.java
+++ b/src/test/java/cranedeal/node/UpstreamClientTest.java
@@ -427,14 +427,14 @@
             Files.writeString(file, stage.config());
             NodeConfig config = NodeConfig.read(file.toString());
             UpstreamClient client = new UpstreamClient(loop, new Clock(), () -> 0, config.settings(),
-                    new Sockets(1_024), new Figures(), ByteBufAllocator.DEFAULT);
+                    new Sockets(1_024), new NodeMetrics(), ByteBufAllocator.DEFAULT);
             String draining = Stage.entry(0, "127.0.0.1:1", "draining");
             String up = Stage.entry(1, "127.0.0.1:2", "up");
             for (String list : new String[] {Stage.roster(1, true, draining, up),
                 full ? Stage.roster(2, true, up)
                         : Stage.roster(2, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")}) {
                 UpstreamList update = UpstreamList.parse(NodeConfig.JSON.readTree(list), config.zones(),
-                        config.kinds());
+                        config.machineTypes());
                 loop.submit(() -> client.update(update)).sync();
             }
             long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.PATIENCE_MS);
--- a/src/test/java/cranedeal/node/VirtualLoop.java
+++ b/src/test/java/cranedeal/node/VirtualLoop.java
@@ -129,7 +129,7 @@
     }
 
     private double late(double since) {
-        return now - since > LoopMonitor.LATE_MS ? now - since : 0;
+        return now - since > LoopMonitor.LATE_THRESHOLD_MS ? now - since : 0;
     }
 
     private static double first(PriorityQueue<Event> events) {
--- a/src/test/java/cranedeal/node/LearntFileTest.java
+++ b/src/test/java/cranedeal/node/WarmStateFileTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What was learnt is read as it was written, or not at all. */
-class LearntFileTest {
+class WarmStateFileTest {
 
     @TempDir
     private Path folder;
@@ -30,24 +30,25 @@
                 new double[] {id, 0.1});
     }
 
-    private static LearntFile.Kept kept(int upstreams) {
-        return new LearntFile.Kept(1e12 + 0.5, new Learnt(List.of(new OfClass("look \"up\"", 7, 0, 2.5),
+    private static WarmStateFile.Snapshot kept(int upstreams) {
+        return new WarmStateFile.Snapshot(1e12 + 0.5,
+                new Learnt(List.of(new OfClass("look \"up\"", 7, 0, 2.5),
                 new OfClass("book", 1e-9, 3, 10)), IntStream.range(0, upstreams)
-                        .mapToObj(LearntFileTest::upstream).toList()));
+                        .mapToObj(WarmStateFileTest::upstream).toList()));
     }
 
     @Test
     void noFlippedByteAndNoLengthButTheWholeIsTrusted() throws IOException {
-        LearntFile file = new LearntFile(folder.resolve("made"));
+        WarmStateFile file = new WarmStateFile(folder.resolve("made"));
         assertNull(file.read());
         file.write(kept(1));
         file.write(kept(2));
-        LearntFile.Kept read = file.read();
-        assertEquals(kept(2).at(), read.at());
-        assertEquals(kept(2).learnt().classes(), read.learnt().classes());
-        assertEquals(-4, read.learnt().upstreams().get(1).id());
-        assertEquals(18.5, read.learnt().upstreams().get(1).startedAt());
-        assertArrayEquals(new double[] {1, 0.1}, read.learnt().upstreams().get(1).tries());
+        WarmStateFile.Snapshot read = file.read();
+        assertEquals(kept(2).savedAt(), read.savedAt());
+        assertEquals(kept(2).state().classes(), read.state().classes());
+        assertEquals(-4, read.state().upstreams().get(1).id());
+        assertEquals(18.5, read.state().upstreams().get(1).startedAt());
+        assertArrayEquals(new double[] {1, 0.1}, read.state().upstreams().get(1).tries());
         Path path = folder.resolve("made/learnt");
         byte[] whole = Files.readAllBytes(path);
         for (int at = 0; at < whole.length; at++) {
@@ -62,7 +63,7 @@
 
     @Test
     void aLaterFormAndNumbersThatAreNoneAreRefused() throws IOException {
-        LearntFile file = new LearntFile(folder);
+        WarmStateFile file = new WarmStateFile(folder);
         file.write(kept(1));
         String json = Files.readString(folder.resolve("learnt")).substring(9);
         for (String wrong : List.of(json.replace("\"form\":1", "\"form\":2"),
@@ -74,18 +75,18 @@
             Files.writeString(folder.resolve("learnt"), String.format("%08x\n", sum.getValue()) + wrong);
             assertThrows(IOException.class, file::read, wrong);
         }
-        assertNull(new LearntKeeper(file, new Clock()).read(), "it is only told of");
-        file.write(new LearntFile.Kept(new Clock().now() + 1e7, kept(1).learnt()));
-        assertNull(new LearntKeeper(file, new Clock()).read(), "the clock went back");
+        assertNull(new WarmStateSaver(file, new Clock()).read(), "it is only told of");
+        file.write(new WarmStateFile.Snapshot(new Clock().now() + 1e7, kept(1).state()));
+        assertNull(new WarmStateSaver(file, new Clock()).read(), "the clock went back");
     }
 
     @Test
     void ofManyUpstreamsThoseAreKeptThatMostIsKnownOf() throws IOException {
-        LearntFile file = new LearntFile(folder);
+        WarmStateFile file = new WarmStateFile(folder);
         file.write(kept(100_000));
-        List<OfUpstream> read = file.read().learnt().upstreams();
-        assertEquals(LearntFile.MOST_UPSTREAMS, read.size());
-        assertEquals(100_000 - LearntFile.MOST_UPSTREAMS,
+        List<OfUpstream> read = file.read().state().upstreams();
+        assertEquals(WarmStateFile.MAX_UPSTREAMS, read.size());
+        assertEquals(100_000 - WarmStateFile.MAX_UPSTREAMS,
                 read.stream().mapToDouble(OfUpstream::servedInAll).min().orElseThrow());
     }
 }
--- a/src/test/java/cranedeal/node/WholeListTest.java
+++ b/src/test/java/cranedeal/node/WholeListTest.java
@@ -149,7 +149,7 @@
                 }
                 assertEquals(Change.FULL, Script.next(stage.script.changes));
                 assertEquals(1, stage.script.upstreams.size());
-                assertEquals(UpstreamList.number("s-00000001"), stage.script.upstreams.get(0).id());
+                assertEquals(UpstreamList.numericId("s-00000001"), stage.script.upstreams.get(0).id());
                 // The next call goes on from there.
                 Peer next = ends ? stage.discovery.accept() : watch;
                 assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", next.read().first());
--- a/src/test/java/cranedeal/node/discovery/DiscoveryFiguresTest.java
+++ b/src/test/java/cranedeal/node/discovery/DiscoveryMetricsTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What operators are told of the list's age and of the calls. */
-class DiscoveryFiguresTest {
+class DiscoveryMetricsTest {
 
     private double now = 1_000;
     private final List<String> log = new ArrayList<>();
-    private final DiscoveryFigures figures = new DiscoveryFigures(() -> now, 41, log::add);
+    private final DiscoveryMetrics figures = new DiscoveryMetrics(() -> now, 41, log::add);
 
     private long figure(String name) {
         return figures.values().get(name);
--- a/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
+++ b/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
@@ -189,7 +189,7 @@
 
         private void begun(long id) {
             if (open.containsKey(id)) {
-                schedule.begun(now, id);
+                schedule.answerStarted(now, id);
             }
         }
 
--- a/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
+++ b/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
@@ -30,7 +30,7 @@
                 assertTrue(at <= latest || discovery.now() < latest, shown + ": version " + version + " of "
                         + changedAt + " in force at " + at + ", process from " + watcher.startedAt);
             }
-            assertTrue(watcher.mostOut <= WatchSchedule.MOST_OUT, shown);
+            assertTrue(watcher.mostOut <= WatchSchedule.MAX_CONCURRENT_CALLS, shown);
         }
     }
 
@@ -155,7 +155,8 @@
                     last = Math.max(steadyFrom, at);
                 }
                 longest = Math.max(longest, discovery.now() - last) / roundMs;
-                assertTrue(longest <= WatchSchedule.MOST_OUT, processes + " processes, " + callS + " s, seed "
+                assertTrue(longest <= WatchSchedule.MAX_CONCURRENT_CALLS,
+                        processes + " processes, " + callS + " s, seed "
                         + seed + ": not heard for " + longest + " rounds");
             }
         }
@@ -286,9 +287,9 @@
     void anotherAddressIsCalledAtOnceAndTheOldCallsAreGivenUp() {
         schedule.watch(0, true);
         schedule.failed(1, 1);
-        schedule.moved(2);
+        schedule.addressChanged(2);
         assertEquals("call 2 41 2500", recorder.actions.get(1));
-        schedule.moved(3);
+        schedule.addressChanged(3);
         assertEquals(List.of("giveUp 2 STOPPED", "call 3 41 2500"), recorder.actions.subList(2, 4));
         schedule.watch(4, false);
         assertEquals("giveUp 3 STOPPED", recorder.actions.get(4));
