--- a/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
+++ b/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
@@ -71,7 +71,7 @@
         Coordinator coordinator;
         try {
             Settings settings = new Settings(given.path("probe_period_ms").asDouble(USUAL_PERIOD_MS),
-                    Settings.USUAL.forgetMs(), Settings.USUAL.mostMembers(), true, true);
+                    Settings.DEFAULTS.forgetMs(), Settings.DEFAULTS.maxMembers(), true, true);
             String of = text(given, "fleet", fleet, null);
             Member.requireName(of);
             Member.requireName(own);
--- a/src/main/java/cranedeal/fleet/config/ConfigDocument.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigDocument.java
@@ -21,8 +21,8 @@
 public final class ConfigDocument {
 
     /** The most bytes of one section, and of all. */
-    public static final int MOST_SECTION = 256 << 10;
-    public static final int MOST_BYTES = 2 << 20;
+    public static final int MAX_SECTION_BYTES = 256 << 10;
+    public static final int MAX_DOCUMENT_BYTES = 2 << 20;
     private static final int FORM = 1;
     private static final int MOST_SERVICES = 256;
     private static final Set<String> KEYS = Set.of("settings", "discovery");
@@ -47,8 +47,8 @@
 
     /** The sections by service, each in one form of its bytes; throws if any of it is wrong. */
     public static SortedMap<String, byte[]> parse(byte[] bytes) throws BadDocumentException {
-        if (bytes.length > MOST_BYTES) {
-            throw new BadDocumentException("it has " + bytes.length + " bytes, and " + MOST_BYTES
+        if (bytes.length > MAX_DOCUMENT_BYTES) {
+            throw new BadDocumentException("it has " + bytes.length + " bytes, and " + MAX_DOCUMENT_BYTES
                     + " are the most");
         }
         Map<String, Integer> lines = lines(bytes);
@@ -112,8 +112,8 @@
         }
         try {
             byte[] bytes = JSON.writeValueAsBytes(section);
-            if (bytes.length > MOST_SECTION) {
-                throw wrong(lines, path, "has " + bytes.length + " bytes, and " + MOST_SECTION
+            if (bytes.length > MAX_SECTION_BYTES) {
+                throw wrong(lines, path, "has " + bytes.length + " bytes, and " + MAX_SECTION_BYTES
                         + " are the most");
             }
             return bytes;
--- a/src/main/java/cranedeal/fleet/config/ConfigFollower.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigFollower.java
@@ -51,7 +51,7 @@
             double patienceMs, double backoffMs, double mostBackoffMs, double burst, double callsPerS) {
 
         /** Usual settings. */
-        public static Settings usual(String service, String zone) {
+        public static Settings defaults(String service, String zone) {
             return new Settings(service, zone, 10_000, 100, 1_000, 2_000, 200, 3_000, 20, 2);
         }
     }
@@ -90,7 +90,7 @@
     }
 
     /** What it has come to, for its figures. */
-    public record Figures(VersionId held, VersionId inForce, long calls, long failures, long damaged,
+    public record Stats(VersionId held, VersionId inForce, long calls, long failures, long damaged,
             boolean refused) { }
 
     private final Settings settings;
@@ -176,8 +176,8 @@
         return null;
     }
 
-    Figures figures() {
-        return new Figures(held(), state.inForce(), call, failures, damaged,
+    Stats stats() {
+        return new Stats(held(), state.inForce(), call, failures, damaged,
                 state.refusal() != null);
     }
 
--- a/src/main/java/cranedeal/fleet/config/ConfigMember.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigMember.java
@@ -39,14 +39,14 @@
     static final int CALL_BYTES = 350;
 
     /** Whether a section can be gone by. */
-    public interface Trial {
+    public interface SectionApplier {
 
         /**
          * Tries a section whole, and goes by it from then on if it can; null is for none, so that only what
          * the process has of its own counts. May take its time. Throws {@link RefusedException}, and then
          * all is as before.
          */
-        void tryOut(byte[] section) throws RefusedException;
+        void apply(byte[] section) throws RefusedException;
     }
 
     /** A section can't be gone by. */
@@ -67,10 +67,10 @@
     }
 
     /** Where a member keeps what it has; either may wait for a disk. */
-    public interface Book {
+    public interface StateStore {
 
         /** Keeps nothing. */
-        Book NONE = new Book() {
+        StateStore NONE = new StateStore() {
 
             @Override
             public byte[] read() {
@@ -92,8 +92,8 @@
 
     private final FleetMember member;
     private final ConfigFollower.Settings settings;
-    private final Book book;
-    private final Trial trial;
+    private final StateStore book;
+    private final SectionApplier trial;
     private final Executor executor;
     private final ConfigFollower follower;
     private final TokenBucket served = servingBudget();
@@ -101,7 +101,8 @@
     private boolean started;
 
     /** The same with a thread of its own, which is there only while there is something to do. */
-    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, Book book, Trial trial,
+    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore book,
+            SectionApplier trial,
             long seed) {
         this(member, settings, book, trial, seed, ownThread());
     }
@@ -112,7 +113,8 @@
      * @param seed of whatever is drawn, which must be another one in each process
      * @param executor does one thing at a time, in order
      */
-    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, Book book, Trial trial,
+    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore book,
+            SectionApplier trial,
             long seed, Executor executor) {
         this.member = member;
         this.settings = settings;
@@ -155,7 +157,7 @@
     }
 
     @Override
-    public void begun() {
+    public void started() {
         advertise(follower.held());
     }
 
@@ -184,7 +186,7 @@
     }
 
     @Override
-    public void noticed(Member from, VersionNotice notice) {
+    public void noticeReceived(Member from, VersionNotice notice) {
         follower.noticed(member.now(), from.address(), notice);
         arm();
     }
@@ -226,8 +228,8 @@
     }
 
     @Override
-    public Map<String, Long> figures() {
-        ConfigFollower.Figures of = follower.figures();
+    public Map<String, Long> metrics() {
+        ConfigFollower.Stats of = follower.stats();
         Map<String, Long> figures = new LinkedHashMap<>();
         figures.put("fleet.config.epoch", of.inForce().epoch());
         figures.put("fleet.config.number", of.inForce().number());
@@ -279,7 +281,7 @@
             executor.execute(() -> {
                 FollowerState.Refusal refusal = null;
                 try {
-                    trial.tryOut(section);
+                    trial.apply(section);
                 } catch (RefusedException e) {
                     refusal = new FollowerState.Refusal(e.key, e.getMessage());
                 } catch (RuntimeException e) {
@@ -309,7 +311,7 @@
 
         @Override
         public Collection<InetSocketAddress> coordinators() {
-            return member.present(Coordinator.ROLE).stream().map(Member::address).toList();
+            return member.presentMembers(Coordinator.ROLE).stream().map(Member::address).toList();
         }
 
         @Override
--- a/src/main/java/cranedeal/fleet/config/Coordinator.java
+++ b/src/main/java/cranedeal/fleet/config/Coordinator.java
@@ -6,7 +6,7 @@
 import cranedeal.fleet.membership.Extension;
 import cranedeal.fleet.membership.FleetMember;
 import cranedeal.fleet.membership.Member;
-import cranedeal.fleet.membership.PeerBook;
+import cranedeal.fleet.membership.PeerStore;
 import cranedeal.fleet.membership.VersionNotice;
 import cranedeal.fleet.store.FolderDisk;
 import cranedeal.fleet.store.KeptValue;
@@ -75,7 +75,7 @@
         Files.createDirectories(folder.resolve("config"));
         store = new LogStore(new FolderDisk(folder.resolve("config")), LOG::warning);
         KeptValue known = new KeptValue(folder.resolve("members"), LOG::warning);
-        member = new FleetMember(config, new PeerBook() {
+        member = new FleetMember(config, new PeerStore() {
 
             @Override
             public byte[] read() throws IOException {
@@ -210,18 +210,18 @@
     }
 
     @Override
-    public void begun() {
+    public void started() {
         advertise();
         onLog(() -> log.start(member.now()));
     }
 
     @Override
-    public void noticed(Member from, VersionNotice notice) {
+    public void noticeReceived(Member from, VersionNotice notice) {
         // What it has comes from the other coordinators alone.
     }
 
     @Override
-    public Map<String, Long> figures() {
+    public Map<String, Long> metrics() {
         Version version = current;
         Map<String, Long> figures = new HashMap<>();
         figures.put("fleet.config.epoch", version == null ? 0 : version.id().epoch());
--- a/src/main/java/cranedeal/fleet/membership/Actions.java
+++ b/src/main/java/cranedeal/fleet/membership/Actions.java
@@ -17,13 +17,13 @@
      * @param before null for a member that was not known
      * @param now null for one that is forgotten
      */
-    void changed(Member before, Member now);
+    void memberChanged(Member before, Member now);
 
     /** This member reaches less than half of those it knows, or does again. */
-    void isolated(boolean isIsolated);
+    void isolationChanged(boolean isIsolated);
 
     /** A member tells, itself, of the configuration that it has; may be called often with the same. */
-    default void noticed(Member from, VersionNotice notice) {
+    default void noticeReceived(Member from, VersionNotice notice) {
         // Who has none of it need not know.
     }
 
--- a/src/main/java/cranedeal/fleet/membership/Codec.java
+++ b/src/main/java/cranedeal/fleet/membership/Codec.java
@@ -51,15 +51,15 @@
     }
 
     /** How many bytes an item of news takes in a message, at most. */
-    static int size(News news) {
+    static int size(MemberUpdate news) {
         Member member = news.member();
         return ITEM + member.name().length() + member.role().length() + member.version().length()
-                + news.by().length();
+                + news.suspectedBy().length();
     }
 
     /** How many bytes a message without its news takes, at most. */
     static int headSize(String fleet, String to, Member from) {
-        return HEAD + fleet.length() + to.length() + size(new News(from, ""));
+        return HEAD + fleet.length() + to.length() + size(new MemberUpdate(from, ""));
     }
 
     /** How many bytes a notice takes in a message, at most. */
@@ -73,14 +73,14 @@
             json.writeStartObject();
             writeHead(json);
             json.writeStringField("t", message.kind().name().toLowerCase(Locale.ROOT));
-            json.writeNumberField("n", message.number());
-            json.writeStringField("to", message.to());
-            if (message.at() != null) {
-                json.writeStringField("at", text(message.at()));
+            json.writeNumberField("n", message.sequence());
+            json.writeStringField("to", message.target());
+            if (message.targetAddress() != null) {
+                json.writeStringField("at", text(message.targetAddress()));
             }
             json.writeNumberField("d", message.digest());
             json.writeFieldName("m");
-            write(json, new News(message.from(), ""));
+            write(json, new MemberUpdate(message.from(), ""));
             VersionNotice notice = message.notice();
             if (notice != null) {
                 json.writeArrayFieldStart("c");
@@ -91,7 +91,7 @@
                 json.writeEndArray();
             }
             json.writeArrayFieldStart("news");
-            for (News news : message.news()) {
+            for (MemberUpdate news : message.updates()) {
                 write(json, news);
             }
             json.writeEndArray();
@@ -108,7 +108,7 @@
             writeHead(json);
             json.writeArrayFieldStart("members");
             for (Member member : members) {
-                write(json, new News(member, ""));
+                write(json, new MemberUpdate(member, ""));
             }
             json.writeEndArray();
             json.writeEndObject();
@@ -121,7 +121,7 @@
         json.writeStringField("f", fleet);
     }
 
-    private static void write(JsonGenerator json, News news) throws IOException {
+    private static void write(JsonGenerator json, MemberUpdate news) throws IOException {
         Member member = news.member();
         json.writeStartArray();
         json.writeString(member.name());
@@ -131,8 +131,8 @@
         json.writeNumber(member.instance());
         json.writeNumber(member.incarnation());
         json.writeNumber(member.state().ordinal());
-        if (!news.by().isEmpty()) {
-            json.writeString(news.by());
+        if (!news.suspectedBy().isEmpty()) {
+            json.writeString(news.suspectedBy());
         }
         json.writeEndArray();
     }
@@ -142,7 +142,7 @@
         JsonNode root = root(bytes);
         try {
             Message.Kind kind = Message.Kind.valueOf(root.path("t").asText().toUpperCase(Locale.ROOT));
-            List<News> news = new ArrayList<>();
+            List<MemberUpdate> news = new ArrayList<>();
             for (JsonNode item : root.path("news")) {
                 news.add(news(item));
             }
@@ -200,7 +200,7 @@
         return root;
     }
 
-    private static News news(JsonNode item) {
+    private static MemberUpdate news(JsonNode item) {
         JsonNode state = item.path(6);
         JsonNode incarnation = item.path(5);
         if (!state.isInt() || state.intValue() < 0 || state.intValue() >= State.values().length
@@ -214,7 +214,7 @@
         if (!by.isEmpty()) {
             Member.requireName(by);
         }
-        return new News(member, by);
+        return new MemberUpdate(member, by);
     }
 
     private static String shown(JsonNode item) {
--- a/src/main/java/cranedeal/fleet/membership/Extension.java
+++ b/src/main/java/cranedeal/fleet/membership/Extension.java
@@ -10,10 +10,10 @@
     void starting();
 
     /** The member has its address, and takes part. */
-    void begun();
+    void started();
 
     /** Another member tells, itself, of the configuration that it has. */
-    void noticed(Member from, VersionNotice notice);
+    void noticeReceived(Member from, VersionNotice notice);
 
     /**
      * Answers a call; null if there is no such call.
@@ -23,5 +23,5 @@
     CompletionStage<CallReply> answer(String method, String uri, byte[] body);
 
     /** The figures by their names. */
-    Map<String, Long> figures();
+    Map<String, Long> metrics();
 }
--- a/src/main/java/cranedeal/fleet/membership/FleetMember.java
+++ b/src/main/java/cranedeal/fleet/membership/FleetMember.java
@@ -58,7 +58,7 @@
     private static final long LINES_MS = 10_000;
 
     private final Config config;
-    private final PeerBook book;
+    private final PeerStore book;
     private final Codec codec;
     private final EventLoop loop;
     private final Executor disk;
@@ -104,22 +104,22 @@
     public record CallLimits(int connections, int bodyBytes, long patienceMs) {
 
         /** Usual limits. */
-        public static final CallLimits USUAL = new CallLimits(16, 1 << 20, 2_000);
+        public static final CallLimits DEFAULTS = new CallLimits(16, 1 << 20, 2_000);
     }
 
     /** A member that has not started, on a loop and a disk's thread of its own. */
-    public FleetMember(Config config, PeerBook book) {
-        this(config, book, CallLimits.USUAL);
+    public FleetMember(Config config, PeerStore book) {
+        this(config, book, CallLimits.DEFAULTS);
     }
 
     /** The same with other limits. */
-    public FleetMember(Config config, PeerBook book, CallLimits limits) {
+    public FleetMember(Config config, PeerStore book, CallLimits limits) {
         this(config, book, limits, (EventLoop) new MultiThreadIoEventLoopGroup(1,
                 new DefaultThreadFactory("member", true), NioIoHandler.newFactory()).next(),
                 Executors.newSingleThreadExecutor(new DefaultThreadFactory("member-disk", true)));
     }
 
-    private FleetMember(Config config, PeerBook book, CallLimits limits, EventLoop loop,
+    private FleetMember(Config config, PeerStore book, CallLimits limits, EventLoop loop,
             ExecutorService disk) {
         this(config, book, limits, loop, disk, disk::shutdown);
     }
@@ -128,11 +128,11 @@
      * A member that has not started, beside others of its process on one loop. Neither that nor what writes
      * to the disk ends with it.
      */
-    public FleetMember(Config config, PeerBook book, EventLoop loop, Executor disk) {
-        this(config, book, CallLimits.USUAL, loop, disk, () -> { });
+    public FleetMember(Config config, PeerStore book, EventLoop loop, Executor disk) {
+        this(config, book, CallLimits.DEFAULTS, loop, disk, () -> { });
     }
 
-    private FleetMember(Config config, PeerBook book, CallLimits limits, EventLoop loop, Executor disk,
+    private FleetMember(Config config, PeerStore book, CallLimits limits, EventLoop loop, Executor disk,
             Runnable release) {
         this.config = config;
         this.book = book;
@@ -171,7 +171,7 @@
     }
 
     /** Those of a role that are present in its view; on its loop. */
-    public List<Member> present(String role) {
+    public List<Member> presentMembers(String role) {
         return core == null ? List.of() : core.seen(now()).stream().map(Membership.Seen::member)
                 .filter(member -> member.role().equals(role) && member.state().isPresent()).toList();
     }
@@ -229,7 +229,7 @@
     }
 
     /** The figures by their names, at most half a second old. */
-    public Map<String, Long> figures() {
+    public Map<String, Long> metrics() {
         return figures;
     }
 
@@ -316,14 +316,14 @@
         long incarnation = 1 + before.stream().filter(member -> member.name().equals(config.name()))
                 .mapToLong(Member::incarnation).max().orElse(0);
         core = new Membership(new Member(config.name(), config.advertise(), config.seed(),
-                Math.min(incarnation, Member.HIGHEST_INCARNATION / 2), State.ALIVE, config.role(),
+                Math.min(incarnation, Member.MAX_INCARNATION / 2), State.ALIVE, config.role(),
                 config.version()), config.fleet(), config.settings(), config.seed(), new Sending());
         core.start(now(), config.seeds(), before);
         LOG.info("is " + config.name() + " of the fleet " + config.fleet() + " at "
                 + Codec.text(config.advertise()));
         arm();
         if (extension != null) {
-            extension.begun();
+            extension.started();
         }
     }
 
@@ -400,7 +400,7 @@
         }
 
         @Override
-        public void changed(Member before, Member now) {
+        public void memberChanged(Member before, Member now) {
             if (before == null || now == null || before.state() != now.state()) {
                 persistDue = true;
                 boolean suspicion = now != null && before != null && before.state().isPresent()
@@ -414,7 +414,7 @@
         }
 
         @Override
-        public void isolated(boolean isIsolated) {
+        public void isolationChanged(boolean isIsolated) {
             if (isIsolated) {
                 LOG.warning("is isolated: reaches less than half of the members it knows; serves on, and"
                         + " starts nothing new");
@@ -424,9 +424,9 @@
         }
 
         @Override
-        public void noticed(Member from, VersionNotice notice) {
+        public void noticeReceived(Member from, VersionNotice notice) {
             if (extension != null) {
-                extension.noticed(from, notice);
+                extension.noticeReceived(from, notice);
             }
         }
 
@@ -480,7 +480,7 @@
     private void publish() {
         Map<String, Long> now = new LinkedHashMap<>();
         if (core != null) {
-            Membership.Figures of = core.figures();
+            Membership.Stats of = core.stats();
             now.put("fleet.members", (long) of.members());
             now.put("fleet.suspect", (long) of.suspects());
             now.put("fleet.faulty", (long) of.faulty());
@@ -498,7 +498,7 @@
         now.put("fleet.syncs", calls.syncs());
         now.put("fleet.calls_refused", calls.refused());
         if (extension != null) {
-            now.putAll(extension.figures());
+            now.putAll(extension.metrics());
         }
         now.put("fleet.call_bytes_sent", calls.bytesSent());
         now.put("fleet.call_bytes_received", calls.bytesReceived());
--- a/src/main/java/cranedeal/fleet/membership/NewsQueue.java
+++ b/src/main/java/cranedeal/fleet/membership/GossipQueue.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /** News that goes out with datagrams: each a bounded number of times, the least told first. */
-final class NewsQueue {
+final class GossipQueue {
 
     /** Beyond this what was told most often is dropped; a full exchange makes up for it. */
     static final int MOST = 256;
 
-    private record Item(News news, boolean important, int sends, long number) { }
+    private record Item(MemberUpdate news, boolean important, int sends, long number) { }
 
     private static final Comparator<Item> LEAST_TOLD = Comparator.comparingInt(Item::sends)
             .thenComparing(Item::important, Comparator.reverseOrder())
@@ -28,7 +28,7 @@
      *
      * @param important whether it is to reach everybody by this way
      */
-    void add(News news, boolean important) {
+    void add(MemberUpdate news, boolean important) {
         put(new Item(news, important, 0, count++));
         if (items.size() > MOST) {
             remove(items.last());
@@ -40,7 +40,7 @@
     }
 
     /** Takes what fits into so many bytes, in a fleet of so many members. */
-    List<News> take(int bytes, int members) {
+    List<MemberUpdate> take(int bytes, int members) {
         List<Item> taken = new ArrayList<>();
         int left = bytes;
         for (Item item : items) {
@@ -51,7 +51,7 @@
             left -= size;
             taken.add(item);
         }
-        List<News> news = new ArrayList<>(taken.size());
+        List<MemberUpdate> news = new ArrayList<>(taken.size());
         for (Item item : taken) {
             news.add(item.news());
             if (item.sends() + 1 < Settings.sends(members, item.important())) {
--- a/src/main/java/cranedeal/fleet/membership/Member.java
+++ b/src/main/java/cranedeal/fleet/membership/Member.java
@@ -17,7 +17,7 @@
         String role, String version) {
 
     /** The highest incarnation, which JSON's numbers still hold exactly. */
-    public static final long HIGHEST_INCARNATION = (1L << 53) - 1;
+    public static final long MAX_INCARNATION = (1L << 53) - 1;
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     private static final Pattern WORD = Pattern.compile("[A-Za-z0-9._+-]{1,32}");
 
@@ -27,7 +27,7 @@
         if (address == null || address.isUnresolved() || address.getPort() == 0) {
             throw new IllegalArgumentException("no address of a member: " + address);
         }
-        if (incarnation < 0 || incarnation > HIGHEST_INCARNATION) {
+        if (incarnation < 0 || incarnation > MAX_INCARNATION) {
             throw new IllegalArgumentException("an incarnation of " + incarnation);
         }
         if (!WORD.matcher(role).matches() || !WORD.matcher(version).matches()) {
--- a/src/main/java/cranedeal/fleet/membership/Membership.java
+++ b/src/main/java/cranedeal/fleet/membership/Membership.java
@@ -58,7 +58,7 @@
     private final SplittableRandom random;
     private final View view;
     private final Timers timers = new Timers();
-    private final NewsQueue news = new NewsQueue();
+    private final GossipQueue news = new GossipQueue();
     private final LocalHealth health;
     private final Map<Long, Probe> probes = new HashMap<>();
     private final Map<Long, Relay> relays = new HashMap<>();
@@ -105,7 +105,7 @@
     }
 
     /** What a member has come to, for its figures. */
-    public record Figures(int members, int suspects, int faulty, boolean isolated, int agreeing, long refused,
+    public record Stats(int members, int suspects, int faulty, boolean isolated, int agreeing, long refused,
             long declaredFaulty, int health) { }
 
     /**
@@ -131,7 +131,7 @@
         heardAt = time;
         seeds.addAll(new LinkedHashSet<>(given));
         for (Member known : lastKnown) {
-            if (!known.name().equals(self.name()) && view.size() < settings.mostMembers()) {
+            if (!known.name().equals(self.name()) && view.size() < settings.maxMembers()) {
                 // Any word of it is newer than this.
                 view.add(new Member(known.name(), known.address(), 0, 0, State.FAULTY, known.role(),
                         known.version()), now);
@@ -173,7 +173,7 @@
             case ACK -> acknowledged(message);
             case ASK -> relay(source, message);
             case NACK -> {
-                Probe probe = probes.get(message.number());
+                Probe probe = probes.get(message.sequence());
                 if (probe != null) {
                     probe.nacks++;
                 }
@@ -191,13 +191,13 @@
         begin(time);
         for (Member member : theirs) {
             if (!over) {
-                take(News.of(member, member.name()), false);
+                take(MemberUpdate.of(member, member.name()), false);
             }
         }
     }
 
     /** Takes others for members as if it had always known them; for simulations. */
-    public void know(double time, Collection<Member> others) {
+    public void addKnownMembers(double time, Collection<Member> others) {
         begin(time);
         others.stream().filter(member -> !member.name().equals(self.name()))
                 .forEach(member -> view.add(member, now));
@@ -221,7 +221,7 @@
             return;
         }
         self = self.in(State.LEFT);
-        news.add(new News(self, ""), true);
+        news.add(new MemberUpdate(self, ""), true);
         int told = Settings.sends(view.present() + 1, true);
         view.some(told, null).forEach(entry -> send(Message.Kind.NEWS, 0, "", null, entry));
         stop();
@@ -272,7 +272,7 @@
     }
 
     /** How many members are present in the view, with this one. */
-    public int present() {
+    public int presentCount() {
         return view.present() + 1;
     }
 
@@ -282,14 +282,14 @@
     }
 
     /** The figures. */
-    public Figures figures() {
+    public Stats stats() {
         int agreeing = 0;
         for (Entry entry : view.entries()) {
             if (entry.member.state().isPresent() && agrees(entry)) {
                 agreeing++;
             }
         }
-        return new Figures(view.present() + 1, view.suspects(), view.faulty(), isolated, agreeing, refused,
+        return new Stats(view.present() + 1, view.suspects(), view.faulty(), isolated, agreeing, refused,
                 declared, health.factor() - 1);
     }
 
@@ -311,7 +311,7 @@
      */
     private void begin(double time) {
         double late = time - stopped - timers.next();
-        if (settings.noticesPauses() && late > settings.lateMs()) {
+        if (settings.detectsPauses() && late > settings.lateMs()) {
             stopped += late;
             health.worse(1);
         }
@@ -383,26 +383,26 @@
     }
 
     private void acknowledged(Message message) {
-        Probe probe = probes.get(message.number());
-        if (probe != null && probe.target.member.name().equals(message.to())) {
-            probes.remove(message.number());
+        Probe probe = probes.get(message.sequence());
+        if (probe != null && probe.target.member.name().equals(message.target())) {
+            probes.remove(message.sequence());
             health.better();
         }
-        Relay relay = relays.get(message.number());
-        if (relay != null && relay.target().equals(message.to())) {
-            relays.remove(message.number());
+        Relay relay = relays.get(message.sequence());
+        if (relay != null && relay.target().equals(message.target())) {
+            relays.remove(message.sequence());
             send(Message.Kind.ACK, relay.number(), relay.target(), null, relay.origin(), List.of());
         }
     }
 
     private void relay(InetSocketAddress source, Message message) {
-        if (relays.size() >= MOST_RELAYS || message.to().equals(self.name())) {
+        if (relays.size() >= MOST_RELAYS || message.target().equals(self.name())) {
             return;
         }
         long its = ++number;
-        Relay relay = new Relay(source, message.number(), message.to());
+        Relay relay = new Relay(source, message.sequence(), message.target());
         relays.put(its, relay);
-        send(Message.Kind.PING, its, message.to(), null, message.at(), List.of());
+        send(Message.Kind.PING, its, message.target(), null, message.targetAddress(), List.of());
         timers.at(now + settings.relayMs(), () -> {
             if (relays.remove(its, relay)) {
                 send(Message.Kind.NACK, relay.number(), relay.target(), null, relay.origin(), List.of());
@@ -412,17 +412,17 @@
 
     /** Answers a ping for this member; one that is for whoever had this address before gets none. */
     private void answer(InetSocketAddress source, Message message) {
-        if (message.to().isEmpty() || message.to().equals(self.name())) {
-            send(Message.Kind.ACK, message.number(), self.name(), null, source,
+        if (message.target().isEmpty() || message.target().equals(self.name())) {
+            send(Message.Kind.ACK, message.sequence(), self.name(), null, source,
                     contradicted(message.from()));
         }
     }
 
     /** What overrides a member's own word, which it has to know. */
-    private List<News> contradicted(Member sender) {
+    private List<MemberUpdate> contradicted(Member sender) {
         Entry entry = view.get(sender.name());
         return entry != null && entry.member.overrides(sender)
-                ? List.of(News.of(entry.member, self.name())) : List.of();
+                ? List.of(MemberUpdate.of(entry.member, self.name())) : List.of();
     }
 
     private void tryFaulty() {
@@ -453,7 +453,7 @@
     private void hear(InetSocketAddress source, Message message) {
         Member sender = message.from();
         boolean itself = source.equals(sender.address());
-        take(new News(sender, ""), itself);
+        take(new MemberUpdate(sender, ""), itself);
         Entry entry = view.get(sender.name());
         if (entry != null && entry.member.instance() == sender.instance() && itself) {
             entry.heardAt = now;
@@ -462,10 +462,10 @@
                 entry.agreedAt = now;
             }
             if (message.notice() != null) {
-                actions.noticed(entry.member, message.notice());
+                actions.noticeReceived(entry.member, message.notice());
             }
         }
-        for (News item : message.news()) {
+        for (MemberUpdate item : message.updates()) {
             if (!over) {
                 take(item, false);
             }
@@ -473,7 +473,7 @@
     }
 
     /** Takes something that is said of a member; {@code itself} if it says so, from where it says it is. */
-    private void take(News item, boolean itself) {
+    private void take(MemberUpdate item, boolean itself) {
         Member said = item.member();
         if (said.name().equals(self.name())) {
             ofThisMember(said);
@@ -487,25 +487,25 @@
             meet(item);
         } else if (said.state() == State.SUSPECT && entry.suspicion != null
                 && said.incarnation() == known) {
-            confirm(entry, item.by());
+            confirm(entry, item.suspectedBy());
         } else if (said.overrides(entry.member)) {
             boolean doubted = said.state() == State.FAULTY && entry.member.state() == State.ALIVE
                     && now - entry.heardAt < settings.periodMs();
-            replace(entry, doubted ? said.in(State.SUSPECT) : said, item.by(), true);
+            replace(entry, doubted ? said.in(State.SUSPECT) : said, item.suspectedBy(), true);
         }
     }
 
-    private void meet(News item) {
+    private void meet(MemberUpdate item) {
         Member said = item.member();
         if (!said.state().isPresent()) {
             return;
         }
-        if (view.size() >= settings.mostMembers()) {
+        if (view.size() >= settings.maxMembers()) {
             refused++;
             return;
         }
         Entry entry = view.add(said, now);
-        changed(null, entry, item.by(), true);
+        changed(null, entry, item.suspectedBy(), true);
     }
 
     /** Puts a member into another state, and tells of it. */
@@ -526,12 +526,12 @@
         }
         lookWhetherIsolated();
         if (tell) {
-            tell(News.of(entry.member, by), important);
+            tell(MemberUpdate.of(entry.member, by), important);
         }
-        actions.changed(before, entry.member);
+        actions.memberChanged(before, entry.member);
     }
 
-    private void tell(News item, boolean important) {
+    private void tell(MemberUpdate item, boolean important) {
         news.add(item, important);
         gossipSoon();
     }
@@ -599,14 +599,14 @@
     private void confirm(Entry entry, String by) {
         if (entry.suspicion.confirm(by)) {
             watch(entry);
-            tell(new News(entry.member, by), false);
+            tell(new MemberUpdate(entry.member, by), false);
         }
     }
 
     /** Something is said of this member, or of another process that has its name. */
     private void ofThisMember(Member said) {
         if (said.incarnation() - self.incarnation() > LARGEST_LEAP
-                || said.incarnation() == Member.HIGHEST_INCARNATION) {
+                || said.incarnation() == Member.MAX_INCARNATION) {
             refused++;
             return;
         }
@@ -619,7 +619,7 @@
                 health.worse(1);
             }
             self = self.reborn(said.incarnation() + 1);
-            tell(new News(self, ""), !said.state().isPresent() || said.instance() != self.instance());
+            tell(new MemberUpdate(self, ""), !said.state().isPresent() || said.instance() != self.instance());
         } else {
             stop();
             actions.superseded(said);
@@ -641,7 +641,7 @@
         boolean is = cutOff || 2 * reached < reached + view.faulty();
         if (is != isolated) {
             isolated = is;
-            actions.isolated(is);
+            actions.isolationChanged(is);
         }
     }
 
@@ -650,7 +650,7 @@
                 && now - entry.since >= settings.forgetMs()).toList();
         for (Entry entry : gone) {
             view.forget(entry);
-            actions.changed(entry.member, null);
+            actions.memberChanged(entry.member, null);
         }
         lookWhetherIsolated();
     }
@@ -661,16 +661,16 @@
         boolean owed = member.state() == State.FAULTY
                 || settings.lifeguard() && member.state() == State.SUSPECT;
         send(kind, its, to, at, member.address(), owed && member.incarnation() > 0
-                ? List.of(News.of(member, self.name())) : List.of());
+                ? List.of(MemberUpdate.of(member, self.name())) : List.of());
     }
 
     private void send(Message.Kind kind, long its, String to, InetSocketAddress at,
-            InetSocketAddress address, List<News> first) {
+            InetSocketAddress address, List<MemberUpdate> first) {
         int left = Codec.LARGEST - Codec.headSize(fleet, to, self) - Codec.size(notice);
-        for (News item : first) {
+        for (MemberUpdate item : first) {
             left -= Codec.size(item);
         }
-        List<News> all = new ArrayList<>(first);
+        List<MemberUpdate> all = new ArrayList<>(first);
         all.addAll(news.take(left, view.present() + 1));
         actions.send(address, new Message(kind, its, to, at, self, digest(), List.copyOf(all),
                 notice));
--- a/src/main/java/cranedeal/fleet/membership/Message.java
+++ b/src/main/java/cranedeal/fleet/membership/Message.java
@@ -8,24 +8,25 @@
 /**
  * A datagram between members.
  *
- * @param number by which an answer is known
- * @param to the member that is probed, or whose answer this is; empty for whoever it reaches
- * @param at where that member is, in {@link Kind#ASK}; otherwise null
+ * @param sequence by which an answer is known
+ * @param target the member that is probed, or whose answer this is; empty for whoever it reaches
+ * @param targetAddress where that member is, in {@link Kind#ASK}; otherwise null
  * @param from the sender as it thinks of itself
  * @param digest of the sender's view
  * @param notice of the configuration that the sender has; null if it says nothing of any
  */
-public record Message(Kind kind, long number, String to, InetSocketAddress at, Member from, long digest,
-        List<News> news, VersionNotice notice) {
+public record Message(Kind kind, long sequence, String target, InetSocketAddress targetAddress, Member from,
+        long digest,
+        List<MemberUpdate> updates, VersionNotice notice) {
 
     /** A message that says nothing of any configuration. */
     public Message(Kind kind, long number, String to, InetSocketAddress at, Member from, long digest,
-            List<News> news) {
+            List<MemberUpdate> news) {
         this(kind, number, to, at, from, digest, news, null);
     }
 
     /** How many bytes it takes, in a fleet of that name. */
-    public int size(String fleet) {
+    public int encodedSize(String fleet) {
         try {
             return new Codec(fleet).encode(this).length;
         } catch (IOException e) {
--- a/src/main/java/cranedeal/fleet/membership/PeerBook.java
+++ b/src/main/java/cranedeal/fleet/membership/PeerStore.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** Where a member keeps whom it knew, so that a fleet that was all killed finds itself again. */
-public interface PeerBook {
+public interface PeerStore {
 
     /** Keeps nothing. */
-    PeerBook NONE = new PeerBook() {
+    PeerStore NONE = new PeerStore() {
 
         @Override
         public byte[] read() {
--- a/src/main/java/cranedeal/fleet/membership/Settings.java
+++ b/src/main/java/cranedeal/fleet/membership/Settings.java
@@ -5,17 +5,17 @@
  *
  * @param periodMs each member probes another one so often
  * @param forgetMs after this time nothing is known any more of a member that is faulty or has left
- * @param mostMembers how many others are known at most
+ * @param maxMembers how many others are known at most
  * @param lifeguard whether local health, independent confirmations and telling the suspect are in use
  *     (Dadgar, Phillips and Currey, Lifeguard: Local Health Awareness for More Accurate Failure Detection,
  *     2018); without them it is SWIM as published, for comparison
- * @param noticesPauses whether a process that was stopped takes its timers for stopped too
+ * @param detectsPauses whether a process that was stopped takes its timers for stopped too
  */
-public record Settings(double periodMs, double forgetMs, int mostMembers, boolean lifeguard,
-        boolean noticesPauses) {
+public record Settings(double periodMs, double forgetMs, int maxMembers, boolean lifeguard,
+        boolean detectsPauses) {
 
     /** Usual settings. */
-    public static final Settings USUAL = new Settings(1_000, 24 * 3_600_000.0, 10_000, true, true);
+    public static final Settings DEFAULTS = new Settings(1_000, 24 * 3_600_000.0, 10_000, true, true);
 
     /** Through how many others a member is probed that does not answer. */
     static final int OTHERS = 3;
@@ -37,9 +37,9 @@
 
     /** Throws {@link IllegalArgumentException} for what no member can go by. */
     public Settings {
-        if (!(periodMs >= 10 && periodMs <= 600_000) || !(forgetMs >= periodMs) || mostMembers < 1) {
+        if (!(periodMs >= 10 && periodMs <= 600_000) || !(forgetMs >= periodMs) || maxMembers < 1) {
             throw new IllegalArgumentException("a probe period of " + periodMs + " ms, forgotten after "
-                    + forgetMs + " ms, " + mostMembers + " members");
+                    + forgetMs + " ms, " + maxMembers + " members");
         }
     }
 
--- a/src/main/java/cranedeal/fleet/membership/VersionNotice.java
+++ b/src/main/java/cranedeal/fleet/membership/VersionNotice.java
@@ -14,8 +14,8 @@
 
     /** Throws {@link IllegalArgumentException} for what can't be told in a datagram. */
     public VersionNotice {
-        if (epoch < 0 || number < 0 || epoch > Member.HIGHEST_INCARNATION
-                || number > Member.HIGHEST_INCARNATION) {
+        if (epoch < 0 || number < 0 || epoch > Member.MAX_INCARNATION
+                || number > Member.MAX_INCARNATION) {
             throw new IllegalArgumentException("no version: " + epoch + "." + number);
         }
         if (!service.isEmpty()) {
--- a/src/main/java/cranedeal/lab/hollow/HollowBalancer.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowBalancer.java
@@ -1,7 +1,7 @@
 package cranedeal.lab.hollow;
 
 import cranedeal.fleet.membership.FleetMember;
-import cranedeal.fleet.membership.PeerBook;
+import cranedeal.fleet.membership.PeerStore;
 import cranedeal.node.DiscoveryWatch;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -23,7 +23,7 @@
     private final EventLoop watching;
     private final Executor disk;
     private final LongSupplier seeds;
-    private final PeerBook book = new PeerBook() {
+    private final PeerStore book = new PeerStore() {
 
         private volatile byte[] kept;
 
@@ -111,6 +111,6 @@
 
     /** What membership has counted, at most half a second old; empty if it does not run. */
     Map<String, Long> figures() {
-        return member == null ? Map.of() : member.figures();
+        return member == null ? Map.of() : member.metrics();
     }
 }
--- a/src/main/java/cranedeal/lab/hollow/HollowProcess.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowProcess.java
@@ -70,7 +70,8 @@
         for (HollowConfig.Balancer one : config.balancers()) {
             FleetMember.Config its = new FleetMember.Config(config.fleet(), one.name(),
                     address(one.listen()), address(one.advertise()), seeds, "serve", "hollow",
-                    new Settings(config.periodMs(), Settings.USUAL.forgetMs(), MOST_MEMBERS, true, true), 0);
+                    new Settings(config.periodMs(), Settings.DEFAULTS.forgetMs(), MOST_MEMBERS, true, true),
+                    0);
             balancers.put(one.name(), new HollowBalancer(its,
                     one.config() == null ? null : Path.of(one.config()), members.next(), watching, disk,
                     random::nextLong));
--- a/src/main/java/cranedeal/lab/slope/MembershipStudy.java
+++ b/src/main/java/cranedeal/lab/slope/MembershipStudy.java
@@ -3,7 +3,7 @@
 import cranedeal.fleet.command.CommandException;
 import cranedeal.fleet.membership.Member;
 import cranedeal.fleet.membership.Message;
-import cranedeal.fleet.membership.News;
+import cranedeal.fleet.membership.MemberUpdate;
 import cranedeal.fleet.membership.Settings;
 import cranedeal.lab.slope.SlopeReport.Basis;
 import cranedeal.lab.swarm.Network;
@@ -50,7 +50,7 @@
                     + " more are wanted");
         }
         SlopeReport report = report("member").with("seconds", seconds).with("settling_s", SETTLING / S)
-                .with("period_ms", Settings.USUAL.periodMs()).with("delay_ms", Network.GOOD.delayMs())
+                .with("period_ms", Settings.DEFAULTS.periodMs()).with("delay_ms", Network.GOOD.delayMs())
                 .with("jitter_ms", Network.GOOD.jitterMs())
                 .with("not_in_it", "UDP and IP headers, full exchanges, processor time");
         for (double loss : losses) {
@@ -80,7 +80,7 @@
     }
 
     private Seen play(int size, double loss, long seed) {
-        Swarm swarm = new Swarm(Settings.USUAL, Network.GOOD.losing(loss), seed);
+        Swarm swarm = new Swarm(Settings.DEFAULTS, Network.GOOD.losing(loss), seed);
         swarm.populate(size);
         swarm.run(SETTLING);
         swarm.countAll();
@@ -108,14 +108,14 @@
 
     /** What each side of a full exchange sends as its body: all members as they stand in messages. */
     private static double exchange(int size) {
-        Swarm swarm = new Swarm(Settings.USUAL, Network.GOOD, 1);
+        Swarm swarm = new Swarm(Settings.DEFAULTS, Network.GOOD, 1);
         swarm.populate(size);
         List<Member> all = swarm.core(0).members();
-        List<News> news = all.stream().map(member -> new News(member, "")).toList();
+        List<MemberUpdate> news = all.stream().map(member -> new MemberUpdate(member, "")).toList();
         return message(all.get(0), news) - message(all.get(0), List.of());
     }
 
-    private static int message(Member from, List<News> news) {
-        return new Message(Message.Kind.NEWS, 1, "", null, from, 0, news).size("slope");
+    private static int message(Member from, List<MemberUpdate> news) {
+        return new Message(Message.Kind.NEWS, 1, "", null, from, 0, news).encodedSize("slope");
     }
 }
--- a/src/main/java/cranedeal/lab/swarm/Swarm.java
+++ b/src/main/java/cranedeal/lab/swarm/Swarm.java
@@ -147,7 +147,7 @@
         public void send(InetSocketAddress to, Message message) {
             messages++;
             if (messages % sample == 0) {
-                bytes += sample * (long) message.size(FLEET);
+                bytes += sample * (long) message.encodedSize(FLEET);
             }
             Node target = byAddress.get(to);
             int copies = random.nextDouble() < network.loss() ? 0
@@ -176,7 +176,7 @@
         }
 
         @Override
-        public void changed(Member before, Member member) {
+        public void memberChanged(Member before, Member member) {
             if (member == null || member.state() != State.FAULTY) {
                 return;
             }
@@ -193,7 +193,7 @@
         }
 
         @Override
-        public void isolated(boolean isIsolated) {
+        public void isolationChanged(boolean isIsolated) {
             // Asked for where it matters.
         }
 
@@ -235,7 +235,7 @@
             known.add(node.core.self());
         }
         for (Node node : nodes) {
-            node.core.know(now, known);
+            node.core.addKnownMembers(now, known);
             node.schedule();
         }
     }
@@ -342,7 +342,7 @@
     public boolean agrees() {
         List<Node> up = nodes.stream().filter(node -> node.up).toList();
         return up.stream().allMatch(node -> node.core.digest() == up.get(0).core.digest()
-                && node.core.present() == up.size());
+                && node.core.presentCount() == up.size());
     }
 
     /** What a member thinks of another; null if it knows nothing of it. */
--- a/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
+++ b/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
@@ -75,7 +75,8 @@
         }
         Swarm swarm;
         try {
-            swarm = new Swarm(new Settings(periodMs, Settings.USUAL.forgetMs(), MOST, !plain, !ignorePauses),
+            swarm = new Swarm(new Settings(periodMs, Settings.DEFAULTS.forgetMs(), MOST, !plain,
+                    !ignorePauses),
                     Network.GOOD.losing(loss).slowing(slow, stoppedMs, runningMs), seed);
         } catch (IllegalArgumentException e) {
             throw new CommandException(Program.WRONG_USE, e.getMessage());
@@ -140,7 +141,7 @@
         int half = members / 2;
         swarm.cut((from, to) -> from < half == to < half);
         swarm.run(seconds * S);
-        int seen = swarm.core(0).present();
+        int seen = swarm.core(0).presentCount();
         swarm.cut((from, to) -> true);
         long bytes = swarm.bytes();
         long syncs = swarm.syncs();
--- a/src/main/java/cranedeal/node/Fleet.java
+++ b/src/main/java/cranedeal/node/Fleet.java
@@ -7,7 +7,7 @@
 import cranedeal.fleet.config.ConfigMember;
 import cranedeal.fleet.membership.FleetMember;
 import cranedeal.fleet.membership.Member;
-import cranedeal.fleet.membership.PeerBook;
+import cranedeal.fleet.membership.PeerStore;
 import cranedeal.fleet.membership.Settings;
 import cranedeal.fleet.store.KeptValue;
 import java.io.IOException;
@@ -79,8 +79,8 @@
         FleetMember member = new FleetMember(new FleetMember.Config(given.name(), config.name(),
                 given.listen(), given.advertise(), given.seeds(), "serve",
                 version == null ? "unpacked" : version,
-                new Settings(given.periodMs(), Settings.USUAL.forgetMs(), MOST_MEMBERS, true, true),
-                new SecureRandom().nextLong()), peers == null ? PeerBook.NONE : new PeerBook() {
+                new Settings(given.periodMs(), Settings.DEFAULTS.forgetMs(), MOST_MEMBERS, true, true),
+                new SecureRandom().nextLong()), peers == null ? PeerStore.NONE : new PeerStore() {
 
                     @Override
                     public byte[] read() throws IOException {
@@ -93,8 +93,9 @@
                     }
                 });
         if (given.service() != null) {
-            new ConfigMember(member, ConfigFollower.Settings.usual(given.service(), given.zone()),
-                    given.stateDir() == null ? ConfigMember.Book.NONE : new KeptConfig(given.stateDir()),
+            new ConfigMember(member, ConfigFollower.Settings.defaults(given.service(), given.zone()),
+                    given.stateDir() == null ? ConfigMember.StateStore.NONE
+                    : new KeptConfig(given.stateDir()),
                     section -> take(section, to), new SecureRandom().nextLong());
         }
         member.start();
@@ -112,7 +113,7 @@
 
             @Override
             public Map<String, Long> metrics() {
-                return member.figures();
+                return member.metrics();
             }
         };
     }
@@ -135,7 +136,7 @@
     }
 
     /** The configuration that a member has, in a store. */
-    private static final class KeptConfig implements ConfigMember.Book {
+    private static final class KeptConfig implements ConfigMember.StateStore {
 
         private final KeptValue kept;
 
--- a/src/test/java/cranedeal/fleet/config/ConfigDocumentTest.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigDocumentTest.java
@@ -68,11 +68,11 @@
     @Test
     void itIsBounded() {
         String large = GOOD.replace("\"back\": {}", "\"back\": {\"settings\": {\"is\": \""
-                + "x".repeat(ConfigDocument.MOST_SECTION) + "\"}}");
+                + "x".repeat(ConfigDocument.MAX_SECTION_BYTES) + "\"}}");
         Exception e = assertThrows(ConfigDocument.BadDocumentException.class, () -> parse(large));
         assertTrue(e.getMessage().startsWith("line 8: services.back has 26"), e.getMessage());
         assertThrows(ConfigDocument.BadDocumentException.class,
-                () -> parse(" ".repeat(ConfigDocument.MOST_BYTES) + GOOD));
+                () -> parse(" ".repeat(ConfigDocument.MAX_DOCUMENT_BYTES) + GOOD));
         assertThrows(ConfigDocument.BadDocumentException.class, () -> parse(""));
         assertThrows(ConfigDocument.BadDocumentException.class, () -> parse("[]"));
     }
--- a/src/test/java/cranedeal/fleet/config/ConfigFleet.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigFleet.java
@@ -102,7 +102,7 @@
             core.start(world.now, parties.stream().filter(party -> party.node != null)
                     .map(party -> party.address).toList(), known);
             if (node == null) {
-                follower = new ConfigFollower(ConfigFollower.Settings.usual(service, zone),
+                follower = new ConfigFollower(ConfigFollower.Settings.defaults(service, zone),
                         world.random.nextLong(), this);
                 follower.start(world.now, disk);
             } else {
@@ -205,7 +205,7 @@
         public void send(InetSocketAddress to, Message message) {
             Party target = byAddress.get(to);
             if (++messages % SAMPLE == 0) {
-                int size = message.size(FLEET);
+                int size = message.encodedSize(FLEET);
                 if (size > 1_200) {
                     throw new AssertionError("a datagram of " + size + " bytes");
                 }
@@ -230,12 +230,12 @@
         }
 
         @Override
-        public void changed(Member before, Member now) {
+        public void memberChanged(Member before, Member now) {
             // Membership's own tests look at this.
         }
 
         @Override
-        public void isolated(boolean isIsolated) {
+        public void isolationChanged(boolean isIsolated) {
             // Likewise.
         }
 
@@ -245,7 +245,7 @@
         }
 
         @Override
-        public void noticed(Member from, VersionNotice notice) {
+        public void noticeReceived(Member from, VersionNotice notice) {
             if (follower != null) {
                 follower.noticed(world.now, from.address(), notice);
             }
@@ -357,7 +357,7 @@
     final List<Party> coordinators = new ArrayList<>();
     final List<Party> members = new ArrayList<>();
     private final Map<InetSocketAddress, Party> byAddress = new HashMap<>();
-    private final Settings settings = Settings.USUAL;
+    private final Settings settings = Settings.DEFAULTS;
     private final SplittableRandom random;
     private VersionId newest = VersionId.NONE;
     private final TreeMap<VersionId, Double> committedAt = new TreeMap<>();
@@ -385,7 +385,7 @@
         parties.forEach(party -> party.start(List.of()));
         List<Member> all = parties.stream().map(party -> party.core.self()).toList();
         parties.forEach(party -> {
-            party.core.know(world.now, all);
+            party.core.addKnownMembers(world.now, all);
             party.schedule();
         });
         world.open = (from, to) -> open.test(byNode(from), byNode(to));
--- a/src/test/java/cranedeal/fleet/config/LogStoreTest.java
+++ b/src/test/java/cranedeal/fleet/config/LogStoreTest.java
@@ -33,7 +33,7 @@
 
     private static Version version(long number) {
         TreeMap<String, byte[]> sections = new TreeMap<>(Coordinators.document("v" + number));
-        byte[] large = new byte[ConfigDocument.MOST_SECTION];
+        byte[] large = new byte[ConfigDocument.MAX_SECTION_BYTES];
         java.util.Arrays.fill(large, (byte) ('a' + number % 3));
         sections.put("large", large);
         return Version.of(new VersionId(1, number), "me", 5, "o" + number, "", sections);
@@ -67,7 +67,7 @@
             }
             written = Math.max(written, size);
         }
-        assertTrue(written < 16L * ConfigDocument.MOST_SECTION, "40 versions take up " + written);
+        assertTrue(written < 16L * ConfigDocument.MAX_SECTION_BYTES, "40 versions take up " + written);
         // The operators' own tool reads it too.
         Repair.verify(new FolderDisk(folder), Limits.USUAL, new StoreReader() {
 
--- a/src/test/java/cranedeal/fleet/membership/CodecTest.java
+++ b/src/test/java/cranedeal/fleet/membership/CodecTest.java
@@ -26,7 +26,7 @@
                 new byte[] {127, (byte) random.nextInt(), (byte) random.nextInt(), 1}),
                 1 + random.nextInt(65_535));
         return new Member("n" + "x".repeat(random.nextInt(64)), address, random.nextLong(),
-                random.nextLong(Member.HIGHEST_INCARNATION), State.values()[random.nextInt(4)],
+                random.nextLong(Member.MAX_INCARNATION), State.values()[random.nextInt(4)],
                 "a".repeat(1 + random.nextInt(32)), "1." + random.nextInt(1_000_000));
     }
 
@@ -34,21 +34,22 @@
     void whatIsWrittenIsReadAndFitsIntoADatagramAsCounted() throws Exception {
         for (int i = 0; i < 500; i++) {
             Member from = member();
-            NewsQueue queue = new NewsQueue();
+            GossipQueue queue = new GossipQueue();
             for (int j = 0; j < 30; j++) {
-                queue.add(new News(member(), random.nextBoolean() ? "" : "by" + j), random.nextBoolean());
+                queue.add(new MemberUpdate(member(), random.nextBoolean() ? "" : "by" + j),
+                        random.nextBoolean());
             }
             Message.Kind kind = Message.Kind.values()[random.nextInt(5)];
             String to = random.nextBoolean() ? "" : member().name();
             VersionNotice notice = random.nextBoolean() ? null : new VersionNotice(
-                    random.nextLong(Member.HIGHEST_INCARNATION), random.nextLong(Member.HIGHEST_INCARNATION),
+                    random.nextLong(Member.MAX_INCARNATION), random.nextLong(Member.MAX_INCARNATION),
                     "s".repeat(random.nextInt(65)), "z".repeat(random.nextInt(65)));
             int left = Codec.LARGEST - Codec.headSize("clinics", to, from) - Codec.size(notice);
             Message message = new Message(kind, random.nextLong(Long.MAX_VALUE), to,
                     kind == Message.Kind.ASK ? member().address() : null, from, random.nextLong(),
                     List.copyOf(queue.take(left, 1_000)), notice);
             byte[] bytes = codec.encode(message);
-            assertTrue(bytes.length <= Codec.LARGEST && !message.news().isEmpty());
+            assertTrue(bytes.length <= Codec.LARGEST && !message.updates().isEmpty());
             assertEquals(message, codec.decode(bytes));
         }
         List<Member> all = new ArrayList<>(List.of(member(), member(), member()));
@@ -65,8 +66,8 @@
         assertEquals(null, before.notice());
         assertEquals(BEFORE, new String(codec.encode(before), StandardCharsets.UTF_8),
                 "without a notice it is written as it was");
-        Message with = new Message(before.kind(), before.number(), before.to(), null, before.from(),
-                before.digest(), before.news(), new VersionNotice(2, 3, "front", "z1"));
+        Message with = new Message(before.kind(), before.sequence(), before.target(), null, before.from(),
+                before.digest(), before.updates(), new VersionNotice(2, 3, "front", "z1"));
         assertEquals(BEFORE.replace("\"news\"", "\"c\":[2,3,\"front\",\"z1\"],\"news\""),
                 new String(codec.encode(with), StandardCharsets.UTF_8), "one key more, which the version"
                 + " before passes over as it does any");
--- a/src/test/java/cranedeal/lab/SwarmTest.java
+++ b/src/test/java/cranedeal/lab/SwarmTest.java
@@ -7,7 +7,7 @@
 import cranedeal.fleet.membership.Member;
 import cranedeal.fleet.membership.Membership;
 import cranedeal.fleet.membership.Message;
-import cranedeal.fleet.membership.News;
+import cranedeal.fleet.membership.MemberUpdate;
 import cranedeal.fleet.membership.Settings;
 import cranedeal.fleet.membership.State;
 import cranedeal.lab.swarm.Network;
@@ -31,7 +31,7 @@
     private static final List<Integer> NONE = List.of();
 
     private static Swarm swarm(int members, Network network, long seed) {
-        Swarm swarm = new Swarm(Settings.USUAL, network, seed);
+        Swarm swarm = new Swarm(Settings.DEFAULTS, network, seed);
         swarm.populate(members);
         swarm.run(2 * PERIOD);
         return swarm;
@@ -131,7 +131,7 @@
         assertTrue(swarm.wronged() >= 6, "stopped for longer than a suspicion lasts");
         assertEquals(0, IntStream.range(6, 60).filter(i -> IntStream.range(0, 60)
                 .anyMatch(viewer -> viewer != i && swarm.view(viewer, i) != State.ALIVE)).count());
-        assertEquals(0, swarm.core(0).figures().declaredFaulty() + swarm.core(1).figures().declaredFaulty(),
+        assertEquals(0, swarm.core(0).stats().declaredFaulty() + swarm.core(1).stats().declaredFaulty(),
                 "who was stopped blames nobody");
         assertAgrees(swarm);
     }
@@ -140,7 +140,8 @@
     void halvesMeetAgainAndTheSmallerPartKnowsThatItIsIsolated() {
         Swarm swarm = swarm(90, Network.GOOD, 3);
         swarm.cut((from, to) -> from < 30 == to < 30);
-        assertTrue(swarm.runUntil(now -> now.core(0).present() == 30 && now.core(89).present() == 60, 100,
+        assertTrue(swarm.runUntil(now -> now.core(0).presentCount() == 30
+                && now.core(89).presentCount() == 60, 100,
                 LONG) < LONG);
         assertTrue(swarm.core(0).isIsolated() && !swarm.core(89).isIsolated());
         swarm.run(60 * PERIOD);
@@ -150,7 +151,7 @@
         // A few who hear one another know it long before they have lost the others one by one.
         swarm.cut((from, to) -> from < 6 == to < 6);
         assertTrue(swarm.runUntil(now -> now.core(0).isIsolated(), 100, LONG) < LONG);
-        assertTrue(swarm.core(0).present() > 45, "before it has lost half of them");
+        assertTrue(swarm.core(0).presentCount() > 45, "before it has lost half of them");
     }
 
     @Test
@@ -160,7 +161,7 @@
         swarm.run(60 * PERIOD);
         assertEquals(State.FAULTY, swarm.view(10, 3));
         assertTrue(swarm.core(3).isIsolated());
-        assertEquals(49, swarm.core(10).present());
+        assertEquals(49, swarm.core(10).presentCount());
         swarm.cut((from, to) -> from != 3);
         swarm.run(60 * PERIOD);
         assertEquals(State.FAULTY, swarm.view(10, 3));
@@ -219,12 +220,12 @@
         Swarm swarm = swarm(10, Network.GOOD, 8);
         Member victim = swarm.core(3).self();
         Member top = new Member(victim.name(), victim.address(), victim.instance(),
-                Member.HIGHEST_INCARNATION, State.FAULTY, "serve", "1.0");
+                Member.MAX_INCARNATION, State.FAULTY, "serve", "1.0");
         Member leap = new Member(victim.name(), victim.address(), victim.instance(), 1L << 32, State.FAULTY,
                 "serve", "1.0");
         for (int i = 0; i < 10; i++) {
             swarm.inject(i, swarm.addressOf(9), new Message(Message.Kind.NEWS, 0, "", null,
-                    swarm.core(9).self(), 0, List.of(new News(top, ""), new News(leap, ""))));
+                    swarm.core(9).self(), 0, List.of(new MemberUpdate(top, ""), new MemberUpdate(leap, ""))));
         }
         assertAgrees(swarm);
         assertTrue(swarm.core(3).self().incarnation() > 1L << 32, "it has contradicted");
@@ -261,7 +262,8 @@
             assertEquals(10, swarm.core(i).members().size());
         }
         swarm.inject(0, swarm.addressOf(1), new Message(Message.Kind.NEWS, 0, "", null, swarm.core(1).self(),
-                0, List.of(new News(new Member("m15", swarm.addressOf(15), 1, 1, State.FAULTY, "serve",
+                0, List.of(new MemberUpdate(new Member("m15", swarm.addressOf(15), 1, 1, State.FAULTY,
+                "serve",
                 "1.0"), ""))));
         assertEquals(10, swarm.core(0).members().size(), "nobody who still knows it brings it back");
         assertFalse(swarm.core(0).isIsolated());
