--- a/src/main/java/cranedeal/ClassRecord.java
+++ b/src/main/java/cranedeal/ClassRecord.java
@@ -57,12 +57,12 @@
         slowRatio = before.slowRatio;
     }
 
-    LoadBalancer.Learnt.OfClass learnt() {
-        return new LoadBalancer.Learnt.OfClass(type.name(), latency.value(), hint.value(), slowRatio);
+    LoadBalancer.WarmState.ClassState learnt() {
+        return new LoadBalancer.WarmState.ClassState(type.name(), latency.value(), hint.value(), slowRatio);
     }
 
     /** Begins with what an earlier process had learnt; {@code kept} tells how much of that still counts. */
-    void recall(LoadBalancer.Learnt.OfClass old, double kept) {
+    void recall(LoadBalancer.WarmState.ClassState old, double kept) {
         latency.recall(old.latency(), kept);
         hint.recall(old.hint(), kept);
         slowRatio += kept * (old.slowRatio() - slowRatio);
@@ -77,10 +77,10 @@
 
     boolean sharesPlacement(ClassRecord other) {
         return Objects.equals(type.zones(), other.type.zones())
-                && Objects.equals(type.kinds(), other.type.kinds());
+                && Objects.equals(type.machineTypes(), other.type.machineTypes());
     }
 
     boolean isBound() {
-        return type.zones() != null || type.kinds() != null;
+        return type.zones() != null || type.machineTypes() != null;
     }
 }
--- a/src/main/java/cranedeal/LatencyWeightedBalancer.java
+++ b/src/main/java/cranedeal/LatencyWeightedBalancer.java
@@ -95,7 +95,7 @@
     /** What they have put back of late and what has had no call since, and when. */
     private final Map<Long, Double> putBackAt = new HashMap<>();
     /** What an earlier process knew of servers not listed so far, when, and its place of each class. */
-    private final Map<Long, Learnt.OfUpstream> recalled = new HashMap<>();
+    private final Map<Long, WarmState.UpstreamState> recalled = new HashMap<>();
     private double recalledAt;
     private int[] recalledPlaces;
     private final Map<Long, Call> calls = new HashMap<>();
@@ -119,7 +119,7 @@
         classes = new ClassRecord[given.classes().size()];
         Arrays.setAll(classes, i -> unseen(i, given.classes().get(i)));
         chooseLeaders();
-        kinds = new Server.Kind[given.kinds()];
+        kinds = new Server.Kind[given.machineTypes()];
         Arrays.setAll(kinds, i -> new Server.Kind(FLEET_GAIN));
         indexServers(now);
         if (given.subscribe()) {
@@ -153,7 +153,7 @@
 
     /** All that was learnt stays, by the names of classes; a call goes on by the rules that it began with. */
     @Override
-    public void retuned(double now, Settings given) {
+    public void settingsChanged(double now, Settings given) {
         Map<String, ClassRecord> before = new HashMap<>();
         Arrays.stream(classes).forEach(c -> before.put(c.type.name(), c));
         int[] places = new int[given.classes().size()];
@@ -173,7 +173,7 @@
         classes = next;
         chooseLeaders();
         Server.Kind[] known = kinds;
-        kinds = new Server.Kind[Math.max(known.length, given.kinds())];
+        kinds = new Server.Kind[Math.max(known.length, given.machineTypes())];
         Arrays.setAll(kinds, i -> i < known.length ? known[i] : new Server.Kind(FLEET_GAIN));
         if (given.subscribe() && !settings.subscribe()) {
             actions.watch(true);
@@ -191,12 +191,12 @@
     }
 
     @Override
-    public void requestBegun(double now, Request request) {
+    public void requestStarted(double now, Request request) {
         take(now, request, true);
     }
 
     private void take(double now, Request request, boolean arriving) {
-        Call call = new Call(request, classes[request.serviceClass()], now, actions.spareTime(now));
+        Call call = new Call(request, classes[request.serviceClass()], now, actions.idleTime(now));
         call.arriving = arriving;
         calls.put(request.id(), call);
         extraCalls = Math.min(EXTRA_SAVED, extraCalls + EXTRA_PER_REQUEST);
@@ -246,7 +246,7 @@
         call.usefulEnd = usefulEnd(call, deadline, now);
         for (Attempt attempt : call.attempts) {
             if (attempt.result == null) {
-                attempt.sent(now, actions.spareTime(now));
+                attempt.sent(now, actions.idleTime(now));
                 begins(attempt, now);
                 ready.touch(attempt.server, now);
             }
@@ -386,7 +386,7 @@
      */
     private Server draw(Call call, boolean untried, double now) {
         Limits limits = settings.limits();
-        if (call.attempts.size() >= limits.maxAttempts() || call.running > 0 && !limits.parallel()) {
+        if (call.attempts.size() >= limits.maxAttempts() || call.running > 0 && !limits.parallelAttempts()) {
             return null;
         }
         Predicate<Server> usable = server -> !(untried && call.tried(server)) && mayGoTo(call, server, now)
@@ -410,11 +410,11 @@
         if (record.index < 0) {
             return ready.drawFromAll(record, fits, random, now);
         }
-        Attempt first = call.type.repeat() == Repeat.DEDUPLICATED ? call.firstMaybeRun() : null;
-        if (first != null && call.type.group() == Group.CELL) {
+        Attempt first = call.type.idempotency() == Idempotency.DEDUPLICATED ? call.firstMaybeRun() : null;
+        if (first != null && call.type.dedupScope() == DedupScope.CELL) {
             return ready.drawFromCell(record, first.server.listed.cell(), fits, random, now);
         }
-        int zone = first != null && call.type.group() == Group.ZONE ? first.server.listed.zone()
+        int zone = first != null && call.type.dedupScope() == DedupScope.ZONE ? first.server.listed.zone()
                 : ReadyServers.ANY_ZONE;
         return ready.draw(record, zone, open, fits, random, now);
     }
@@ -431,12 +431,12 @@
         }
         Attempt first = call.firstMaybeRun();
         ServiceClass c = call.type;
-        if (first == null || c.repeat() == Repeat.IDEMPOTENT) {
+        if (first == null || c.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         Upstream from = first.server.listed;
-        return c.repeat() == Repeat.DEDUPLICATED && now < first.sentAt + c.memory()
-                && (c.group() == Group.ALL || (c.group() == Group.ZONE
+        return c.idempotency() == Idempotency.DEDUPLICATED && now < first.sentAt + c.dedupWindow()
+                && (c.dedupScope() == DedupScope.ALL || (c.dedupScope() == DedupScope.ZONE
                 ? from.zone() == server.listed.zone() : from.cell() == server.listed.cell()));
     }
 
@@ -477,12 +477,12 @@
 
     private void send(Call call, Server server, double now) {
         Attempt attempt = new Attempt(call, server);
-        attempt.sent(now, actions.spareTime(now));
+        attempt.sent(now, actions.idleTime(now));
         double timeout = call.arriving ? 0 : call.usefulEnd - now;
         double slowAfter = call.slowAfter();
         double giveUpAfter = Math.max(GIVE_UP * slowAfter, LEAST_WAIT * call.type.aim());
-        boolean repeatable = call.type.repeat() != Repeat.AT_MOST_ONCE && !call.type.streamed();
-        if (repeatable && settings.limits().parallel() && slowAfter + call.expected() < timeout) {
+        boolean repeatable = call.type.idempotency() != Idempotency.AT_MOST_ONCE && !call.type.streamed();
+        if (repeatable && settings.limits().parallelAttempts() && slowAfter + call.expected() < timeout) {
             actions.setTimer(call.id << 8 | attempt.number, now + slowAfter);
         } else if (repeatable && extraCalls >= 1 && giveUpAfter + call.expected() < timeout) {
             timeout = giveUpAfter;
@@ -565,7 +565,7 @@
         }
         ready.touch(attempt.server, now);
         freeConnection(attempt.server, outcome.result(), now);
-        if (outcome.closed() || call.done) {
+        if (outcome.requestClosed() || call.done) {
             over(call, now);
         } else if (call.running == 0 && (outcome.result() == Result.NOT_SENT || extraCalls < 1)) {
             answerUnserved(call, now);
@@ -598,8 +598,8 @@
     /** Rule 1's one final answer: a refusal only where trying again is known to be harmless. */
     private void refuseOrFail(Call call, double now) {
         ServiceClass c = call.type;
-        boolean harmless = c.repeat() == Repeat.IDEMPOTENT || call.firstMaybeRun() == null
-                || c.repeat() == Repeat.DEDUPLICATED && c.group() == Group.ALL;
+        boolean harmless = c.idempotency() == Idempotency.IDEMPOTENT || call.firstMaybeRun() == null
+                || c.idempotency() == Idempotency.DEDUPLICATED && c.dedupScope() == DedupScope.ALL;
         if (harmless) {
             actions.refuse(call.id, settings.limits().retryAfter() ? comeBackAfter(call) : 0);
         } else {
@@ -695,7 +695,7 @@
 
     private void observeLatency(Attempt attempt, double elapsed) {
         Call call = attempt.call;
-        if (actions.heldUp(call.id, attempt.number) > 0) {
+        if (actions.localDelay(call.id, attempt.number) > 0) {
             // What is left of the time may be nothing or all of it: among true latencies that is no sample.
             return;
         }
@@ -716,26 +716,27 @@
     }
 
     @Override
-    public Work work() {
+    public DecisionStats stats() {
         double pressure = Arrays.stream(classes).mapToDouble(c -> c.leader.pressure).max().orElse(0);
-        return new Work(drawCounts.draws, drawCounts.examined, held.size(), unserved.snapshot(), pressure);
+        return new DecisionStats(drawCounts.draws, drawCounts.examined, held.size(), unserved.snapshot(),
+                pressure);
     }
 
     @Override
-    public Learnt learnt(double now) {
+    public WarmState warmState(double now) {
         servers.values().forEach(server -> server.fade(now, CostModel.EVIDENCE_FADE, CostModel.FADE_STEP));
-        return new Learnt(Arrays.stream(classes).map(ClassRecord::learnt).toList(),
+        return new WarmState(Arrays.stream(classes).map(ClassRecord::learnt).toList(),
                 servers.values().stream().map(server -> server.learnt(now)).toList());
     }
 
     /** Evidence goes on fading over the time between, as if this process had been there all along. */
     @Override
-    public void recall(double now, Learnt learnt, double age) {
+    public void restoreWarmState(double now, WarmState learnt, double age) {
         recalledAt = now - age;
         recalledPlaces = new int[classes.length];
         Arrays.fill(recalledPlaces, -1);
         for (int i = 0; i < learnt.classes().size(); i++) {
-            Learnt.OfClass old = learnt.classes().get(i);
+            WarmState.ClassState old = learnt.classes().get(i);
             for (ClassRecord c : classes) {
                 if (c.type.name().equals(old.name())) {
                     recalledPlaces[c.index] = i;
@@ -790,7 +791,8 @@
     }
 
     private static boolean isPlacedAlike(Upstream one, Upstream other) {
-        return one.zone() == other.zone() && one.kind() == other.kind() && one.cell() == other.cell();
+        return one.zone() == other.zone() && one.machineType() == other.machineType()
+                && one.cell() == other.cell();
     }
 
     /**
@@ -816,9 +818,9 @@
     }
 
     private void started(Upstream upstream, double listed, double now) {
-        Server.Kind kind = kinds[Math.min(upstream.kind(), kinds.length - 1)];
-        Learnt.OfUpstream old = recalled.remove(upstream.id());
-        boolean same = old != null && old.listedStart() == listed;
+        Server.Kind kind = kinds[Math.min(upstream.machineType(), kinds.length - 1)];
+        WarmState.UpstreamState old = recalled.remove(upstream.id());
+        boolean same = old != null && old.listedStartedAt() == listed;
         double at = same ? old.startedAt() : listed;
         Server server = new Server(upstream, serversSeen++, at, kind, classes.length, now,
                 random.nextDouble());
@@ -848,7 +850,7 @@
      * server is cold from now: taken for warm, it would be pushed over.
      */
     @Override
-    public void upstreamBanned(double now, long upstream, boolean banned) {
+    public void upstreamDisabled(double now, long upstream, boolean banned) {
         Server server = servers.get(upstream);
         if (banned) {
             bannedAt.putIfAbsent(upstream, now);
@@ -877,7 +879,7 @@
     }
 
     @Override
-    public int avoided() {
+    public int excludedUpstreams() {
         return servers.size() - ready.size();
     }
 }
--- a/src/main/java/cranedeal/LoadBalancer.java
+++ b/src/main/java/cranedeal/LoadBalancer.java
@@ -25,34 +25,34 @@
      * The settings have changed; classes are known by their names. What is under way keeps its class, also
      * one that is gone, and later requests have their index in the new settings.
      */
-    default void retuned(double now, Settings settings) { }
+    default void settingsChanged(double now, Settings settings) { }
 
     /**
      * Operators have taken an upstream out of use, whatever lists say of it, or have put it back. It may have
      * been restarted meanwhile. It need not be listed, and may be told twice.
      */
-    default void upstreamBanned(double now, long upstream, boolean banned) { }
+    default void upstreamDisabled(double now, long upstream, boolean banned) { }
 
     /** How many listed upstreams get no request now. */
-    default int avoided() {
+    default int excludedUpstreams() {
         return 0;
     }
 
     /** What the decisions have cost so far. */
-    default Work work() {
-        return Work.NONE;
+    default DecisionStats stats() {
+        return DecisionStats.NONE;
     }
 
     /** What is known by now that is of use to a later process of this instance; not what is under way. */
-    default Learnt learnt(double now) {
-        return Learnt.NOTHING;
+    default WarmState warmState(double now) {
+        return WarmState.EMPTY;
     }
 
     /**
      * What an earlier process of this instance had learnt {@code age} ms ago: an opinion to begin with,
      * which counts the less the older it is. Called at most once, between {@link #start} and the first list.
      */
-    default void recall(double now, Learnt learnt, double age) { }
+    default void restoreWarmState(double now, WarmState learnt, double age) { }
 
     /** A request has arrived; the instance now owes it exactly one final answer. */
     void request(double now, Request request);
@@ -61,7 +61,7 @@
      * As {@link #request}, but its body is still on its way: until {@link #bodyArrived} an upstream can't
      * begin with it, and no time counts.
      */
-    default void requestBegun(double now, Request request) {
+    default void requestStarted(double now, Request request) {
         request(now, request);
     }
 
@@ -117,7 +117,7 @@
         void setTimer(long token, double at);
 
         /** Sends a message to one instance of this tier, or to all with {@link #ALL_PEERS}. */
-        void tell(int peer, byte[] payload);
+        void sendToPeer(int peer, byte[] payload);
 
         /** Writes a line to the host's log. */
         void log(String text);
@@ -127,7 +127,7 @@
          * connection had come up or its answer had come, and nobody had looked yet; 0 where that is too short
          * to matter. An outcome's elapsed time leaves that out already, as far as it is known.
          */
-        default double heldUp(long requestId, int attempt) {
+        default double localDelay(long requestId, int attempt) {
             return 0;
         }
 
@@ -135,7 +135,7 @@
          * For how long this process has had nothing to do up to now, in ms from an arbitrary origin. While it
          * is busy this stands still; a host whose processor is never short moves on with the clock.
          */
-        default double spareTime(double now) {
+        default double idleTime(double now) {
             return now;
         }
 
@@ -154,12 +154,13 @@
      *
      * @param id opaque address
      * @param zone index of its zone
-     * @param kind index of its machine type
+     * @param machineType index of its machine type
      * @param cell the handful of upstreams that share which keys they have seen
      * @param weight relative size, see {@link Settings#weightKind}
      * @param startedAt when its process last started; 0 for long ago
      */
-    record Upstream(long id, int zone, int kind, int cell, State state, double weight, double startedAt) { }
+    record Upstream(long id, int zone, int machineType, int cell, State state, double weight,
+            double startedAt) { }
 
     /**
      * A client's request.
@@ -188,26 +189,26 @@
     /**
      * The end of one attempt.
      *
-     * @param closed whether the request is over; otherwise it is still owed its final answer
+     * @param requestClosed whether the request is over; otherwise it is still owed its final answer
      * @param elapsed time since the attempt was sent
      * @param report the upstream's load report in the order of {@link Settings#reportFields}, or null
      */
-    record Outcome(long requestId, int attempt, long upstream, Result result, boolean closed, double elapsed,
-            double[] report) { }
+    record Outcome(long requestId, int attempt, long upstream, Result result, boolean requestClosed,
+            double elapsed, double[] report) { }
 
     /**
      * What the decisions of an instance have cost.
      *
      * @param draws how many draws of an upstream there were since the start
      * @param examined how many upstreams these have looked at
-     * @param held how many requests wait now for an upstream that can take them
+     * @param queued how many requests wait now for an upstream that can take them
      * @param unserved the requests that were refused or failed since the start
      * @param pressure the greatest share of the work asked for that is refused now, between 0 and 1
      */
-    record Work(long draws, long examined, int held, Unserved unserved, double pressure) {
+    record DecisionStats(long draws, long examined, int queued, Unserved unserved, double pressure) {
 
         /** Nothing, or not known. */
-        public static final Work NONE = new Work(0, 0, 0, new Unserved(0, 0, 0), 0);
+        public static final DecisionStats NONE = new DecisionStats(0, 0, 0, new Unserved(0, 0, 0), 0);
     }
 
     /**
@@ -222,13 +223,14 @@
     /**
      * What an instance has learnt of classes and upstreams.
      *
-     * @param classes in the order of {@link OfUpstream#served} and {@link OfUpstream#tries}
+     * @param classes in the order of {@link UpstreamState#servedByClass} and
+     *     {@link UpstreamState#attemptsByClass}
      * @param upstreams those that are listed
      */
-    record Learnt(List<OfClass> classes, List<OfUpstream> upstreams) {
+    record WarmState(List<ClassState> classes, List<UpstreamState> upstreams) {
 
         /** Nothing at all. */
-        public static final Learnt NOTHING = new Learnt(List.of(), List.of());
+        public static final WarmState EMPTY = new WarmState(List.of(), List.of());
 
         /**
          * What was learnt of a class over all upstreams.
@@ -237,34 +239,34 @@
          * @param hint mean hinted work in ms; 0 if there were no hints
          * @param slowRatio how many times the expected latency only the slowest calls take
          */
-        public record OfClass(String name, double latency, double hint, double slowRatio) { }
+        public record ClassState(String name, double latency, double hint, double slowRatio) { }
 
         /**
          * What was learnt of one process of an upstream, in sums that fade.
          *
-         * @param listedStart when it started as listed; a process that started later is another one
+         * @param listedStartedAt when it started as listed; a process that started later is another one
          * @param startedAt when it is taken to have started: as listed, or later
-         * @param knownFor ms since when there is evidence of it
-         * @param latencies sum of its served latencies, relative to what was expected
+         * @param observedFor ms since when there is evidence of it
+         * @param latencySum sum of its served latencies, relative to what was expected
          * @param latencyCount how many these were
-         * @param servedInAll calls served there, of all classes
-         * @param triesInAll calls that have ended there, of all classes
-         * @param served calls served there, by class
-         * @param tries calls that have ended there, by class
+         * @param totalServed calls served there, of all classes
+         * @param totalAttempts calls that have ended there, of all classes
+         * @param servedByClass calls served there, by class
+         * @param attemptsByClass calls that have ended there, by class
          */
-        public record OfUpstream(long id, double listedStart, double startedAt, double knownFor,
-                double latencies, double latencyCount, double servedInAll, double triesInAll,
-                double[] served, double[] tries) { }
+        public record UpstreamState(long id, double listedStartedAt, double startedAt, double observedFor,
+                double latencySum, double latencyCount, double totalServed, double totalAttempts,
+                double[] servedByClass, double[] attemptsByClass) { }
     }
 
     /** Whether a request of a class may run more than once. */
-    enum Repeat { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
+    enum Idempotency { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
 
     /** Which upstreams drop repeats of a request of a deduplicated class. */
-    enum Group { ALL, ZONE, CELL }
+    enum DedupScope { ALL, ZONE, CELL }
 
     /** How load reports come, if at all. */
-    enum Reports { PIGGYBACK, PROBE, NONE }
+    enum ReportMode { PIGGYBACK, PROBE, NONE }
 
     /** What an upstream's weight means. */
     enum WeightKind { NONE, NOMINAL, ROUGH, LIVE }
@@ -276,21 +278,22 @@
      * @param aimStretch the aim grows by this many times the request's own work
      * @param deadline how long a client waits over all its tries
      * @param lateWorth the share of the worth left after the aim
-     * @param memory how long repeats are dropped, from the first attempt that may have run
+     * @param dedupWindow how long repeats are dropped, from the first attempt that may have run
      * @param streamed whether answers are streams
      * @param inOrder whether requests with the same key take turns in order of arrival; all such classes
      *     share their keys, and a request without a key is free
      * @param zones the only zones it may be sent to; null where any will do, empty where none will
-     * @param kinds the only machine types it may be sent to; null where any will do, empty where none will
+     * @param machineTypes the only machine types it may be sent to; null where any will do, empty where none
+     *     will
      */
     record ServiceClass(String name, double aim, double aimStretch, double deadline, double worth,
-            double lateWorth, Repeat repeat, Group group, double memory, boolean streamed, boolean inOrder,
-            List<Integer> zones, List<Integer> kinds) {
+            double lateWorth, Idempotency idempotency, DedupScope dedupScope, double dedupWindow,
+            boolean streamed, boolean inOrder, List<Integer> zones, List<Integer> machineTypes) {
 
         /** Whether placement allows an upstream for this class, at any attempt. */
         public boolean admits(Upstream upstream) {
             return (zones == null || zones.contains(upstream.zone()))
-                    && (kinds == null || kinds.contains(upstream.kind()));
+                    && (machineTypes == null || machineTypes.contains(upstream.machineType()));
         }
     }
 
@@ -303,7 +306,7 @@
      * @param cpuPerRequest microseconds of CPU for a request with its outcomes; 0 for no limit
      * @param cpuPerSecond microseconds of CPU for an instance in a second
      */
-    record Limits(int maxAttempts, int maxOpen, boolean cancel, boolean parallel, boolean probes,
+    record Limits(int maxAttempts, int maxOpen, boolean cancel, boolean parallelAttempts, boolean probes,
             boolean peers, boolean retryAfter, double maxRetryAfter, double connectTimeout,
             double connectionIdle, int streamsPerConnection, double cpuPerRequest, double cpuPerSecond) { }
 
@@ -341,9 +344,9 @@
      * @param worthByWork whether worth counts per unit of work rather than per request
      * @param overShareWorth what a request beyond its tenant's share is worth, of its class's worth
      */
-    record Settings(int position, int siblings, int tier, int tiers, int zone, int zones, int kinds,
+    record Settings(int position, int siblings, int tier, int tiers, int zone, int zones, int machineTypes,
             boolean subscribe, boolean passesDeadline, boolean warmKeys, boolean retriesMarked,
-            boolean worthByWork, double overShareWorth, WeightKind weightKind, Reports reports,
+            boolean worthByWork, double overShareWorth, WeightKind weightKind, ReportMode reportMode,
             List<String> reportFields, List<ServiceClass> classes, List<Tenant> tenants, Limits limits,
             Rules rules, Goal goal, Prices prices) { }
 }
--- a/src/main/java/cranedeal/OverloadSigns.java
+++ b/src/main/java/cranedeal/OverloadSigns.java
@@ -52,7 +52,7 @@
      * held it up: then its timer is set anew.
      */
     void overdue(Attempt attempt, long token, double now) {
-        double dueAt = attempt.sentAt + actions.heldUp(attempt.call.id, attempt.number)
+        double dueAt = attempt.sentAt + actions.localDelay(attempt.call.id, attempt.number)
                 + strainedAfter(attempt.call);
         if (now < dueAt) {
             actions.setTimer(token, dueAt);
@@ -85,6 +85,6 @@
 
     /** Whether this process had spare time for at least a share of the time since a moment. */
     private boolean hadSpareTime(double since, double spareThen, double now) {
-        return actions.spareTime(now) - spareThen >= SPARE_SHARE * (now - since);
+        return actions.idleTime(now) - spareThen >= SPARE_SHARE * (now - since);
     }
 }
--- a/src/main/java/cranedeal/Placement.java
+++ b/src/main/java/cranedeal/Placement.java
@@ -42,7 +42,7 @@
 
     Placement(Upstream example, Rules rules, double origin) {
         this.zone = example.zone();
-        this.kind = example.kind();
+        this.kind = example.machineType();
         this.example = example;
         this.rules = rules;
         this.origin = origin;
--- a/src/main/java/cranedeal/PreferredSubset.java
+++ b/src/main/java/cranedeal/PreferredSubset.java
@@ -20,7 +20,7 @@
     private static final int SIZE = 8;
     private static final int ID_FACTOR = 31;
     private static final Comparator<Server> ORDER = Comparator.<Server>comparingInt(s -> s.listed.zone())
-            .thenComparingInt(s -> s.listed.kind()).thenComparingDouble(s -> s.shuffled)
+            .thenComparingInt(s -> s.listed.machineType()).thenComparingDouble(s -> s.shuffled)
             .thenComparingLong(s -> s.order);
 
     private final List<Server> ordered = new ArrayList<>();
--- a/src/main/java/cranedeal/ReadyServers.java
+++ b/src/main/java/cranedeal/ReadyServers.java
@@ -103,7 +103,8 @@
         server.preferred = false;
         server.bins = new int[classes.length];
         server.slots = new int[classes.length];
-        Placement placement = placements.computeIfAbsent((long) listed.zone() << Integer.SIZE | listed.kind(),
+        Placement placement = placements.computeIfAbsent(
+                (long) listed.zone() << Integer.SIZE | listed.machineType(),
                 key -> new Placement(listed, settings.rules(), now));
         server.placement = placement;
         placement.add(server, now);
--- a/src/main/java/cranedeal/Server.java
+++ b/src/main/java/cranedeal/Server.java
@@ -92,23 +92,23 @@
     }
 
     /** What a later process is to know of it. */
-    LoadBalancer.Learnt.OfUpstream learnt(double now) {
-        return new LoadBalancer.Learnt.OfUpstream(listed.id(), listed.startedAt(), startedAt,
+    LoadBalancer.WarmState.UpstreamState learnt(double now) {
+        return new LoadBalancer.WarmState.UpstreamState(listed.id(), listed.startedAt(), startedAt,
                 now - knownSince, latencySum, latencyCount, served, tries, servedOf.clone(),
                 triesOf.clone());
     }
 
     /** Takes in what was known at a time; for each class its place there, negative for one that is new. */
-    void recall(LoadBalancer.Learnt.OfUpstream old, double at, int[] places) {
-        latencySum = old.latencies();
+    void recall(LoadBalancer.WarmState.UpstreamState old, double at, int[] places) {
+        latencySum = old.latencySum();
         latencyCount = old.latencyCount();
-        served = old.servedInAll();
-        tries = old.triesInAll();
-        servedOf = old.served();
-        triesOf = old.tries();
+        served = old.totalServed();
+        tries = old.totalAttempts();
+        servedOf = old.servedByClass();
+        triesOf = old.attemptsByClass();
         retune(places);
         fadedAt = at;
-        knownSince = at - old.knownFor();
+        knownSince = at - old.observedFor();
     }
 
     /** Shows its machine type what was recalled of it, where that still weighs as much as a call. */
--- a/src/main/java/cranedeal/lab/slope/Chain.java
+++ b/src/main/java/cranedeal/lab/slope/Chain.java
@@ -363,7 +363,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] payload) {
+        public void sendToPeer(int peer, byte[] payload) {
             throw new IllegalStateException("balancers tell one another nothing");
         }
 
--- a/src/main/java/cranedeal/lab/slope/ChainSettings.java
+++ b/src/main/java/cranedeal/lab/slope/ChainSettings.java
@@ -1,11 +1,11 @@
 package cranedeal.lab.slope;
 
 import cranedeal.LoadBalancer.Goal;
-import cranedeal.LoadBalancer.Group;
+import cranedeal.LoadBalancer.DedupScope;
 import cranedeal.LoadBalancer.Limits;
 import cranedeal.LoadBalancer.Prices;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Reports;
+import cranedeal.LoadBalancer.Idempotency;
+import cranedeal.LoadBalancer.ReportMode;
 import cranedeal.LoadBalancer.Rules;
 import cranedeal.LoadBalancer.ServiceClass;
 import cranedeal.LoadBalancer.Settings;
@@ -31,10 +31,10 @@
 
     /** Of the balancer at a position in a tier; {@code tier} counts from 0, which clients reach. */
     public static Settings of(int tier, int tiers, int position, int siblings) {
-        ServiceClass lookUp = new ServiceClass("look-up", AIM_MS, 0, DEADLINE_MS, 1, 0, Repeat.IDEMPOTENT,
-                Group.ALL, 0, false, false, null, null);
+        ServiceClass lookUp = new ServiceClass("look-up", AIM_MS, 0, DEADLINE_MS, 1, 0,
+                Idempotency.IDEMPOTENT, DedupScope.ALL, 0, false, false, null, null);
         return new Settings(position, siblings, tier, tiers, 0, 1, 1, true, true, false, false, false, 0.1,
-                WeightKind.NONE, Reports.NONE, List.of(), List.of(lookUp), List.of(),
+                WeightKind.NONE, ReportMode.NONE, List.of(), List.of(lookUp), List.of(),
                 new Limits(4, 20_000, true, false, true, false, true, 2_000, CONNECT_TIMEOUT_MS, 30_000, 1, 0,
                         0),
                 new Rules(20, 2_000, 10_000, 0.25, 10_000, 3, 1_500, 0),
--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/cranedeal/node/Exchange.java
@@ -1,6 +1,6 @@
 package cranedeal.node;
 
-import cranedeal.LoadBalancer.Repeat;
+import cranedeal.LoadBalancer.Idempotency;
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.ServiceClass;
 import io.netty.buffer.ByteBuf;
@@ -97,12 +97,12 @@
         if (!isAwaited(now)) {
             return false;
         }
-        if (serviceClass.repeat() != Repeat.DEDUPLICATED) {
+        if (serviceClass.idempotency() != Idempotency.DEDUPLICATED) {
             return true;
         }
         for (int i = 0; i < attempts.size(); i++) {
             UpstreamClient.Attempt other = attempts.get(i);
-            if (i != number && other != null && now >= other.mayHaveRunFrom() + serviceClass.memory()) {
+            if (i != number && other != null && now >= other.mayHaveRunFrom() + serviceClass.dedupWindow()) {
                 return false;
             }
         }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -5,7 +5,7 @@
 import cranedeal.LoadBalancer;
 import cranedeal.LoadBalancer.Change;
 import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Reports;
+import cranedeal.LoadBalancer.ReportMode;
 import cranedeal.LoadBalancer.Request;
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.ServiceClass;
@@ -268,12 +268,12 @@
         }
     }
 
-    private LoadBalancer.Learnt learnt() {
+    private LoadBalancer.WarmState learnt() {
         try {
-            return balancer.learnt(clock.now());
+            return balancer.warmState(clock.now());
         } catch (RuntimeException e) {
             broken(null, e);
-            return LoadBalancer.Learnt.NOTHING;
+            return LoadBalancer.WarmState.EMPTY;
         }
     }
 
@@ -308,7 +308,7 @@
             Upstream listed = member.upstream();
             double startedAt = startTimes.of(listed.id(), listed.startedAt(), now, unix);
             entries.add(startedAt == listed.startedAt() ? listed : new Upstream(listed.id(), listed.zone(),
-                    listed.kind(), listed.cell(), listed.state(), listed.weight(), startedAt));
+                    listed.machineType(), listed.cell(), listed.state(), listed.weight(), startedAt));
         }
         return entries;
     }
@@ -424,8 +424,8 @@
         long upstream = UpstreamList.numericId(id);
         upstreams.ban(upstream, !used);
         tell(null, () -> {
-            balancer.upstreamBanned(clock.now(), upstream, !used);
-            figures.upstreamCounts(upstreams.listed(), balancer.avoided());
+            balancer.upstreamDisabled(clock.now(), upstream, !used);
+            figures.upstreamCounts(upstreams.listed(), balancer.excludedUpstreams());
         });
     }
 
@@ -592,7 +592,7 @@
         frontend.retune(replaced);
         // Before the module, which may begin to ask for itself.
         discovery.setPushed(!replaced.settings().subscribe());
-        tell(null, () -> balancer.retuned(clock.now(), replaced.settings()));
+        tell(null, () -> balancer.settingsChanged(clock.now(), replaced.settings()));
         discovery.moveTo(replaced.discovery());
         LOG.info("goes by a new configuration; discovery is at " + replaced.discovery());
     }
@@ -683,7 +683,7 @@
 
     private void listChanged(Change change, List<Upstream> entries) {
         balancer.upstreamsChanged(clock.now(), change, entries);
-        figures.upstreamCounts(upstreams.listed(), balancer.avoided());
+        figures.upstreamCounts(upstreams.listed(), balancer.excludedUpstreams());
     }
 
     /** Takes a request in; the node owns a reference to {@code message} from here on. */
@@ -710,7 +710,7 @@
         watch(exchange);
         exchange.deadline = Double.POSITIVE_INFINITY;
         exchange.arrivedAt = Double.NaN;
-        tell(exchange, () -> balancer.requestBegun(clock.now(), request));
+        tell(exchange, () -> balancer.requestStarted(clock.now(), request));
         exchange.upload.own(new Upload.Owner() {
             @Override
             public void arrived() {
@@ -780,7 +780,7 @@
             FullHttpResponse response) {
         exchange.running--;
         exchange.lastResult = result;
-        double[] report = response == null || config.settings().reports() != Reports.PIGGYBACK ? null
+        double[] report = response == null || config.settings().reportMode() != ReportMode.PIGGYBACK ? null
                 : LoadReport.parse(response.headers().get("X-Pressure"), config.settings().reportFields());
         if (exchange.isStreaming()) {
             if (result == Result.OK) {
@@ -836,8 +836,8 @@
     }
 
     /** What the module's decisions have cost so far. */
-    LoadBalancer.Work work() {
-        return balancer.work();
+    LoadBalancer.DecisionStats work() {
+        return balancer.stats();
     }
 
     // ---- What the module asks for ------------------------------------------------------------------
@@ -909,13 +909,13 @@
     }
 
     @Override
-    public double heldUp(long requestId, int attempt) {
+    public double localDelay(long requestId, int attempt) {
         Exchange exchange = exchanges.get(requestId);
         return exchange == null ? 0 : exchange.heldUp(attempt) + monitor.lag();
     }
 
     @Override
-    public double spareTime(double now) {
+    public double idleTime(double now) {
         return monitor.idleTime();
     }
 
@@ -972,7 +972,7 @@
 
     /** Balancers of this deployment have no way to talk to each other. */
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         LOG.warning("the module wants to talk to its peers, which it can't here");
     }
 
--- a/src/main/java/cranedeal/node/NodeMetrics.java
+++ b/src/main/java/cranedeal/node/NodeMetrics.java
@@ -61,7 +61,7 @@
     private volatile LoopDelay loopDelay = new LoopDelay(0, 0, 0, 0);
     private volatile Descriptors descriptors = new Descriptors(0, 0, 0, 0);
     private volatile ListInForce list = new ListInForce(0, 0);
-    private volatile LoadBalancer.Work work = LoadBalancer.Work.NONE;
+    private volatile LoadBalancer.DecisionStats work = LoadBalancer.DecisionStats.NONE;
     private final AtomicLong reloadSuccess = new AtomicLong();
     private final AtomicLong reloadFailure = new AtomicLong();
 
@@ -129,7 +129,7 @@
     }
 
     /** What the decisions have cost so far. */
-    void decisionWork(LoadBalancer.Work cost) {
+    void decisionWork(LoadBalancer.DecisionStats cost) {
         work = cost;
     }
 
@@ -195,7 +195,7 @@
         line(text, "list_in_force_ms", Math.round(list.tookMs()));
         line(text, "draws", work.draws());
         line(text, "draws_examined", work.examined());
-        line(text, "held", work.held());
+        line(text, "held", work.queued());
         line(text, "pressure_percent", Math.round(PERCENT * work.pressure()));
         line(text, "unserved_shed", work.unserved().shed());
         line(text, "unserved_no_upstream", work.unserved().noUpstream());
--- a/src/main/java/cranedeal/node/RequestParser.java
+++ b/src/main/java/cranedeal/node/RequestParser.java
@@ -1,6 +1,6 @@
 package cranedeal.node;
 
-import cranedeal.LoadBalancer.Repeat;
+import cranedeal.LoadBalancer.Idempotency;
 import cranedeal.LoadBalancer.Request;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -72,12 +72,12 @@
         if (headers.get("X-Txn", "").isBlank()) {
             throw new BadRequestException("X-Txn is missing");
         }
-        Repeat repeat = config.settings().classes().get(serviceClass).repeat();
+        Idempotency repeat = config.settings().classes().get(serviceClass).idempotency();
         boolean get = isGet(request);
-        if (get != (repeat == Repeat.IDEMPOTENT) || !get && !isPost(request)) {
+        if (get != (repeat == Idempotency.IDEMPOTENT) || !get && !isPost(request)) {
             throw new BadRequestException("the class wants another method");
         }
-        if (repeat == Repeat.DEDUPLICATED && headers.get("Idempotency-Key", "").isBlank()) {
+        if (repeat == Idempotency.DEDUPLICATED && headers.get("Idempotency-Key", "").isBlank()) {
             throw new BadRequestException("Idempotency-Key is missing");
         }
         String tenant = headers.get("X-Org");
--- a/src/main/java/cranedeal/node/WarmStateFile.java
+++ b/src/main/java/cranedeal/node/WarmStateFile.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import cranedeal.LoadBalancer.Learnt;
-import cranedeal.LoadBalancer.Learnt.OfClass;
-import cranedeal.LoadBalancer.Learnt.OfUpstream;
+import cranedeal.LoadBalancer.WarmState;
+import cranedeal.LoadBalancer.WarmState.ClassState;
+import cranedeal.LoadBalancer.WarmState.UpstreamState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -39,7 +39,7 @@
     }
 
     /** What was learnt, and when, in ms since 1970. */
-    record Snapshot(double savedAt, Learnt state) { }
+    record Snapshot(double savedAt, WarmState state) { }
 
     /** What was written last; null if nothing was. Throws {@link IOException} for what can't be trusted. */
     Snapshot read() throws IOException {
@@ -61,19 +61,19 @@
             throw new IOException(file + " has form " + root.path("form") + ", which is not known here");
         }
         try {
-            List<OfClass> classes = new ArrayList<>();
+            List<ClassState> classes = new ArrayList<>();
             for (JsonNode one : root.path("classes")) {
-                classes.add(new OfClass(one.path("name").asText(), number(one, "latency"),
+                classes.add(new ClassState(one.path("name").asText(), number(one, "latency"),
                         number(one, "hint"), number(one, "slow")));
             }
-            List<OfUpstream> upstreams = new ArrayList<>();
+            List<UpstreamState> upstreams = new ArrayList<>();
             for (JsonNode one : root.path("upstreams")) {
-                upstreams.add(new OfUpstream(one.path("id").longValue(), number(one, "listed"),
+                upstreams.add(new UpstreamState(one.path("id").longValue(), number(one, "listed"),
                         number(one, "started"), number(one, "known"), number(one, "latencies"),
                         number(one, "answers"), number(one, "served_all"), number(one, "tries_all"),
                         numbers(one, "served", classes.size()), numbers(one, "tries", classes.size())));
             }
-            return new Snapshot(number(root, "at"), new Learnt(classes, upstreams));
+            return new Snapshot(number(root, "at"), new WarmState(classes, upstreams));
         } catch (IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
@@ -85,7 +85,7 @@
         AtomicFile.replace(folder.resolve(FILE), encode(kept.savedAt(), bounded(kept.state())));
     }
 
-    private static byte[] encode(double at, Learnt learnt) throws IOException {
+    private static byte[] encode(double at, WarmState learnt) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.write(new byte[SUM]);
         try (JsonGenerator json = NodeConfig.JSON.createGenerator(bytes)) {
@@ -93,7 +93,7 @@
             json.writeNumberField("form", FORM);
             json.writeNumberField("at", at);
             json.writeArrayFieldStart("classes");
-            for (OfClass one : learnt.classes()) {
+            for (ClassState one : learnt.classes()) {
                 json.writeStartObject();
                 json.writeStringField("name", one.name());
                 json.writeNumberField("latency", one.latency());
@@ -103,7 +103,7 @@
             }
             json.writeEndArray();
             json.writeArrayFieldStart("upstreams");
-            for (OfUpstream one : learnt.upstreams()) {
+            for (UpstreamState one : learnt.upstreams()) {
                 write(one, json);
             }
             json.writeEndArray();
@@ -114,32 +114,32 @@
         return whole;
     }
 
-    private static void write(OfUpstream one, JsonGenerator json) throws IOException {
+    private static void write(UpstreamState one, JsonGenerator json) throws IOException {
         json.writeStartObject();
         json.writeNumberField("id", one.id());
-        json.writeNumberField("listed", one.listedStart());
+        json.writeNumberField("listed", one.listedStartedAt());
         json.writeNumberField("started", one.startedAt());
-        json.writeNumberField("known", one.knownFor());
-        json.writeNumberField("latencies", one.latencies());
+        json.writeNumberField("known", one.observedFor());
+        json.writeNumberField("latencies", one.latencySum());
         json.writeNumberField("answers", one.latencyCount());
-        json.writeNumberField("served_all", one.servedInAll());
-        json.writeNumberField("tries_all", one.triesInAll());
+        json.writeNumberField("served_all", one.totalServed());
+        json.writeNumberField("tries_all", one.totalAttempts());
         json.writeFieldName("served");
-        json.writeArray(one.served(), 0, one.served().length);
+        json.writeArray(one.servedByClass(), 0, one.servedByClass().length);
         json.writeFieldName("tries");
-        json.writeArray(one.tries(), 0, one.tries().length);
+        json.writeArray(one.attemptsByClass(), 0, one.attemptsByClass().length);
         json.writeEndObject();
     }
 
-    private static Learnt bounded(Learnt all) {
+    private static WarmState bounded(WarmState all) {
         if (all.classes().size() > MOST_CLASSES) {
-            return Learnt.NOTHING;
+            return WarmState.EMPTY;
         }
         if (all.upstreams().size() <= MAX_UPSTREAMS) {
             return all;
         }
-        return new Learnt(all.classes(), all.upstreams().stream()
-                .sorted(Comparator.comparingDouble(OfUpstream::triesInAll).reversed())
+        return new WarmState(all.classes(), all.upstreams().stream()
+                .sorted(Comparator.comparingDouble(UpstreamState::totalAttempts).reversed())
                 .limit(MAX_UPSTREAMS).toList());
     }
 
--- a/src/main/java/cranedeal/node/WarmStateSaver.java
+++ b/src/main/java/cranedeal/node/WarmStateSaver.java
@@ -1,7 +1,7 @@
 package cranedeal.node;
 
 import cranedeal.LoadBalancer;
-import cranedeal.LoadBalancer.Learnt;
+import cranedeal.LoadBalancer.WarmState;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.concurrent.Executor;
@@ -48,7 +48,7 @@
     void recall(WarmStateFile.Snapshot kept, LoadBalancer balancer) {
         double now = clock.now();
         double age = now - kept.savedAt();
-        balancer.recall(now, kept.state(), age);
+        balancer.restoreWarmState(now, kept.state(), age);
         Node.LOG.info(String.format("recalls what was learnt %.0f ms ago of %d upstreams", age,
                 kept.state().upstreams().size()));
     }
@@ -60,11 +60,11 @@
      * @param writer where a disk may be waited for
      * @param last whether this is the last of the processes of its balancer, whose word counts
      */
-    void keep(EventLoop loop, Executor writer, Supplier<Learnt> learnt, BooleanSupplier last) {
+    void keep(EventLoop loop, Executor writer, Supplier<WarmState> learnt, BooleanSupplier last) {
         again(LEAST_EVERY_MS, loop, writer, learnt, last);
     }
 
-    private void again(long afterMs, EventLoop loop, Executor writer, Supplier<Learnt> learnt,
+    private void again(long afterMs, EventLoop loop, Executor writer, Supplier<WarmState> learnt,
             BooleanSupplier last) {
         if (loop.isShuttingDown()) {
             return;
--- a/src/main/java/cranedeal/wire/ReplyWriter.java
+++ b/src/main/java/cranedeal/wire/ReplyWriter.java
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         if (payload.length > MAX_PEER_BYTES) {
             throw new IllegalArgumentException("a peer message holds " + MAX_PEER_BYTES + " bytes at most");
         }
--- a/src/main/java/cranedeal/wire/SettingsParser.java
+++ b/src/main/java/cranedeal/wire/SettingsParser.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.function.Function;
 import cranedeal.LoadBalancer.Goal;
-import cranedeal.LoadBalancer.Group;
+import cranedeal.LoadBalancer.DedupScope;
 import cranedeal.LoadBalancer.Limits;
 import cranedeal.LoadBalancer.Prices;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Reports;
+import cranedeal.LoadBalancer.Idempotency;
+import cranedeal.LoadBalancer.ReportMode;
 import cranedeal.LoadBalancer.Rules;
 import cranedeal.LoadBalancer.ServiceClass;
 import cranedeal.LoadBalancer.Settings;
@@ -67,18 +67,19 @@
                 number("overShareWorth", 1),
                 choice("weightKind", Map.of("silent", WeightKind.NONE, "nominal", WeightKind.NOMINAL,
                         "rough", WeightKind.ROUGH, "live", WeightKind.LIVE)),
-                choice("stats.how", Map.of("piggyback", Reports.PIGGYBACK, "pull", Reports.PROBE,
-                        "silent", Reports.NONE)),
+                choice("stats.how", Map.of("piggyback", ReportMode.PIGGYBACK, "pull", ReportMode.PROBE,
+                        "silent", ReportMode.NONE)),
                 names("stats.fields"), items("services", this::serviceClass), items("tenants", this::tenant),
                 limits(), rules(), goal(), prices());
     }
 
     private ServiceClass serviceClass(String path) {
-        Repeat repeat = choice(path + "idempotency", Map.of("idempotent", Repeat.IDEMPOTENT,
-                "deduplicated", Repeat.DEDUPLICATED, "at_most_once", Repeat.AT_MOST_ONCE));
-        boolean deduplicated = repeat == Repeat.DEDUPLICATED;
-        Group group = deduplicated ? choice(path + "group",
-                Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL)) : Group.ALL;
+        Idempotency repeat = choice(path + "idempotency", Map.of("idempotent", Idempotency.IDEMPOTENT,
+                "deduplicated", Idempotency.DEDUPLICATED, "at_most_once", Idempotency.AT_MOST_ONCE));
+        boolean deduplicated = repeat == Idempotency.DEDUPLICATED;
+        DedupScope group = deduplicated ? choice(path + "group",
+                Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL))
+                : DedupScope.ALL;
         return new ServiceClass(text(path + "name"), number(path + "aim"), number(path + "aimStretch", 0),
                 number(path + "deadline"), number(path + "worth"), number(path + "lateValue"), repeat, group,
                 deduplicated ? number(path + "memorySpan") : 0, bool(path + "streamed"),
--- a/src/test/java/cranedeal/Bench.java
+++ b/src/test/java/cranedeal/Bench.java
@@ -49,7 +49,7 @@
 
     /** What it has learnt becomes the opinion of another instance, some time later. */
     void learnFrom(Bench earlier, double age) {
-        balancer.recall(now, earlier.balancer.learnt(earlier.now), age);
+        balancer.restoreWarmState(now, earlier.balancer.warmState(earlier.now), age);
     }
 
     void list(Change change, Sites.Server... servers) {
@@ -57,20 +57,20 @@
     }
 
     void ban(long upstream, boolean banned) {
-        balancer.upstreamBanned(now, upstream, banned);
+        balancer.upstreamDisabled(now, upstream, banned);
     }
 
     void retune(Settings replaced) {
         settings = replaced;
-        balancer.retuned(now, replaced);
+        balancer.settingsChanged(now, replaced);
     }
 
-    LoadBalancer.Work work() {
-        return balancer.work();
+    LoadBalancer.DecisionStats work() {
+        return balancer.stats();
     }
 
     int avoided() {
-        return balancer.avoided();
+        return balancer.excludedUpstreams();
     }
 
     void request(long id, int serviceClass) {
@@ -119,7 +119,7 @@
     /** A request whose body is still to come, with the whole deadline of its class. */
     void begin(long id, int serviceClass) {
         open.add(id);
-        balancer.requestBegun(now, new Request(id, serviceClass, 0, id,
+        balancer.requestStarted(now, new Request(id, serviceClass, 0, id,
                 now + settings.classes().get(serviceClass).deadline(), 0, false, false));
     }
 
@@ -209,7 +209,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         throw new AssertionError("no site of these tests has peers");
     }
 
--- a/src/test/java/cranedeal/ColdFleet.java
+++ b/src/test/java/cranedeal/ColdFleet.java
@@ -301,7 +301,7 @@
 
         void ban(boolean banned) {
             machines.subList(0, its.cold()).forEach(machine ->
-                    balancer.upstreamBanned(now, machine.id, banned));
+                    balancer.upstreamDisabled(now, machine.id, banned));
         }
 
         void arrive() {
@@ -396,7 +396,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] payload) {
+        public void sendToPeer(int peer, byte[] payload) {
             throw new AssertionError("no site of these tests has peers");
         }
 
--- a/src/test/java/cranedeal/KeyedAttemptTimeTest.java
+++ b/src/test/java/cranedeal/KeyedAttemptTimeTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Group;
-import cranedeal.LoadBalancer.Repeat;
+import cranedeal.LoadBalancer.DedupScope;
+import cranedeal.LoadBalancer.Idempotency;
 import cranedeal.LoadBalancer.Result;
 import org.junit.jupiter.api.Test;
 
@@ -16,8 +16,8 @@
     private static final double WINDOW_MS = 5_000;
 
     private static Bench bench() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.DEDUPLICATED).group(Group.CELL).memory(WINDOW_MS)
-                .lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.DEDUPLICATED).group(DedupScope.CELL)
+                .memory(WINDOW_MS).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         return bench;
     }
--- a/src/test/java/cranedeal/ModuleTest.java
+++ b/src/test/java/cranedeal/ModuleTest.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Group;
-import cranedeal.LoadBalancer.Repeat;
+import cranedeal.LoadBalancer.DedupScope;
+import cranedeal.LoadBalancer.Idempotency;
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.Settings;
 import cranedeal.LoadBalancer.State;
@@ -60,7 +60,7 @@
 
     @Test
     void aHungServerLosesItsShareBeforeItsCallsTimeOut() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 5);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 5);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         int hung = 0;
         for (int i = 0; i < 600; i++) {
@@ -78,7 +78,7 @@
 
     @Test
     void oneOverdueCallIsEnoughToAvoidItsServer() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 5);
+        Bench bench = new Bench(Sites.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).build(), 5);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(0, 0);
         long hung = bench.lastSend().upstream();
@@ -94,7 +94,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFails() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.TIMEOUT);
@@ -105,7 +105,7 @@
 
     @Test
     void anUnsafeRequestThatProvablyNeverRanIsSentAgain() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.FULL);
@@ -115,7 +115,7 @@
 
     @Test
     void aKeyedRequestStaysInItsGroupAndWindow() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.DEDUPLICATED).group(Group.CELL)
+        Bench bench = new Bench(Sites.plain().tier(1).repeat(Idempotency.DEDUPLICATED).group(DedupScope.CELL)
                 .memory(500).build(), 1);
         bench.list(Change.CACHED, Sites.server(1).cell(0), Sites.server(2).cell(0), Sites.server(3).cell(1));
         for (int i = 0; i < 50; i++) {
@@ -317,8 +317,8 @@
 
     @Test
     void aColdServerIsNotStarvedWhileWorkIsRefused() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Repeat.AT_MOST_ONCE).retriesMarked(true)
-                .build(), 4);
+        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Idempotency.AT_MOST_ONCE)
+                .retriesMarked(true).build(), 4);
         bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2), Sites.server(3));
         int toCold = 0;
         Bench.Sent done = null;
@@ -462,7 +462,7 @@
 
     @Test
     void whatIsLateWhileLaterOnesAreServedWellIsNoSignOfOverload() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
         List<Bench.Sent> silent = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
@@ -483,7 +483,7 @@
 
     @Test
     void pressureGoesByItselfWhereThinTrafficBringsNoSigns() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 100; i++) {
             bench.request(i, 0);
@@ -531,7 +531,7 @@
 
     @Test
     void aWaitForRoomIsOneSignOfOverloadHoweverLong() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 0; i < 4; i++) {
             bench.request(i, 0);
@@ -549,7 +549,7 @@
 
     @Test
     void requestsWaitForAFullServerRatherThanGoToAFailingOne() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int failing = 0;
         for (int i = 0; i < 600; i++) {
@@ -614,7 +614,7 @@
 
     @Test
     void overloadIsFeltWhileCallsAreStillOut() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int i = 0;
         for (; i < 40; i++) {
@@ -717,7 +717,7 @@
 
     @Test
     void workStopsAtTheAimWhereALateAnswerIsWorthNothing() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         bench.request(1, 0);
         assertEquals(Sites.AIM, bench.lastSend().timeout());
@@ -756,7 +756,7 @@
 
     @Test
     void aMachineTypeThatFailsIsAvoidedAlsoAtServersNotYetTried() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 3);
+        Bench bench = new Bench(Sites.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).build(), 3);
         Sites.Server[] list = new Sites.Server[80];
         for (int i = 0; i < list.length; i++) {
             list[i] = Sites.server(i + 1).kind(i % 2);
@@ -833,7 +833,7 @@
 
     @Test
     void aWaitingRequestIsAnsweredInTime() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().inOrder(true).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
@@ -998,7 +998,7 @@
 
     @Test
     void noTimeCountsWhileABodyIsOnItsWay() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 7);
+        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 7);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 0; i < 20; i++) {
             bench.begin(i, 0);
@@ -1048,15 +1048,17 @@
         List<LoadBalancer.ServiceClass> classes = Arrays.stream(names).map(name -> {
             LoadBalancer.ServiceClass c = given.classes().get(0);
             return new LoadBalancer.ServiceClass(name, c.aim(), c.aimStretch(), c.deadline(), c.worth(),
-                    c.lateWorth(), c.repeat(), c.group(), c.memory(), c.streamed(), c.inOrder(), c.zones(),
-                    c.kinds());
+                    c.lateWorth(), c.idempotency(), c.dedupScope(), c.dedupWindow(), c.streamed(),
+                    c.inOrder(), c.zones(), c.machineTypes());
         }).toList();
         LoadBalancer.Limits l = given.limits();
         return new Settings(given.position(), given.siblings(), given.tier(), given.tiers(), given.zone(),
-                given.zones(), given.kinds(), given.subscribe(), given.passesDeadline(), given.warmKeys(),
+                given.zones(), given.machineTypes(), given.subscribe(), given.passesDeadline(),
+                given.warmKeys(),
                 given.retriesMarked(), given.worthByWork(), given.overShareWorth(), given.weightKind(),
-                given.reports(), given.reportFields(), classes, given.tenants(),
-                new LoadBalancer.Limits(maxAttempts, l.maxOpen(), l.cancel(), l.parallel(), l.probes(),
+                given.reportMode(), given.reportFields(), classes, given.tenants(),
+                new LoadBalancer.Limits(maxAttempts, l.maxOpen(), l.cancel(), l.parallelAttempts(),
+                        l.probes(),
                         l.peers(), l.retryAfter(), l.maxRetryAfter(), l.connectTimeout(), l.connectionIdle(),
                         l.streamsPerConnection(), l.cpuPerRequest(), l.cpuPerSecond()),
                 given.rules(), given.goal(), given.prices());
--- a/src/test/java/cranedeal/RandomEventsTest.java
+++ b/src/test/java/cranedeal/RandomEventsTest.java
@@ -13,8 +13,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Group;
-import cranedeal.LoadBalancer.Repeat;
+import cranedeal.LoadBalancer.DedupScope;
+import cranedeal.LoadBalancer.Idempotency;
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.State;
 
@@ -56,8 +56,8 @@
             Result.CONNECT_FAILED, Result.RESET, Result.NOT_SENT};
 
         private final SplittableRandom random;
-        private final Repeat repeat;
-        private final Group group;
+        private final Idempotency repeat;
+        private final DedupScope group;
         private final boolean parallel;
         private final boolean streamed;
         private final boolean inOrder;
@@ -86,8 +86,8 @@
 
         Driver(long seed) {
             random = new SplittableRandom(seed);
-            repeat = Repeat.values()[random.nextInt(3)];
-            group = Group.values()[random.nextInt(3)];
+            repeat = Idempotency.values()[random.nextInt(3)];
+            group = DedupScope.values()[random.nextInt(3)];
             parallel = random.nextBoolean();
             streamed = random.nextInt(4) == 0;
             inOrder = !streamed && random.nextBoolean();
@@ -263,8 +263,9 @@
                 long id = bench.refused.get(refusedSeen);
                 boolean maybeRun = byRequest.getOrDefault(id, List.of()).stream()
                         .anyMatch(s -> !provenUnrun.contains(s));
-                assertTrue(!maybeRun || repeat == Repeat.IDEMPOTENT
-                        || repeat == Repeat.DEDUPLICATED && group == Group.ALL, where + ": refused " + id);
+                assertTrue(!maybeRun || repeat == Idempotency.IDEMPOTENT
+                        || repeat == Idempotency.DEDUPLICATED && group == DedupScope.ALL,
+                        where + ": refused " + id);
             }
             Set<Long> answered = new HashSet<>(servedOrGone);
             for (long id : bench.refused) {
@@ -289,13 +290,13 @@
             assertTrue(earlier.size() < 4, where + ": too many attempts");
             assertTrue(parallel || earlier.stream().noneMatch(out::contains), where + ": two at once");
             for (Bench.Sent before : earlier) {
-                if (provenUnrun.contains(before) || repeat == Repeat.IDEMPOTENT) {
+                if (provenUnrun.contains(before) || repeat == Idempotency.IDEMPOTENT) {
                     continue;
                 }
-                assertTrue(repeat == Repeat.DEDUPLICATED, where + ": unsafe repeated");
+                assertTrue(repeat == Idempotency.DEDUPLICATED, where + ": unsafe repeated");
                 assertTrue(sent.at() <= before.at() + 700, where + ": outside the window");
                 int was = (int) before.upstream() - 1;
-                assertTrue(group == Group.ALL || (group == Group.ZONE ? was % 2 == server % 2
+                assertTrue(group == DedupScope.ALL || (group == DedupScope.ZONE ? was % 2 == server % 2
                         : was / 2 == server / 2), where + ": outside the group");
             }
         }
--- a/src/test/java/cranedeal/Sites.java
+++ b/src/test/java/cranedeal/Sites.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import cranedeal.LoadBalancer.Goal;
-import cranedeal.LoadBalancer.Group;
+import cranedeal.LoadBalancer.DedupScope;
 import cranedeal.LoadBalancer.Limits;
 import cranedeal.LoadBalancer.Prices;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Reports;
+import cranedeal.LoadBalancer.Idempotency;
+import cranedeal.LoadBalancer.ReportMode;
 import cranedeal.LoadBalancer.Rules;
 import cranedeal.LoadBalancer.ServiceClass;
 import cranedeal.LoadBalancer.Settings;
@@ -74,8 +74,8 @@
     }
 
     static final class Builder {
-        private Repeat repeat = Repeat.IDEMPOTENT;
-        private Group group = Group.ALL;
+        private Idempotency repeat = Idempotency.IDEMPOTENT;
+        private DedupScope group = DedupScope.ALL;
         private double memory = 5_000;
         private double lateWorth = 0.5;
         private boolean parallel;
@@ -110,12 +110,12 @@
             return this;
         }
 
-        Builder repeat(Repeat value) {
+        Builder repeat(Idempotency value) {
             repeat = value;
             return this;
         }
 
-        Builder group(Group value) {
+        Builder group(DedupScope value) {
             group = value;
             return this;
         }
@@ -188,7 +188,7 @@
                             streamed, inOrder, null, null));
             return new Settings(position, siblings, tier, 3, 0, 2, 2, subscribe, true, false,
                     retriesMarked, false,
-                    0.1, WeightKind.NONE, Reports.NONE, List.of(), classes, List.of(),
+                    0.1, WeightKind.NONE, ReportMode.NONE, List.of(), classes, List.of(),
                     new Limits(4, 1_000, true, parallel, false, false, true, 2_000, 100, 30_000, 1, 0,
                             800_000),
                     new Rules(20, 500, 10_000, startCapacity, 10_000, 3, 1_500, 100),
--- a/src/test/java/cranedeal/SizeBenchmark.java
+++ b/src/test/java/cranedeal/SizeBenchmark.java
@@ -62,7 +62,7 @@
         public void setTimer(long token, double at) { }
 
         @Override
-        public void tell(int peer, byte[] payload) { }
+        public void sendToPeer(int peer, byte[] payload) { }
 
         @Override
         public void log(String text) { }
--- a/src/test/java/cranedeal/WorkPerEventTest.java
+++ b/src/test/java/cranedeal/WorkPerEventTest.java
@@ -70,11 +70,11 @@
             bench.request(1_000 + i, 0);
         }
         // One is held already: the first that found no room.
-        assertEquals(HELD + 1, bench.work().held());
+        assertEquals(HELD + 1, bench.work().queued());
         long alarms = bench.alarmsSet;
         long draws = bench.work().draws();
         bench.advance(400);
-        assertEquals(HELD + 1, bench.work().held());
+        assertEquals(HELD + 1, bench.work().queued());
         assertTrue(bench.alarmsSet - alarms <= HELD, bench.alarmsSet - alarms + " timers were set");
         assertTrue(bench.work().draws() - draws <= HELD, bench.work().draws() - draws + " draws");
         // What they wait for wakes them: each that ends makes room for the next.
--- a/src/test/java/cranedeal/node/CallerGoneTest.java
+++ b/src/test/java/cranedeal/node/CallerGoneTest.java
@@ -355,7 +355,7 @@
             // What is beyond the limit of requests sent ahead is thrown away, not left unread before the end.
             Script.next(stage.script.gone);
             upstream.write(Stage.ok("nobody waits"));
-            assertTrue(Script.next(stage.script.outcomes).closed());
+            assertTrue(Script.next(stage.script.outcomes).requestClosed());
             stage.settle();
             stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
             Peer other = stage.caller();
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -149,7 +149,7 @@
             caller.close();
             assertEquals(1, Script.next(stage.script.gone));
             upstream.write(Stage.ok("nobody waits"));
-            assertTrue(Script.next(stage.script.outcomes).closed());
+            assertTrue(Script.next(stage.script.outcomes).requestClosed());
             stage.script.onRequest = request -> stage.script.actions.fail(request.id());
             Peer other = stage.caller();
             other.write(Stage.get("2", "10"));
--- a/src/test/java/cranedeal/node/LateLookTest.java
+++ b/src/test/java/cranedeal/node/LateLookTest.java
@@ -97,7 +97,7 @@
             goOn.countDown();
             // The second attempt is over without having begun, and nobody waits any more.
             Script.next(stage.script.outcomes);
-            assertTrue(Script.next(stage.script.outcomes).closed());
+            assertTrue(Script.next(stage.script.outcomes).requestClosed());
             stage.script.onRequest = request -> stage.script.sendTo(1, request, 0);
             stage.caller().write(Stage.get("2", "10"));
             assertEquals("2", stage.upstreams.get(1).accept().read().header("X-Txn"));
--- a/src/test/java/cranedeal/node/ListBenchmark.java
+++ b/src/test/java/cranedeal/node/ListBenchmark.java
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] payload) {
+        public void sendToPeer(int peer, byte[] payload) {
             // There are no peers.
         }
 
--- a/src/test/java/cranedeal/node/ReloadBenchmark.java
+++ b/src/test/java/cranedeal/node/ReloadBenchmark.java
@@ -87,7 +87,7 @@
         LoadBalancer balancer = ListBenchmark.module(inForce.settings(), upstreams);
         read.put(size, () -> NodeConfig.read(file.toString(), inForce, null));
         take.put(size, () -> {
-            balancer.retuned(1e6, inForce.settings());
+            balancer.settingsChanged(1e6, inForce.settings());
             return balancer;
         });
     }
--- a/src/test/java/cranedeal/node/Script.java
+++ b/src/test/java/cranedeal/node/Script.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void upstreamBanned(double now, long upstream, boolean isBanned) {
+    public void upstreamDisabled(double now, long upstream, boolean isBanned) {
         if (isBanned) {
             banned.add(upstream);
         } else {
@@ -93,7 +93,7 @@
     public void attemptFinished(double now, Outcome outcome) {
         outcomes.add(outcome);
         onOutcome.accept(outcome);
-        if (!outcome.closed()) {
+        if (!outcome.requestClosed()) {
             onOpen.accept(actions, outcome);
         }
     }
--- a/src/test/java/cranedeal/node/VirtualLoop.java
+++ b/src/test/java/cranedeal/node/VirtualLoop.java
@@ -95,7 +95,7 @@
     }
 
     double pressure() {
-        return balancer.work().pressure();
+        return balancer.stats().pressure();
     }
 
     /** Goes on until a time. */
@@ -182,13 +182,13 @@
     }
 
     @Override
-    public double heldUp(long requestId, int attempt) {
+    public double localDelay(long requestId, int attempt) {
         List<Sent> sent = attempts.get(requestId);
         return sent == null || attempt >= sent.size() ? 0 : sent.get(attempt).heldUp + lateness;
     }
 
     @Override
-    public double spareTime(double at) {
+    public double idleTime(double at) {
         return spare;
     }
 
@@ -223,7 +223,7 @@
     public void watch(boolean on) { }
 
     @Override
-    public void tell(int peer, byte[] payload) { }
+    public void sendToPeer(int peer, byte[] payload) { }
 
     @Override
     public void log(String text) { }
--- a/src/test/java/cranedeal/node/WarmStateFileTest.java
+++ b/src/test/java/cranedeal/node/WarmStateFileTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import cranedeal.LoadBalancer.Learnt;
-import cranedeal.LoadBalancer.Learnt.OfClass;
-import cranedeal.LoadBalancer.Learnt.OfUpstream;
+import cranedeal.LoadBalancer.WarmState;
+import cranedeal.LoadBalancer.WarmState.ClassState;
+import cranedeal.LoadBalancer.WarmState.UpstreamState;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -25,15 +25,15 @@
     @TempDir
     private Path folder;
 
-    private static OfUpstream upstream(int id) {
-        return new OfUpstream(id - 5L, 17, 18.5, 900, 3.25, 4, id, id + 1, new double[] {1, 2},
+    private static UpstreamState upstream(int id) {
+        return new UpstreamState(id - 5L, 17, 18.5, 900, 3.25, 4, id, id + 1, new double[] {1, 2},
                 new double[] {id, 0.1});
     }
 
     private static WarmStateFile.Snapshot kept(int upstreams) {
         return new WarmStateFile.Snapshot(1e12 + 0.5,
-                new Learnt(List.of(new OfClass("look \"up\"", 7, 0, 2.5),
-                new OfClass("book", 1e-9, 3, 10)), IntStream.range(0, upstreams)
+                new WarmState(List.of(new ClassState("look \"up\"", 7, 0, 2.5),
+                new ClassState("book", 1e-9, 3, 10)), IntStream.range(0, upstreams)
                         .mapToObj(WarmStateFileTest::upstream).toList()));
     }
 
@@ -48,7 +48,7 @@
         assertEquals(kept(2).state().classes(), read.state().classes());
         assertEquals(-4, read.state().upstreams().get(1).id());
         assertEquals(18.5, read.state().upstreams().get(1).startedAt());
-        assertArrayEquals(new double[] {1, 0.1}, read.state().upstreams().get(1).tries());
+        assertArrayEquals(new double[] {1, 0.1}, read.state().upstreams().get(1).attemptsByClass());
         Path path = folder.resolve("made/learnt");
         byte[] whole = Files.readAllBytes(path);
         for (int at = 0; at < whole.length; at++) {
@@ -84,9 +84,9 @@
     void ofManyUpstreamsThoseAreKeptThatMostIsKnownOf() throws IOException {
         WarmStateFile file = new WarmStateFile(folder);
         file.write(kept(100_000));
-        List<OfUpstream> read = file.read().state().upstreams();
+        List<UpstreamState> read = file.read().state().upstreams();
         assertEquals(WarmStateFile.MAX_UPSTREAMS, read.size());
         assertEquals(100_000 - WarmStateFile.MAX_UPSTREAMS,
-                read.stream().mapToDouble(OfUpstream::servedInAll).min().orElseThrow());
+                read.stream().mapToDouble(UpstreamState::totalServed).min().orElseThrow());
     }
 }
