--- a/src/main/java/cranedeal/fleet/command/ConfigCommand.java
+++ b/src/main/java/cranedeal/fleet/command/ConfigCommand.java
@@ -89,7 +89,7 @@
 
     static void requireAddress(String address) throws CommandException {
         if (!address.matches("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}")) {
-            throw new CommandException(Program.WRONG_USE, "'" + address + "' is no address with a port");
+            throw new CommandException(Program.USAGE_ERROR, "'" + address + "' is no address with a port");
         }
     }
 
@@ -108,9 +108,9 @@
             document = Files.readAllBytes(file);
             ConfigDocument.parse(document);
         } catch (IOException e) {
-            throw new CommandException(Program.WRONG_USE, "cannot read " + file + ": " + e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, "cannot read " + file + ": " + e.getMessage());
         } catch (ConfigDocument.BadDocumentException e) {
-            throw new CommandException(Program.WRONG_USE, file + ": " + e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, file + ": " + e.getMessage());
         }
         return change(to, ConfigCalls.PUBLISH + operation.query(), document, operation.id);
     }
@@ -130,7 +130,7 @@
                     + " fleet, and when the one that led is lost. Exit code 0: it leads; 1: it does not.")
     private int takeOver(@Mixin To to) throws CommandException {
         if (to.addresses().size() > 1) {
-            throw new CommandException(Program.WRONG_USE, "one coordinator can lead; --to names "
+            throw new CommandException(Program.USAGE_ERROR, "one coordinator can lead; --to names "
                     + to.addresses().size());
         }
         Answer answer = ask(to.addresses().get(0), ConfigCalls.TAKE_OVER, new byte[0]);
@@ -189,7 +189,7 @@
                 : "it was not published: " + last.why() + (silent.contains(last.json().path("leader")
                 .asText()) ? " and does not answer; see fleet config take-over" : "")
                 + (unsure ? again : ""));
-        return done ? 0 : last.status() == 400 ? Program.WRONG_USE : 1;
+        return done ? 0 : last.status() == 400 ? Program.USAGE_ERROR : 1;
     }
 
     private void tell(To to, Answer answer, String line) throws CommandException {
@@ -201,7 +201,7 @@
         } else if (answer.status() == 200) {
             out.println(line);
         } else {
-            throw new CommandException(answer.status() == 400 ? Program.WRONG_USE : 1, line);
+            throw new CommandException(answer.status() == 400 ? Program.USAGE_ERROR : 1, line);
         }
         out.flush();
     }
--- a/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
+++ b/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
@@ -103,7 +103,7 @@
     }
 
     private CommandException wrong(String why) {
-        return new CommandException(Program.WRONG_USE, (file == null ? "" : file + ": ") + why);
+        return new CommandException(Program.USAGE_ERROR, (file == null ? "" : file + ": ") + why);
     }
 
     private JsonNode read() throws CommandException {
@@ -123,7 +123,7 @@
             }
             return given;
         } catch (IOException e) {
-            throw new CommandException(Program.WRONG_USE, "cannot read " + file + ": "
+            throw new CommandException(Program.USAGE_ERROR, "cannot read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
     }
--- a/src/main/java/cranedeal/fleet/command/MembersCommand.java
+++ b/src/main/java/cranedeal/fleet/command/MembersCommand.java
@@ -51,7 +51,7 @@
         try {
             request = request(address);
         } catch (IllegalArgumentException e) {
-            throw new CommandException(Program.WRONG_USE, "'" + address + "' is no address with a port");
+            throw new CommandException(Program.USAGE_ERROR, "'" + address + "' is no address with a port");
         }
         JsonNode view = ask(request).join();
         if (view == null) {
--- a/src/main/java/cranedeal/fleet/command/Program.java
+++ b/src/main/java/cranedeal/fleet/command/Program.java
@@ -21,7 +21,7 @@
 public final class Program implements Callable<Integer> {
 
     /** The command was given a file or a value that it can't use. */
-    public static final int WRONG_USE = CommandLine.ExitCode.USAGE;
+    public static final int USAGE_ERROR = CommandLine.ExitCode.USAGE;
     private static final int WIDTH = 100;
 
     @Spec
@@ -36,10 +36,10 @@
     }
 
     /** A role that the caller brings along. */
-    public record Brought(String description, Callable<Integer> start) { }
+    public record SuppliedCommand(String description, Callable<Integer> start) { }
 
     /** Runs what the arguments name, and returns the exit code. */
-    public static int run(Map<String, Brought> brought, String... args) {
+    public static int run(Map<String, SuppliedCommand> brought, String... args) {
         CommandLine line = new CommandLine(new Program());
         brought.forEach((name, role) -> line.addSubcommand(name, describe(role)));
         ServiceLoader.load(Role.class).forEach(line::addSubcommand);
@@ -48,7 +48,7 @@
             CommandLine command = wrong.getCommandLine();
             command.getErr().println("sablehinge: " + wrong.getMessage().lines().findFirst().orElse("")
                     + "; see " + command.getCommandSpec().qualifiedName() + " --help");
-            return WRONG_USE;
+            return USAGE_ERROR;
         });
         line.setExecutionExceptionHandler((failure, command, parsed) -> {
             if (failure instanceof CommandException told) {
@@ -60,7 +60,7 @@
         return line.execute(args);
     }
 
-    private static CommandSpec describe(Brought role) {
+    private static CommandSpec describe(SuppliedCommand role) {
         return CommandSpec.wrapWithoutInspection(role.start())
                 .usageMessage(new UsageMessageSpec().description(role.description()))
                 .mixinStandardHelpOptions(true);
--- a/src/main/java/cranedeal/fleet/command/StoreCommand.java
+++ b/src/main/java/cranedeal/fleet/command/StoreCommand.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.Limits;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
 import cranedeal.fleet.store.Repair;
 import cranedeal.fleet.store.Store;
-import cranedeal.fleet.store.StoreReader;
+import cranedeal.fleet.store.ReplayHandler;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.ByteBuffer;
@@ -47,7 +47,7 @@
     private int verify(@Parameters(paramLabel = "FOLDER") Path folder,
             @Option(names = "--json", description = "Answer in JSON.") boolean json) throws CommandException {
         try {
-            Store.Figures figures = Repair.verify(disk(folder), Limits.USUAL, new Nobody());
+            Store.Stats figures = Repair.verify(disk(folder), StoreLimits.DEFAULT, new Nobody());
             if (json) {
                 line(JSON.valueToTree(figures).toString());
             } else {
@@ -66,10 +66,10 @@
             description = "Prints what it holds, a line of JSON for each piece and each record.")
     private int dump(@Parameters(paramLabel = "FOLDER") Path folder) throws CommandException {
         try {
-            Repair.verify(disk(folder), Limits.USUAL, new StoreReader() {
+            Repair.verify(disk(folder), StoreLimits.DEFAULT, new ReplayHandler() {
 
                 @Override
-                public void snapshot(byte[] piece) {
+                public void snapshotChunk(byte[] piece) {
                     line(content(JSON.createObjectNode().put("snapshot", true), piece).toString());
                 }
 
@@ -93,21 +93,22 @@
         Path kept = folder.resolve("before-repair-" + STAMP.format(Instant.now(Clock.systemUTC())
                 .atOffset(ZoneOffset.UTC)));
         try {
-            Repair.Outcome outcome = Repair.repair(folder, Limits.USUAL, kept);
+            Repair.Outcome outcome = Repair.repair(folder, StoreLimits.DEFAULT, kept);
             if (json) {
                 ObjectNode answer = JSON.createObjectNode()
-                        .put("kept", outcome.kept() == null ? null : outcome.kept().toString())
+                        .put("kept", outcome.backupFolder() == null ? null
+                        : outcome.backupFolder().toString())
                         .put("dropped_count", outcome.droppedCount());
-                answer.set("cut", JSON.valueToTree(outcome.cut()));
-                answer.set("dropped", JSON.valueToTree(outcome.dropped()));
+                answer.set("cut", JSON.valueToTree(outcome.repairedDamage()));
+                answer.set("dropped", JSON.valueToTree(outcome.droppedSequences()));
                 line(answer.toString());
-            } else if (outcome.cut().isEmpty()) {
+            } else if (outcome.repairedDamage().isEmpty()) {
                 line(folder + " is whole; nothing was changed");
             } else {
-                outcome.cut().forEach(this::line);
+                outcome.repairedDamage().forEach(this::line);
                 line(outcome.droppedCount() + " records behind the damage were dropped: "
-                        + outcome.dropped());
-                line("the files of before are in " + outcome.kept());
+                        + outcome.droppedSequences());
+                line("the files of before are in " + outcome.backupFolder());
             }
             return 0;
         } catch (IOException e) {
@@ -117,7 +118,7 @@
 
     private static FolderDisk disk(Path folder) throws CommandException {
         if (!Files.isDirectory(folder)) {
-            throw new CommandException(Program.WRONG_USE, folder + ": no such folder");
+            throw new CommandException(Program.USAGE_ERROR, folder + ": no such folder");
         }
         return new FolderDisk(folder);
     }
@@ -138,10 +139,10 @@
     }
 
     /** Is told, and does nothing. */
-    private static final class Nobody implements StoreReader {
+    private static final class Nobody implements ReplayHandler {
 
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             // Reading it has shown that it is whole.
         }
 
--- a/src/main/java/cranedeal/fleet/config/Coordinator.java
+++ b/src/main/java/cranedeal/fleet/config/Coordinator.java
@@ -9,7 +9,7 @@
 import cranedeal.fleet.membership.PeerStore;
 import cranedeal.fleet.membership.VersionNotice;
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.KeptValue;
+import cranedeal.fleet.store.DurableValue;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.Closeable;
@@ -74,7 +74,7 @@
         this.zone = zone;
         Files.createDirectories(folder.resolve("config"));
         store = new LogStore(new FolderDisk(folder.resolve("config")), LOG::warning);
-        KeptValue known = new KeptValue(folder.resolve("members"), LOG::warning);
+        DurableValue known = new DurableValue(folder.resolve("members"), LOG::warning);
         member = new FleetMember(config, new PeerStore() {
 
             @Override
@@ -84,7 +84,7 @@
 
             @Override
             public void write(byte[] bytes) throws IOException {
-                known.change(before -> bytes);
+                known.update(before -> bytes);
             }
         }, LIMITS);
         this.peers = peers.stream().distinct().collect(Collectors.toMap(ConfigCalls::text, peer -> peer));
--- a/src/main/java/cranedeal/fleet/config/LogStore.java
+++ b/src/main/java/cranedeal/fleet/config/LogStore.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cranedeal.fleet.store.Disk;
-import cranedeal.fleet.store.Limits;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
 import cranedeal.fleet.store.Store;
-import cranedeal.fleet.store.StoreReader;
+import cranedeal.fleet.store.ReplayHandler;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -47,7 +47,7 @@
     LogStore(Disk disk, Consumer<String> warn) throws IOException {
         this.warn = warn;
         Replay replay = new Replay();
-        store = Store.open(disk, Limits.USUAL, replay);
+        store = Store.open(disk, StoreLimits.DEFAULT, replay);
         if (replay.failure != null) {
             store.close();
             throw replay.failure;
@@ -151,12 +151,12 @@
     }
 
     /** Takes the steps that were kept. */
-    private final class Replay implements StoreReader {
+    private final class Replay implements ReplayHandler {
 
         private IOException failure;
 
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             take(piece[0], Arrays.copyOfRange(piece, 1, piece.length));
         }
 
--- a/src/main/java/cranedeal/fleet/store/Disk.java
+++ b/src/main/java/cranedeal/fleet/store/Disk.java
@@ -8,7 +8,7 @@
 /**
  * The files of one folder, as far as a store needs them. What is written, made, renamed or deleted is there
  * after a power loss only once it was forced: bytes by {@link Output#force()}, names by {@link
- * #forceNames()}.
+ * #forceDirectory()}.
  */
 public interface Disk {
 
@@ -26,7 +26,7 @@
     }
 
     /** The names of all files, in no order. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     /** The size of a file in bytes. */
     long size(String name) throws IOException;
@@ -47,7 +47,7 @@
     void delete(String name) throws IOException;
 
     /** Returns once all that was made, renamed and deleted will outlast a power loss. */
-    void forceNames() throws IOException;
+    void forceDirectory() throws IOException;
 
     /**
      * Takes the folder for this process until the result is closed, or the process ends, however it does;
--- a/src/main/java/cranedeal/fleet/store/KeptValue.java
+++ b/src/main/java/cranedeal/fleet/store/DurableValue.java
@@ -10,7 +10,7 @@
  * One value that outlasts a power loss: each record has it whole, and the last one holds. The folder is
  * opened for each change, since the two processes of an upgrade take turns; so it is for what seldom changes.
  */
-public final class KeptValue {
+public final class DurableValue {
 
     private static final int WHOLE = 1;
     private static final int TRIES = 100;
@@ -25,34 +25,34 @@
      *
      * @param warn told what went wrong after a change was kept
      */
-    public KeptValue(Path folder, Consumer<String> warn) {
+    public DurableValue(Path folder, Consumer<String> warn) {
         this.folder = folder;
         disk = new FolderDisk(folder);
         this.warn = warn;
     }
 
     /** What makes the new value of the old one, which is null at first. */
-    public interface Change {
+    public interface Update {
 
         /** Throws {@link IOException} where it can't; then nothing is changed. */
-        byte[] of(byte[] before) throws IOException;
+        byte[] apply(byte[] before) throws IOException;
     }
 
     /** The value; null if none was kept so far. Throws as {@link Store#open} does. */
     public byte[] read() throws IOException {
         Last last = new Last();
         if (Files.exists(folder)) {
-            whenFree(() -> Repair.verify(disk, Limits.USUAL, last));
+            whenFree(() -> Repair.verify(disk, StoreLimits.DEFAULT, last));
         }
         return last.value;
     }
 
     /** Changes the value; it is kept once this returns, with what it is now. */
-    public byte[] change(Change change) throws IOException {
+    public byte[] update(Update change) throws IOException {
         Files.createDirectories(folder);
         Last last = new Last();
-        try (Store store = whenFree(() -> Store.open(disk, Limits.USUAL, last))) {
-            byte[] bytes = change.of(last.value);
+        try (Store store = whenFree(() -> Store.open(disk, StoreLimits.DEFAULT, last))) {
+            byte[] bytes = change.apply(last.value);
             store.append(WHOLE, bytes);
             store.force();
             if (store.isSnapshotDue(bytes.length)) {
@@ -82,7 +82,7 @@
         for (int i = 1;; i++) {
             try {
                 return opening.open();
-            } catch (InUseException e) {
+            } catch (StoreInUseException e) {
                 if (i == TRIES) {
                     throw e;
                 }
@@ -101,12 +101,12 @@
     }
 
     /** Keeps the last value that it is shown. */
-    private static final class Last implements StoreReader {
+    private static final class Last implements ReplayHandler {
 
         private byte[] value;
 
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             value = piece;
         }
 
--- a/src/main/java/cranedeal/fleet/store/FolderDisk.java
+++ b/src/main/java/cranedeal/fleet/store/FolderDisk.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile).map(file -> file.getFileName().toString())
                     .filter(name -> !name.equals(LOCK)).toList();
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void forceDirectory() throws IOException {
         try (FileChannel itself = FileChannel.open(folder, StandardOpenOption.READ)) {
             itself.force(true);
         }
--- a/src/main/java/cranedeal/fleet/store/GroupCommit.java
+++ b/src/main/java/cranedeal/fleet/store/GroupCommit.java
@@ -18,7 +18,7 @@
     public interface Task<T> {
 
         /** Does it. */
-        T with(Store store) throws IOException;
+        T run(Store store) throws IOException;
     }
 
     /** An append, or another task if {@code payload} is null. */
@@ -70,7 +70,7 @@
                 call = calls.take();
                 batch.clear();
                 while (call != null && call != LAST && call.payload() != null
-                        && (batch.isEmpty() || store.hasRoom(call.payload().length))) {
+                        && (batch.isEmpty() || store.fitsInBatch(call.payload().length))) {
                     batch.add(call);
                     append(call);
                     call = calls.poll();
@@ -107,7 +107,7 @@
         }
         try {
             store.force();
-            long sequence = store.last() - appended.size();
+            long sequence = store.lastSequence() - appended.size();
             for (Call call : appended) {
                 sequence++;
                 call.result().complete(sequence);
@@ -119,7 +119,7 @@
 
     private void perform(Call call) {
         try {
-            call.result().complete(call.task().with(store));
+            call.result().complete(call.task().run(store));
         } catch (IOException | RuntimeException e) {
             call.result().completeExceptionally(e);
         }
--- a/src/main/java/cranedeal/fleet/store/Recovery.java
+++ b/src/main/java/cranedeal/fleet/store/Recovery.java
@@ -14,9 +14,9 @@
 final class Recovery {
 
     private final Disk disk;
-    private final Limits limits;
+    private final StoreLimits limits;
 
-    Recovery(Disk disk, Limits limits) {
+    Recovery(Disk disk, StoreLimits limits) {
         this.disk = disk;
         this.limits = limits;
     }
@@ -36,11 +36,11 @@
     record Found(long last, long records, long bytes, String segment, long end, long torn,
             List<String> unfinished, List<String> notes) { }
 
-    /** Reads all; throws {@link DamagedException} for acknowledged records that can't be read. */
-    Found read(StoreReader reader) throws IOException {
+    /** Reads all; throws {@link StoreDamagedException} for acknowledged records that can't be read. */
+    Found read(ReplayHandler reader) throws IOException {
         List<String> unfinished = new ArrayList<>();
         List<String> notes = new ArrayList<>();
-        for (String name : disk.names()) {
+        for (String name : disk.fileNames()) {
             if (name.endsWith(FileKind.UNFINISHED)) {
                 unfinished.add(name);
             }
@@ -56,18 +56,18 @@
             }
         }
         if (used == null && !snapshots.isEmpty()) {
-            throw new DamagedException(snapshots.get(snapshots.size() - 1), 0, "no snapshot is whole");
+            throw new StoreDamagedException(snapshots.get(snapshots.size() - 1), 0, "no snapshot is whole");
         }
         long covered = used == null ? 0 : FileKind.SNAPSHOT.number(used);
         if (used != null) {
-            Snapshots.pieces(disk, used, limits, reader::snapshot);
+            Snapshots.pieces(disk, used, limits, reader::snapshotChunk);
         }
         return segments(reader, covered, unfinished, notes);
     }
 
     /** The finished files of a kind, by their numbers. */
     List<String> files(FileKind kind) throws IOException {
-        return disk.names().stream().filter(kind::has)
+        return disk.fileNames().stream().filter(kind::has)
                 .sorted(Comparator.comparing(kind::number, Long::compareUnsigned)).toList();
     }
 
@@ -75,7 +75,7 @@
         return Snapshots.pieces(disk, snapshot, limits, piece -> { });
     }
 
-    private Found segments(StoreReader reader, long covered, List<String> unfinished, List<String> notes)
+    private Found segments(ReplayHandler reader, long covered, List<String> unfinished, List<String> notes)
             throws IOException {
         List<String> segments = new ArrayList<>(files(FileKind.JOURNAL));
         segments.removeAll(unneeded(segments, covered));
@@ -97,15 +97,16 @@
                 break;
             }
             if (first > last + 1) {
-                throw new DamagedException(name, 0, "record " + (last + 1) + " and those up to " + (first - 1)
+                throw new StoreDamagedException(name, 0, "record " + (last + 1) + " and those up to "
+                        + (first - 1)
                         + " are missing");
             }
             long expected = first;
-            FrameReader frames = new FrameReader(disk, name, FileKind.HEAD, limits.recordBytes());
+            FrameReader frames = new FrameReader(disk, name, FileKind.HEAD, limits.maxRecordBytes());
             end = FileKind.HEAD;
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 if (frame.record().sequence() != expected) {
-                    throw new DamagedException(name, end, "record " + expected + " is wanted, and "
+                    throw new StoreDamagedException(name, end, "record " + expected + " is wanted, and "
                             + frame.record().sequence() + " is there");
                 }
                 // What a snapshot or an earlier segment holds was told already.
@@ -132,13 +133,13 @@
     /** Throws unless what is not whole at a place can only be what was never acknowledged. */
     private void mayBeTorn(String name, long offset, long missing, boolean isLast) throws IOException {
         boolean acknowledged = !isLast;
-        FrameReader frames = new FrameReader(disk, name, offset, limits.recordBytes());
+        FrameReader frames = new FrameReader(disk, name, offset, limits.maxRecordBytes());
         for (Frame frame = frames.nextBehindDamage(); frame != null && !acknowledged;
                 frame = frames.nextBehindDamage()) {
             acknowledged = frame.forced() >= missing;
         }
         if (acknowledged) {
-            throw new DamagedException(name, offset, "record " + missing
+            throw new StoreDamagedException(name, offset, "record " + missing
                     + " was acknowledged and is not whole");
         }
     }
--- a/src/main/java/cranedeal/fleet/store/Repair.java
+++ b/src/main/java/cranedeal/fleet/store/Repair.java
@@ -21,20 +21,21 @@
     /**
      * What was done.
      *
-     * @param kept where the files of before are
-     * @param cut what was damaged, and is cut; empty if nothing was
-     * @param dropped the sequence numbers of whole records that were dropped, the first thousand
+     * @param backupFolder where the files of before are
+     * @param repairedDamage what was damaged, and is cut; empty if nothing was
+     * @param droppedSequences the sequence numbers of whole records that were dropped, the first thousand
      * @param droppedCount how many those were in all
      */
-    public record Outcome(Path kept, List<String> cut, List<Long> dropped, long droppedCount) { }
+    public record Outcome(Path backupFolder, List<String> repairedDamage, List<Long> droppedSequences,
+            long droppedCount) { }
 
     /** Reads a folder without changing it; throws as {@link Store#open} does. */
-    public static Store.Figures verify(Disk disk, Limits limits, StoreReader reader) throws IOException {
+    public static Store.Stats verify(Disk disk, StoreLimits limits, ReplayHandler reader) throws IOException {
         Closeable lock = lock(disk, true);
         try {
             long start = System.nanoTime();
             Recovery.Found found = new Recovery(disk, limits).read(reader);
-            return new Store.Figures(found.last(), found.last(), 0, 0, 0, 0, found.records(),
+            return new Store.Stats(found.last(), found.last(), 0, 0, 0, 0, found.records(),
                     (System.nanoTime() - start) / 1e6, found.torn(), found.notes());
         } finally {
             lock.close();
@@ -44,7 +45,7 @@
     private static Closeable lock(Disk disk, boolean shared) throws IOException {
         Closeable lock = disk.tryLock(shared);
         if (lock == null) {
-            throw new InUseException(disk);
+            throw new StoreInUseException(disk);
         }
         return lock;
     }
@@ -54,21 +55,21 @@
      *
      * @param keepIn a folder that is not there yet, for the files of before
      */
-    public static Outcome repair(Path folder, Limits limits, Path keepIn) throws IOException {
+    public static Outcome repair(Path folder, StoreLimits limits, Path keepIn) throws IOException {
         FolderDisk disk = new FolderDisk(folder);
         List<String> cut = new ArrayList<>();
         List<Long> dropped = new ArrayList<>();
         long count = 0;
         Closeable lock = lock(disk, false);
         try {
-            DamagedException damage = damage(disk, limits);
+            StoreDamagedException damage = damage(disk, limits);
             while (damage != null) {
                 if (cut.isEmpty()) {
                     keep(disk, folder, keepIn);
                 }
                 cut.add(damage.getMessage());
                 count += cut(disk, limits, damage, dropped);
-                DamagedException next = damage(disk, limits);
+                StoreDamagedException next = damage(disk, limits);
                 if (next != null && next.getMessage().equals(damage.getMessage())) {
                     throw next;
                 }
@@ -80,12 +81,12 @@
         return new Outcome(cut.isEmpty() ? null : keepIn, cut, dropped, count);
     }
 
-    private static DamagedException damage(Disk disk, Limits limits) throws IOException {
+    private static StoreDamagedException damage(Disk disk, StoreLimits limits) throws IOException {
         try {
-            new Recovery(disk, limits).read(new StoreReader() {
+            new Recovery(disk, limits).read(new ReplayHandler() {
 
                 @Override
-                public void snapshot(byte[] piece) {
+                public void snapshotChunk(byte[] piece) {
                     // Only whether it can be read is asked.
                 }
 
@@ -95,24 +96,24 @@
                 }
             });
             return null;
-        } catch (DamagedException e) {
+        } catch (StoreDamagedException e) {
             return e;
         }
     }
 
     private static void keep(Disk disk, Path folder, Path keepIn) throws IOException {
         Files.createDirectory(keepIn);
-        for (String name : disk.names()) {
+        for (String name : disk.fileNames()) {
             Files.copy(folder.resolve(name), keepIn.resolve(name));
         }
     }
 
     /** Cuts a file at its damage and drops what lies behind; returns how many whole records that were. */
-    private static long cut(Disk disk, Limits limits, DamagedException damage, List<Long> dropped)
+    private static long cut(Disk disk, StoreLimits limits, StoreDamagedException damage, List<Long> dropped)
             throws IOException {
         if (FileKind.SNAPSHOT.has(damage.file())) {
             disk.delete(damage.file());
-            disk.forceNames();
+            disk.forceDirectory();
             return 0;
         }
         long count = 0;
@@ -131,13 +132,13 @@
                 }
             }
         }
-        disk.forceNames();
+        disk.forceDirectory();
         return count;
     }
 
-    private static long list(Disk disk, Limits limits, String name, long from, List<Long> dropped)
+    private static long list(Disk disk, StoreLimits limits, String name, long from, List<Long> dropped)
             throws IOException {
-        FrameReader frames = new FrameReader(disk, name, from, limits.recordBytes());
+        FrameReader frames = new FrameReader(disk, name, from, limits.maxRecordBytes());
         long count = 0;
         for (Frame frame = frames.nextBehindDamage(); frame != null; frame = frames.nextBehindDamage()) {
             count++;
--- a/src/main/java/cranedeal/fleet/store/Snapshots.java
+++ b/src/main/java/cranedeal/fleet/store/Snapshots.java
@@ -22,7 +22,8 @@
     }
 
     /** Tells the pieces of a snapshot; false if it is not whole, be it that some were told by then. */
-    static boolean pieces(Disk disk, String name, Limits limits, Consumer<byte[]> to) throws IOException {
+    static boolean pieces(Disk disk, String name, StoreLimits limits, Consumer<byte[]> to)
+            throws IOException {
         String finished = name.endsWith(FileKind.UNFINISHED)
                 ? name.substring(0, name.length() - FileKind.UNFINISHED.length()) : name;
         ByteBuffer head = ByteBuffer.allocate(FileKind.HEAD);
@@ -30,7 +31,7 @@
         if (!FileKind.SNAPSHOT.isHead(head.flip(), finished)) {
             return false;
         }
-        FrameReader frames = new FrameReader(disk, name, FileKind.HEAD, limits.recordBytes());
+        FrameReader frames = new FrameReader(disk, name, FileKind.HEAD, limits.maxRecordBytes());
         long number = 1;
         for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
             if (frame.record().sequence() != number) {
--- a/src/main/java/cranedeal/fleet/store/Store.java
+++ b/src/main/java/cranedeal/fleet/store/Store.java
@@ -30,7 +30,7 @@
     private static final long LEAST_BEHIND = 1 << 16;
 
     private final Disk disk;
-    private final Limits limits;
+    private final StoreLimits limits;
     private final Closeable lock;
     private final Recovery recovery;
     private final Recovery.Found found;
@@ -50,7 +50,7 @@
     private boolean writingSnapshot;
     private StoreException poison;
 
-    private Store(Disk disk, Limits limits, Closeable lock, Recovery recovery, Recovery.Found found,
+    private Store(Disk disk, StoreLimits limits, Closeable lock, Recovery recovery, Recovery.Found found,
             long nanos) {
         this.disk = disk;
         this.limits = limits;
@@ -64,14 +64,15 @@
     }
 
     /**
-     * Opens a folder's store, and tells what it holds. A tear is cut off; {@link Figures#notes()} says so.
-     * Throws {@link InUseException} if another process has the folder, {@link DamagedException} if what was
+     * Opens a folder's store, and tells what it holds. A tear is cut off; {@link Stats#notes()} says so.
+     * Throws {@link StoreInUseException} if another process has the folder, {@link StoreDamagedException} if
+     * what was
      * acknowledged can't be read, and {@link StoreException} if a later version wrote it.
      */
-    public static Store open(Disk disk, Limits limits, StoreReader reader) throws IOException {
+    public static Store open(Disk disk, StoreLimits limits, ReplayHandler reader) throws IOException {
         Closeable lock = disk.tryLock(false);
         if (lock == null) {
-            throw new InUseException(disk);
+            throw new StoreInUseException(disk);
         }
         boolean open = false;
         try {
@@ -103,28 +104,28 @@
         for (String unfinished : found.unfinished()) {
             disk.delete(unfinished);
         }
-        disk.forceNames();
+        disk.forceDirectory();
         forced = last;
     }
 
     /** What a store has done since it was opened, and what it found then. */
-    public record Figures(long last, long forced, long bytes, long forces, double forceP50Ms,
+    public record Stats(long last, long forced, long bytes, long forces, double forceP50Ms,
             double forceP99Ms, long recovered, double recoveryMs, long cut, List<String> notes) { }
 
     /** The figures. */
-    public Figures figures() {
-        return new Figures(last, forced, bytes, forceMicros.getTotalCount(),
+    public Stats stats() {
+        return new Stats(last, forced, bytes, forceMicros.getTotalCount(),
                 forceMicros.getValueAtPercentile(50) / 1e3, forceMicros.getValueAtPercentile(99) / 1e3,
                 found.records(), recoveryNanos / 1e6, found.torn(), found.notes());
     }
 
     /** The highest sequence number, forced or not. */
-    public long last() {
+    public long lastSequence() {
         return last;
     }
 
     /** Up to which sequence number all is kept. */
-    public long forced() {
+    public long forcedSequence() {
         return forced;
     }
 
@@ -135,16 +136,17 @@
      */
     public long append(int type, byte[] payload) throws IOException {
         usable();
-        if (payload.length > limits.recordBytes() || type < 0) {
+        if (payload.length > limits.maxRecordBytes() || type < 0) {
             throw new IllegalArgumentException("no record of type " + type + " with " + payload.length
                     + " bytes");
         }
         int size = Frame.size(payload.length);
-        if (batch.position() + size > limits.batchBytes()) {
-            throw new StoreException("more than " + limits.batchBytes() + " bytes are collected; force them");
+        if (batch.position() + size > limits.maxBatchBytes()) {
+            throw new StoreException("more than " + limits.maxBatchBytes()
+                    + " bytes are collected; force them");
         }
         if (batch.remaining() < size) {
-            int larger = Math.min(limits.batchBytes(), Math.max(2 * batch.capacity(), batch.position()
+            int larger = Math.min(limits.maxBatchBytes(), Math.max(2 * batch.capacity(), batch.position()
                     + size));
             batch = ByteBuffer.allocate(larger).put(batch.flip());
         }
@@ -154,8 +156,8 @@
     }
 
     /** Whether a record of a size can be appended before the next force. */
-    public boolean hasRoom(int payload) {
-        return batch.position() + Frame.size(payload) <= limits.batchBytes();
+    public boolean fitsInBatch(int payload) {
+        return batch.position() + Frame.size(payload) <= limits.maxBatchBytes();
     }
 
     /**
@@ -217,7 +219,7 @@
     /** Begins a segment; all of the one before is forced by then. */
     private void roll() throws IOException {
         String name = FileKind.JOURNAL.name(forced + 1);
-        if (disk.names().contains(name)) {
+        if (disk.fileNames().contains(name)) {
             // An earlier try that came to nothing.
             disk.delete(name);
         }
@@ -227,7 +229,7 @@
             fresh.write(FileKind.JOURNAL.head(forced + 1));
             try {
                 fresh.force();
-                disk.forceNames();
+                disk.forceDirectory();
             } catch (IOException e) {
                 throw poisoned("cannot force " + name, e);
             }
@@ -284,7 +286,7 @@
             this.covers = covers;
             name = FileKind.SNAPSHOT.name(covers);
             String unfinished = name + FileKind.UNFINISHED;
-            if (disk.names().contains(unfinished)) {
+            if (disk.fileNames().contains(unfinished)) {
                 disk.delete(unfinished);
             }
             out = disk.create(unfinished);
@@ -301,13 +303,13 @@
         }
 
         /** The highest sequence number that it stands for. */
-        public long covers() {
+        public long lastIncludedSequence() {
             return covers;
         }
 
         /** Writes a piece; what it means is its owner's affair. */
         public void write(byte[] piece) throws IOException {
-            if (piece.length > limits.recordBytes()) {
+            if (piece.length > limits.maxRecordBytes()) {
                 throw new IllegalArgumentException("a piece of " + piece.length + " bytes");
             }
             pieces++;
@@ -332,7 +334,7 @@
             }
             disk.rename(unfinished, name);
             try {
-                disk.forceNames();
+                disk.forceDirectory();
             } catch (IOException e) {
                 throw poisoned("cannot force the name of " + name, e);
             }
@@ -369,7 +371,7 @@
         for (String name : Recovery.unneeded(recovery.files(FileKind.JOURNAL), covered)) {
             disk.delete(name);
         }
-        disk.forceNames();
+        disk.forceDirectory();
     }
 
     private void usable() throws StoreException {
--- a/src/main/java/cranedeal/fleet/store/DamagedException.java
+++ b/src/main/java/cranedeal/fleet/store/StoreDamagedException.java
@@ -1,13 +1,13 @@
 package cranedeal.fleet.store;
 
 /** What was acknowledged can't be read any more; nothing was changed. */
-public final class DamagedException extends StoreException {
+public final class StoreDamagedException extends StoreException {
 
     private static final long serialVersionUID = 1;
     private final String file;
     private final long offset;
 
-    DamagedException(String file, long offset, String what) {
+    StoreDamagedException(String file, long offset, String what) {
         super(file + " is damaged at byte " + offset + ": " + what
                 + "; 'fleet store verify' shows what is left, 'fleet store repair' cuts there");
         this.file = file;
--- a/src/main/java/cranedeal/lab/BalancerConfig.java
+++ b/src/main/java/cranedeal/lab/BalancerConfig.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import cranedeal.lab.link.Addresses;
+import cranedeal.lab.link.AddressBlock;
 import cranedeal.lab.standin.ServiceClass;
 import cranedeal.lab.standin.UpstreamKind;
 import java.net.InetSocketAddress;
@@ -36,11 +36,12 @@
         if (experiment.members()) {
             // Those that are seeds are named in the files of all, their own too.
             ObjectNode fleet = root.putObject("fleet").put("name", experiment.name())
-                    .put("listen", text(member(listen, Addresses.MEMBER_PORT)))
-                    .put("advertise", text(member(listen, Addresses.MEMBER_LINK_PORT)))
+                    .put("listen", text(member(listen, AddressBlock.MEMBER_PORT)))
+                    .put("advertise", text(member(listen, AddressBlock.MEMBER_LINK_PORT)))
                     .put("probe_period_ms", experiment.scale().hollow() > 0 ? experiment.scale().periodMs()
                             : MEMBER_PERIOD_MS);
-            seeds.forEach(one -> fleet.withArray("seeds").add(text(member(one, Addresses.MEMBER_LINK_PORT))));
+            seeds.forEach(one -> fleet.withArray("seeds").add(text(member(one,
+                    AddressBlock.MEMBER_LINK_PORT))));
         }
         ObjectNode settings = settings(experiment, number, name);
         merge(settings, experiment.settings());
--- a/src/main/java/cranedeal/lab/BalancerProcess.java
+++ b/src/main/java/cranedeal/lab/BalancerProcess.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cranedeal.lab.history.Event;
 import cranedeal.lab.history.Event.Life;
-import cranedeal.lab.link.Addresses;
+import cranedeal.lab.link.AddressBlock;
 import cranedeal.lab.link.StreamLink;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import cranedeal.lab.standin.Front;
 import cranedeal.lab.standin.LabClock;
 import io.netty.util.concurrent.Future;
@@ -37,23 +37,25 @@
 
     private final String name;
     private final int party;
-    private final Addresses addresses;
+    private final AddressBlock addresses;
     private final ObjectNode config;
     private final boolean door;
     private final Path folder;
     private final List<String> program;
-    private final Warden warden;
+    private final ProcessSupervisor warden;
     private final HttpClient http;
     private final StreamLink fromClients;
     private final Front front;
     private final LabClock clock;
     private final Consumer<Event> history;
-    private volatile Child current;
+    private volatile ChildProcess current;
     private volatile boolean diskFull;
     private volatile int starts;
 
-    BalancerProcess(String name, int party, Addresses addresses, ObjectNode config, boolean door, Path folder,
-            List<String> program, Warden warden, HttpClient http, StreamLink fromClients, Front front,
+    BalancerProcess(String name, int party, AddressBlock addresses, ObjectNode config, boolean door,
+            Path folder,
+            List<String> program, ProcessSupervisor warden, HttpClient http, StreamLink fromClients,
+            Front front,
             LabClock clock, Consumer<Event> history) {
         this.name = name;
         this.party = party;
@@ -75,7 +77,7 @@
     }
 
     /** The process that serves, or is to; null before the first start. */
-    Child current() {
+    ChildProcess current() {
         return current;
     }
 
@@ -91,8 +93,8 @@
 
     /** Whether a process of it has said a text so far. */
     boolean hasSaid(String text) throws IOException {
-        Child child = current;
-        return child != null && child.hasSaid(text);
+        ChildProcess child = current;
+        return child != null && child.logContains(text);
     }
 
     Path disk() {
@@ -108,14 +110,14 @@
     /** Starts it on what its folder holds, and returns when it serves. */
     void startOnWhatIsThere() throws IOException, InterruptedException {
         current = launch();
-        awaitReady(current, addresses.own(party), "/_health");
-        await(fromClients.targetUp(true));
+        awaitReady(current, addresses.listenAddress(party), "/_health");
+        await(fromClients.setTargetUp(true));
     }
 
     /** Starts a second process beside the first, and ends the first once the second serves. */
     void upgrade() throws IOException, InterruptedException {
-        Child old = current;
-        Child fresh = launch();
+        ChildProcess old = current;
+        ChildProcess fresh = launch();
         InetSocketAddress its = doorOf(starts);
         awaitReady(fresh, its, "/ops/readiness");
         current = fresh;
@@ -126,7 +128,7 @@
 
     /** Ends it by SIGTERM and starts it again. */
     void restart() throws IOException, InterruptedException {
-        Child old = current;
+        ChildProcess old = current;
         lived(old, Life.STOPPING, 0);
         old.terminate();
         TimeUnit.MILLISECONDS.sleep(FRONT_LATE_MS);
@@ -155,7 +157,7 @@
     /** Whether its disk is full, for the process that it has and those to come. */
     void diskFull(boolean full) throws IOException, InterruptedException {
         diskFull = full;
-        current.diskFull(full);
+        current.setDiskFull(full);
     }
 
     void hangUp() throws IOException, InterruptedException {
@@ -163,10 +165,10 @@
     }
 
     private InetSocketAddress doorOf(int start) {
-        return new InetSocketAddress(addresses.ip(party), Addresses.DOOR_PORT + start % 2);
+        return new InetSocketAddress(addresses.ip(party), AddressBlock.ADMIN_PORT + start % 2);
     }
 
-    private Child launch() throws IOException, InterruptedException {
+    private ChildProcess launch() throws IOException, InterruptedException {
         starts++;
         // A new start has a new seed; the same experiment has the same ones.
         config.put("seed", String.format("%016x", Long.parseUnsignedLong(config.get("seed").asText(), 16)
@@ -181,19 +183,19 @@
         if (door) {
             environment.put("PROXY_ADMIN_ADDR", BalancerConfig.text(doorOf(starts)));
         }
-        Child child = warden.start(name, command, environment, folder.resolve("log.txt"));
-        child.diskFull(diskFull);
+        ChildProcess child = warden.start(name, command, environment, folder.resolve("log.txt"));
+        child.setDiskFull(diskFull);
         lived(child, Life.STARTED, 0);
         child.onExit().thenAccept(code -> {
             lived(child, Life.EXITED, code);
             if (child == current) {
-                fromClients.targetUp(false);
+                fromClients.setTargetUp(false);
             }
         });
         return child;
     }
 
-    private void awaitReady(Child child, InetSocketAddress at, String path)
+    private void awaitReady(ChildProcess child, InetSocketAddress at, String path)
             throws IOException, InterruptedException {
         String uri = "http:/" + at + path;
         for (long waited = 0; Front.status(http, uri).join() != 200; waited += LOOK_EVERY_MS) {
@@ -215,7 +217,7 @@
         return ": " + String.join(" | ", lines.subList(Math.max(0, lines.size() - LOG_SHOWN), lines.size()));
     }
 
-    private void awaitEnd(Child child) throws IOException, InterruptedException {
+    private void awaitEnd(ChildProcess child) throws IOException, InterruptedException {
         try {
             child.onExit().get(LONGEST_STOP_MS, TimeUnit.MILLISECONDS);
         } catch (java.util.concurrent.TimeoutException | java.util.concurrent.ExecutionException e) {
@@ -223,7 +225,7 @@
         }
     }
 
-    private void lived(Child child, Life life, int code) {
+    private void lived(ChildProcess child, Life life, int code) {
         // The old process of an upgrade ends; the balancer does not.
         String who = child == current || life == Life.STARTED || life == Life.READY ? name : name + "-old";
         history.accept(new Event.Lived(clock.now(), who, life, code));
--- a/src/main/java/cranedeal/lab/Director.java
+++ b/src/main/java/cranedeal/lab/Director.java
@@ -192,10 +192,10 @@
             case PAUSE -> balancer.pause();
             case HANGUP -> balancer.hangUp();
             case VANISH -> {
-                world.impair(world.linksOf(target), Impairment.SILENT, Impairment.SILENT);
+                world.impair(world.linksOf(target), Impairment.BLOCKED, Impairment.BLOCKED);
                 balancer.kill();
             }
-            case READ_ONLY -> DiskFault.readOnly(balancer.disk(), true);
+            case READ_ONLY -> DiskFault.setReadOnly(balancer.disk(), true);
             case DISK_FULL -> balancer.diskFull(true);
             case SLOW -> World.await(world.upstream(target).slow(fault.amount()));
             case FAIL -> World.await(world.upstream(target).fail(fault.amount()));
@@ -226,7 +226,7 @@
                 }
             }
             case PAUSE -> balancer.resume();
-            case READ_ONLY -> DiskFault.readOnly(balancer.disk(), false);
+            case READ_ONLY -> DiskFault.setReadOnly(balancer.disk(), false);
             case DISK_FULL -> balancer.diskFull(false);
             case VANISH -> {
                 world.reset(world.linksOf(target));
--- a/src/main/java/cranedeal/lab/ExperimentReader.java
+++ b/src/main/java/cranedeal/lab/ExperimentReader.java
@@ -262,7 +262,7 @@
 
     private static Impairment impairment(Table table, Fault.Kind kind) throws ExperimentException {
         return switch (kind) {
-            case CUT -> Impairment.SILENT;
+            case CUT -> Impairment.BLOCKED;
             case IMPAIR -> new Impairment(false, table.number("delay_ms", 0, MUCH, 0),
                     table.number("jitter_ms", 0, MUCH, 0), table.number("loss", 0, 1, 0),
                     0, 0, table.number("bytes_per_s", 0, MUCH, 0));
--- a/src/main/java/cranedeal/lab/HollowFleet.java
+++ b/src/main/java/cranedeal/lab/HollowFleet.java
@@ -2,7 +2,7 @@
 
 import cranedeal.lab.hollow.HollowConfig;
 import cranedeal.lab.hollow.HollowGroup;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.io.IOException;
 import java.net.http.HttpClient;
 import java.nio.file.Path;
@@ -28,7 +28,7 @@
      * @param controls where the lab calls each process, by its number
      */
     HollowFleet(Experiment experiment, List<HollowConfig.Balancer> all, List<String> seeds,
-            IntFunction<String> controls, Path folder, Warden warden, HttpClient http)
+            IntFunction<String> controls, Path folder, ProcessSupervisor warden, HttpClient http)
             throws IOException, InterruptedException {
         int processes = experiment.scale().processes();
         for (int i = 0; i < processes; i++) {
--- a/src/main/java/cranedeal/lab/LabCommand.java
+++ b/src/main/java/cranedeal/lab/LabCommand.java
@@ -59,7 +59,7 @@
         /** The command that runs it, without arguments; throws {@link CommandException} for no such file. */
         public List<String> command() throws CommandException {
             if (jar != null && !Files.isRegularFile(jar)) {
-                throw new CommandException(Program.WRONG_USE, jar + ": no such file");
+                throw new CommandException(Program.USAGE_ERROR, jar + ": no such file");
             }
             String classes = jar == null ? System.getProperty("java.class.path") : jar.toString();
             List<String> command = new ArrayList<>(List.of(
@@ -85,7 +85,7 @@
             @Mixin ProgramUnderTest program) throws CommandException,
             InterruptedException {
         if (repeat < 1) {
-            throw new CommandException(Program.WRONG_USE, "--repeat: 1 or more is wanted, not " + repeat);
+            throw new CommandException(Program.USAGE_ERROR, "--repeat: 1 or more is wanted, not " + repeat);
         }
         Experiment experiment = read(file);
         boolean held = true;
@@ -110,7 +110,7 @@
             spec.commandLine().getOut().flush();
             return 0;
         } catch (IOException | IllegalArgumentException e) {
-            throw new CommandException(Program.WRONG_USE, e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, e.getMessage());
         }
     }
 
@@ -129,10 +129,10 @@
         Matcher range = SEEDS.matcher(seeds);
         Matcher time = TIME.matcher(budget);
         if (!range.matches() || Long.parseLong(range.group(1)) > Long.parseLong(range.group(2))) {
-            throw new CommandException(Program.WRONG_USE, "--seeds: A..B is wanted, not '" + seeds + "'");
+            throw new CommandException(Program.USAGE_ERROR, "--seeds: A..B is wanted, not '" + seeds + "'");
         }
         if (!time.matches()) {
-            throw new CommandException(Program.WRONG_USE, "--budget: such as 90s or 10m is wanted, not '"
+            throw new CommandException(Program.USAGE_ERROR, "--budget: such as 90s or 10m is wanted, not '"
                     + budget + "'");
         }
         long budgetMs = Long.parseLong(time.group(1)) * (time.group(2).equals("m") ? 60_000 : 1_000);
@@ -146,7 +146,7 @@
             to.flush();
             return broken == 0 ? 0 : 1;
         } catch (ExperimentException e) {
-            throw new CommandException(Program.WRONG_USE, e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
             throw new CommandException(1, e.getMessage());
         }
@@ -169,7 +169,7 @@
         try {
             return ExperimentReader.read(file);
         } catch (ExperimentException e) {
-            throw new CommandException(Program.WRONG_USE, e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, e.getMessage());
         }
     }
 
--- a/src/main/java/cranedeal/lab/Monitor.java
+++ b/src/main/java/cranedeal/lab/Monitor.java
@@ -4,7 +4,7 @@
 import cranedeal.lab.hollow.HollowGroup;
 import cranedeal.lab.hollow.HollowProcess;
 import cranedeal.lab.hollow.Meter;
-import cranedeal.lab.process.Child;
+import cranedeal.lab.process.ChildProcess;
 import cranedeal.lab.standin.LabClock;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -162,7 +162,7 @@
         Map<String, Meter.Reading> readings = new HashMap<>();
         doors.forEach((name, figures) -> readings.put(name, Meter.Reading.of(figures)));
         real.sample(readings, 0, 0);
-        List<Child> children = new ArrayList<>();
+        List<ChildProcess> children = new ArrayList<>();
         for (BalancerProcess balancer : world.balancers().values()) {
             if (doors.containsKey(balancer.name())) {
                 children.add(balancer.current());
@@ -171,14 +171,14 @@
         note("real", false, real.window(), children);
     }
 
-    private void note(String who, boolean hollow, Meter.Window window, List<Child> processes) {
+    private void note(String who, boolean hollow, Meter.Window window, List<ChildProcess> processes) {
         double control = 0;
         double all = 0;
         long rss = 0;
-        for (Child child : processes) {
+        for (ChildProcess child : processes) {
             String key = child.name() + child.pid();
             control += since(controlMs, key, child.threadCpuMs(MEMBER));
-            Child.Usage usage = child.usage().orElse(new Child.Usage(0, 0));
+            ChildProcess.Usage usage = child.usage().orElse(new ChildProcess.Usage(0, 0));
             all += since(processMs, key, usage.cpuMs());
             rss += usage.rssKb();
         }
--- a/src/main/java/cranedeal/lab/World.java
+++ b/src/main/java/cranedeal/lab/World.java
@@ -5,12 +5,12 @@
 import cranedeal.lab.history.Event;
 import cranedeal.lab.history.Event.Life;
 import cranedeal.lab.hollow.HollowConfig;
-import cranedeal.lab.link.Addresses;
+import cranedeal.lab.link.AddressBlock;
 import cranedeal.lab.link.DatagramLinks;
 import cranedeal.lab.link.Impairment;
 import cranedeal.lab.link.StreamLink;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import cranedeal.lab.standin.Clients;
 import cranedeal.lab.standin.DiscoveryServer;
 import cranedeal.lab.standin.Front;
@@ -65,8 +65,8 @@
     private final LabClock clock;
     private final Consumer<Event> history;
     private final SplittableRandom random;
-    private final Addresses addresses = Addresses.take();
-    private final Warden warden = new Warden();
+    private final AddressBlock addresses = AddressBlock.reserve();
+    private final ProcessSupervisor warden = new ProcessSupervisor();
     private final EventLoopGroup relays = group("links", LOOPS);
     private final EventLoopGroup standIns = group("stand-ins", LOOPS);
     private final EventLoopGroup client = group("clients", 1);
@@ -155,8 +155,8 @@
             byAddress.put(addresses.ip(parties.get(name)), name);
         }
         discovery = new DiscoveryServer(standIns.next(), clock, experiment.callMs(), askers, byParty,
-                addresses::link, history);
-        discovery.bind(addresses.own(DISCOVERY_PARTY));
+                addresses::linkAddress, history);
+        discovery.bind(addresses.listenAddress(DISCOVERY_PARTY));
         List<UpstreamKind> kinds = experiment.upstreamKinds();
         Map<String, Integer> cells = experiment.cells();
         Map<Integer, SeenKeys> seen = new HashMap<>();
@@ -165,7 +165,7 @@
             UpstreamServer upstream = new UpstreamServer(name, kind, standIns.next(), clock, random.split(),
                     byAddress::get, history, seen.computeIfAbsent(cells.get(name),
                             cell -> new SeenKeys(experiment.longestMemoryMs())));
-            upstream.bind(addresses.own(parties.get(name)));
+            upstream.bind(addresses.listenAddress(parties.get(name)));
             upstreams.put(name, upstream);
             await(discovery.list(name, parties.get(name), experiment.zone(name), kind.name(), cells.get(name),
                     1));
@@ -176,8 +176,8 @@
             }
         }
         for (String name : experiment.members() ? experiment.memberNames() : List.<String>of()) {
-            await(members.join(member(name, Addresses.MEMBER_PORT), member(name,
-                    Addresses.MEMBER_LINK_PORT), experiment.region(name)));
+            await(members.addParty(member(name, AddressBlock.MEMBER_PORT), member(name,
+                    AddressBlock.MEMBER_LINK_PORT), experiment.region(name)));
         }
         part(false, experiment.scale().regionNames());
         EventLoop loop = client.next();
@@ -213,14 +213,15 @@
                     .put("discovery", BalancerConfig.text(link(name, Experiment.DISCOVERY).address()))
                     .set("known", await(discovery.known(parties.get(name))));
             Files.writeString(file, like.toString());
-            all.add(new HollowConfig.Balancer(name, BalancerConfig.text(member(name, Addresses.MEMBER_PORT)),
-                    BalancerConfig.text(member(name, Addresses.MEMBER_LINK_PORT)), file.toString()));
+            all.add(new HollowConfig.Balancer(name, BalancerConfig.text(member(name,
+                    AddressBlock.MEMBER_PORT)),
+                    BalancerConfig.text(member(name, AddressBlock.MEMBER_LINK_PORT)), file.toString()));
         }
         List<String> seeds = experiment.balancerNames().stream().limit(SEEDS)
-                .map(name -> BalancerConfig.text(member(name, Addresses.MEMBER_LINK_PORT))).toList();
+                .map(name -> BalancerConfig.text(member(name, AddressBlock.MEMBER_LINK_PORT))).toList();
         int next = parties.size();
         return new HollowFleet(experiment, all, seeds, number -> addresses.ip(next + number).getHostAddress()
-                + ":" + Addresses.DOOR_PORT, folder, warden, http);
+                + ":" + AddressBlock.ADMIN_PORT, folder, warden, http);
     }
 
     /** Whether two regions lose each other, or all of these are as they usually are. */
@@ -229,7 +230,7 @@
             for (int j = i + 1; j < regions.size(); j++) {
                 int one = experiment.scale().regionNames().indexOf(regions.get(i));
                 int other = experiment.scale().regionNames().indexOf(regions.get(j));
-                await(members.between(one, other, apart ? Impairment.SILENT
+                await(members.impairGroups(one, other, apart ? Impairment.BLOCKED
                         : experiment.scale().betweenRegions()));
                 if (apart) {
                     parted.add(Set.of(one, other));
@@ -267,16 +268,17 @@
 
     /** Where a balancer's place among the members is asked for its view. */
     InetSocketAddress member(String name) {
-        return member(name, Addresses.MEMBER_PORT);
+        return member(name, AddressBlock.MEMBER_PORT);
     }
 
     private void open(LinkName name) throws IOException, InterruptedException {
         int from = parties.get(name.from());
         int to = parties.get(name.to());
-        StreamLink link = new StreamLink(relays.next(), addresses.link(from, to), addresses.own(to),
+        StreamLink link = new StreamLink(relays.next(), addresses.linkAddress(from, to),
+                addresses.listenAddress(to),
                 addresses.ip(from), random.split());
         links.put(name, link);
-        await(link.targetUp(!name.from().equals(Experiment.CLIENTS)));
+        await(link.setTargetUp(!name.from().equals(Experiment.CLIENTS)));
     }
 
     private BalancerProcess balancer(String name, List<String> program, Path folder)
@@ -284,9 +286,9 @@
         int party = parties.get(name);
         Path own = Files.createDirectories(folder.resolve(name)).toAbsolutePath();
         var config = BalancerConfig.of(experiment, experiment.balancerNames().indexOf(name),
-                addresses.own(party), link(name, Experiment.DISCOVERY).address(), random.nextLong(),
+                addresses.listenAddress(party), link(name, Experiment.DISCOVERY).address(), random.nextLong(),
                 await(discovery.known(party)), experiment.balancerNames().stream().limit(SEEDS)
-                        .map(seed -> addresses.own(parties.get(seed))).toList());
+                        .map(seed -> addresses.listenAddress(parties.get(seed))).toList());
         if (experiment.members()) {
             // Outlasts what a start empties, as the disk of a machine does.
             ((ObjectNode) config.get("fleet")).put("state_dir", own.resolve("members").toString());
@@ -382,7 +384,7 @@
     void stopUpstream(String name) throws IOException, InterruptedException {
         history.accept(new Event.Lived(clock.now(), name, Life.KILLED, 0));
         for (Hit hit : linksOf(name)) {
-            await(links.get(hit.link()).targetUp(false));
+            await(links.get(hit.link()).setTargetUp(false));
             await(links.get(hit.link()).reset());
         }
     }
@@ -392,7 +394,7 @@
         await(upstreams.get(name).restart());
         long startedAt = System.currentTimeMillis();
         for (Hit hit : linksOf(name)) {
-            await(links.get(hit.link()).targetUp(true));
+            await(links.get(hit.link()).setTargetUp(true));
         }
         history.accept(new Event.Lived(clock.now(), name, Life.READY, 0));
         TimeUnit.MILLISECONDS.sleep((long) experiment.listLateMs());
@@ -415,7 +417,7 @@
                     + " raise the limit (ulimit -n) or take fewer balancers or upstreams");
         }
         for (BalancerProcess balancer : balancers.values()) {
-            Child child = balancer.current();
+            ChildProcess child = balancer.current();
             if (child != null) {
                 child.usage().ifPresent(usage -> history.accept(new Event.Used(clock.now(), balancer.name(),
                         usage.cpuMs(), usage.rssKb())));
--- a/src/main/java/cranedeal/lab/hollow/HollowCommand.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowCommand.java
@@ -45,7 +45,7 @@
     public Integer call() throws CommandException, InterruptedException {
         if (members < 6 || members > HollowTrial.MOST || processes < 1 || processes > members || seconds < 1
                 || periodMs < 100 || periodMs > 60_000) {
-            throw new CommandException(Program.WRONG_USE, "6 to " + HollowTrial.MOST + " members, a process"
+            throw new CommandException(Program.USAGE_ERROR, "6 to " + HollowTrial.MOST + " members, a process"
                     + " for each at most, 1 second or more and a period of 100 to 60000 ms are wanted");
         }
         try (HollowTrial trial = new HollowTrial(members, processes, periodMs, out)) {
--- a/src/main/java/cranedeal/lab/hollow/HollowGroup.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowGroup.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.sun.management.UnixOperatingSystemMXBean;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.URI;
@@ -37,24 +37,24 @@
 
     private final HollowConfig config;
     private final HttpClient http;
-    private final Child child;
+    private final ChildProcess child;
 
-    private HollowGroup(HollowConfig config, HttpClient http, Child child) {
+    private HollowGroup(HollowConfig config, HttpClient http, ChildProcess child) {
         this.config = config;
         this.http = http;
         this.child = child;
     }
 
     /** Starts the process, with none of its balancers running, and returns once it can be called. */
-    public static HollowGroup start(String name, HollowConfig config, Path folder, Warden warden,
+    public static HollowGroup start(String name, HollowConfig config, Path folder, ProcessSupervisor warden,
             HttpClient http) throws IOException, InterruptedException {
         requireDescriptors(config.balancers().size());
         Files.createDirectories(folder);
         Path file = folder.resolve(name + ".json");
         JSON.writeValue(file.toFile(), config);
         Path log = folder.resolve(name + ".log");
-        Child child = warden.start(name, command(config.balancers().size(), file), Map.of(), log);
-        for (long waited = 0; !child.hasSaid("ready"); waited += LOOK_EVERY_MS) {
+        ChildProcess child = warden.start(name, command(config.balancers().size(), file), Map.of(), log);
+        for (long waited = 0; !child.logContains("ready"); waited += LOOK_EVERY_MS) {
             if (!child.isAlive() || waited > LONGEST_START_MS) {
                 child.kill();
                 throw new IOException(name + " does not start: " + Files.readString(log));
@@ -85,7 +85,7 @@
                 System.getProperty("java.class.path"), HollowProcess.class.getName(), file.toString()));
     }
 
-    public Child child() {
+    public ChildProcess child() {
         return child;
     }
 
--- a/src/main/java/cranedeal/lab/hollow/HollowTrial.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowTrial.java
@@ -1,8 +1,8 @@
 package cranedeal.lab.hollow;
 
-import cranedeal.lab.link.Addresses;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.link.AddressBlock;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.io.IOException;
 import java.net.http.HttpClient;
 import java.nio.file.Path;
@@ -31,8 +31,8 @@
 
     private final int members;
     private final int periodMs;
-    private final Addresses addresses = Addresses.take();
-    private final Warden warden;
+    private final AddressBlock addresses = AddressBlock.reserve();
+    private final ProcessSupervisor warden;
     private final List<HollowGroup> groups = new ArrayList<>();
 
     /**
@@ -75,7 +75,7 @@
             throws IOException, InterruptedException {
         this.members = members;
         this.periodMs = periodMs;
-        warden = new Warden();
+        warden = new ProcessSupervisor();
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         boolean whole = false;
         try {
@@ -101,11 +101,11 @@
     }
 
     private String at(int number) {
-        return addresses.ip(number).getHostAddress() + ":" + Addresses.MEMBER_PORT;
+        return addresses.ip(number).getHostAddress() + ":" + AddressBlock.MEMBER_PORT;
     }
 
     private String control(int number) {
-        return addresses.ip(number).getHostAddress() + ":" + Addresses.DOOR_PORT;
+        return addresses.ip(number).getHostAddress() + ":" + AddressBlock.ADMIN_PORT;
     }
 
     /** Plays it. */
@@ -135,8 +135,8 @@
         double back = after(() -> startInWaves(dead), all, members);
         Spent coming = window();
         double heapEach = (heap() - before) / (double) members;
-        long resident = groups.stream().map(HollowGroup::child).map(Child::usage)
-                .mapToLong(usage -> usage.map(Child.Usage::rssKb).orElse(0L)).sum();
+        long resident = groups.stream().map(HollowGroup::child).map(ChildProcess::usage)
+                .mapToLong(usage -> usage.map(ChildProcess.Usage::rssKb).orElse(0L)).sum();
         return new Result(members, groups.size(), periodMs, joined, heapEach, resident, killed, back,
                 joining, atRest, killing, coming);
     }
--- a/src/main/java/cranedeal/lab/link/PartyRelay.java
+++ b/src/main/java/cranedeal/lab/link/ConnectionRelay.java
@@ -18,13 +18,13 @@
  * Who connects is known by its address. While the way between the two is silent in either direction nothing
  * passes: a connection stays open and without an answer. Other faults of the way don't show on connections.
  */
-final class PartyRelay {
+final class ConnectionRelay {
 
     private final EventLoop loop;
     private final DatagramLinks links;
     private final InetSocketAddress own;
 
-    PartyRelay(EventLoop loop, DatagramLinks links, InetSocketAddress own) {
+    ConnectionRelay(EventLoop loop, DatagramLinks links, InetSocketAddress own) {
         this.loop = loop;
         this.links = links;
         this.own = own;
--- a/src/main/java/cranedeal/lab/link/DatagramLinks.java
+++ b/src/main/java/cranedeal/lab/link/DatagramLinks.java
@@ -70,15 +70,15 @@
      * @param own where it listens and sends from; no other party may have that IP address
      * @param second where the others are to send to it
      */
-    public Future<?> join(InetSocketAddress own, InetSocketAddress second) {
-        return join(own, second, 0);
+    public Future<?> addParty(InetSocketAddress own, InetSocketAddress second) {
+        return addParty(own, second, 0);
     }
 
-    /** Takes in a party of a group; as {@link #join(InetSocketAddress, InetSocketAddress)} otherwise. */
-    public Future<?> join(InetSocketAddress own, InetSocketAddress second, int group) {
+    /** Takes in a party of a group; as {@link #addParty(InetSocketAddress, InetSocketAddress)} otherwise. */
+    public Future<?> addParty(InetSocketAddress own, InetSocketAddress second, int group) {
         Party party = new Party(own, group);
         loop.execute(() -> parties.put(own.getAddress(), party));
-        relays.add(new PartyRelay(loop, this, own).bind(second).channel());
+        relays.add(new ConnectionRelay(loop, this, own).bind(second).channel());
         return new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(new Arrivals(party))
                 .bind(second).addListener((ChannelFuture bound) -> party.second = bound.channel());
     }
@@ -96,7 +96,7 @@
     }
 
     /** Changes all ways between the parties of two groups, there and back, in place of what they were. */
-    public Future<?> between(int one, int other, Impairment impairment) {
+    public Future<?> impairGroups(int one, int other, Impairment impairment) {
         return loop.submit(() -> {
             Groups there = new Groups(one, other);
             Groups back = new Groups(other, one);
--- a/src/main/java/cranedeal/lab/link/Direction.java
+++ b/src/main/java/cranedeal/lab/link/Direction.java
@@ -28,7 +28,7 @@
     }
 
     boolean isSilent() {
-        return impairment.silent();
+        return impairment.blocked();
     }
 
     /** When a piece of a stream comes out, never before the piece ahead of it. */
@@ -44,7 +44,7 @@
 
     /** When a datagram comes out: never, once or twice. */
     double[] ofDatagram(double now, int bytes) {
-        if (impairment.silent() || draws(impairment.loss())) {
+        if (impairment.blocked() || draws(impairment.loss())) {
             return new double[0];
         }
         double out = passed(now, bytes);
--- a/src/main/java/cranedeal/lab/link/Splice.java
+++ b/src/main/java/cranedeal/lab/link/RelayedConnection.java
@@ -17,7 +17,7 @@
  * waits for its time. An end of the stream waits in the queue like bytes do; a reset goes ahead of them, as
  * it does in a network, unless the link is silent.
  */
-final class Splice {
+final class RelayedConnection {
 
     /** How many bytes wait in one direction before the sender is no longer read. */
     private static final int MOST_WAITING = 256 * 1024;
@@ -28,7 +28,7 @@
     private final Half fromTarget;
     private boolean over;
 
-    Splice(StreamLink link, SocketChannel party) {
+    RelayedConnection(StreamLink link, SocketChannel party) {
         this.link = link;
         fromParty = new Half(link.toTarget);
         fromTarget = new Half(link.back);
--- a/src/main/java/cranedeal/lab/link/StreamLink.java
+++ b/src/main/java/cranedeal/lab/link/StreamLink.java
@@ -49,7 +49,7 @@
     private final InetAddress source;
     final Direction toTarget;
     final Direction back;
-    private final Set<Splice> splices = new LinkedHashSet<>();
+    private final Set<RelayedConnection> splices = new LinkedHashSet<>();
     private final List<Channel> fillers = new ArrayList<>();
     private Channel listening;
     private boolean up = true;
@@ -81,7 +81,7 @@
     }
 
     /** Whether the target is there; while it is not, the link refuses. What is open stays. */
-    public Future<Void> targetUp(boolean isUp) {
+    public Future<Void> setTargetUp(boolean isUp) {
         return change(() -> up = isUp);
     }
 
@@ -90,20 +90,20 @@
         return change(() -> {
             toTarget.impair(there);
             back.impair(andBack);
-            List.copyOf(splices).forEach(Splice::resume);
+            List.copyOf(splices).forEach(RelayedConnection::resume);
         });
     }
 
     /** Resets all open connections at both ends, as a machine does that has forgotten them. */
     public Future<Void> reset() {
-        return change(() -> List.copyOf(splices).forEach(Splice::reset));
+        return change(() -> List.copyOf(splices).forEach(RelayedConnection::reset));
     }
 
     /** Ends the link and all its connections. */
     public Future<Void> close() {
         return change(() -> {
             ended = true;
-            List.copyOf(splices).forEach(Splice::reset);
+            List.copyOf(splices).forEach(RelayedConnection::reset);
         });
     }
 
@@ -192,7 +192,7 @@
     }
 
     private void accepted(SocketChannel party) {
-        Splice splice = new Splice(this, party);
+        RelayedConnection splice = new RelayedConnection(this, party);
         splices.add(splice);
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
@@ -206,7 +206,7 @@
         return loop;
     }
 
-    void ended(Splice splice) {
+    void ended(RelayedConnection splice) {
         splices.remove(splice);
     }
 }
--- a/src/main/java/cranedeal/lab/process/Child.java
+++ b/src/main/java/cranedeal/lab/process/ChildProcess.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A process that the lab has started. */
-public final class Child {
+public final class ChildProcess {
 
     /** The clock ticks in a second of /proc, the same on all Linux that Java runs on. */
     private static final double TICK_MS = 10;
@@ -24,7 +24,7 @@
     private final Process process;
     private final Path log;
 
-    Child(String name, Process process, Path log) {
+    ChildProcess(String name, Process process, Path log) {
         this.name = name;
         this.process = process;
         this.log = log;
@@ -75,7 +75,7 @@
      * Whether its disk is full from now on: no file that it writes can grow, so that its writes fail as on a
      * disk with no room (with EFBIG in place of ENOSPC). Its log is one of those files.
      */
-    public void diskFull(boolean full) throws IOException, InterruptedException {
+    public void setDiskFull(boolean full) throws IOException, InterruptedException {
         if (process.isAlive()) {
             run("limit the files of", "prlimit", "--pid", Long.toString(pid()),
                     "--fsize=" + (full ? "0" : "unlimited") + ":");
@@ -86,7 +86,7 @@
      * How many descriptors it may hold from now on. With fewer than it has, each socket, accept and open
      * fails with EMFILE.
      */
-    public void descriptorsAtMost(int most) throws IOException, InterruptedException {
+    public void limitDescriptors(int most) throws IOException, InterruptedException {
         if (process.isAlive()) {
             run("limit the descriptors of", "prlimit", "--pid", Long.toString(pid()),
                     "--nofile=" + most + ":");
@@ -139,7 +139,7 @@
     }
 
     /** Whether its output so far holds a text. */
-    public boolean hasSaid(String text) throws IOException {
+    public boolean logContains(String text) throws IOException {
         return Files.exists(log) && Files.readString(log, StandardCharsets.ISO_8859_1).contains(text);
     }
 }
--- a/src/main/java/cranedeal/lab/process/DiskFault.java
+++ b/src/main/java/cranedeal/lab/process/DiskFault.java
@@ -50,7 +50,7 @@
     private static final long MOST_TORN = 4_096;
 
     /** Takes away the right to write to a folder and all that is in it, or gives its owner that back. */
-    public static void readOnly(Path folder, boolean readOnly) throws IOException {
+    public static void setReadOnly(Path folder, boolean readOnly) throws IOException {
         List<Path> all;
         try (Stream<Path> files = Files.walk(folder)) {
             all = files.toList();
--- a/src/main/java/cranedeal/lab/process/Warden.java
+++ b/src/main/java/cranedeal/lab/process/ProcessSupervisor.java
@@ -19,7 +19,7 @@
  * ends only with the lab, whatever ends that. A child that the lab's death overtakes before it has asked sees
  * another parent, and does not start.
  */
-public final class Warden implements AutoCloseable {
+public final class ProcessSupervisor implements AutoCloseable {
 
     private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
     /** Root's right to write whatever the permissions say, which would make a read-only folder no fault. */
@@ -31,11 +31,11 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final Set<Child> children = ConcurrentHashMap.newKeySet();
+    private final Set<ChildProcess> children = ConcurrentHashMap.newKeySet();
     private final Thread atExit = new Thread(this::killAll, "warden-exit");
 
     /** Throws {@link IOException} where the system can't promise to end the children. */
-    public Warden() throws IOException {
+    public ProcessSupervisor() throws IOException {
         if (!Files.isExecutable(SETPRIV)) {
             throw new IOException(SETPRIV + " (util-linux) is needed to end processes with the lab");
         }
@@ -48,7 +48,7 @@
      * @param environment added to the lab's own
      * @param log where its output goes, behind what is there
      */
-    public Child start(String name, List<String> command, Map<String, String> environment, Path log)
+    public ChildProcess start(String name, List<String> command, Map<String, String> environment, Path log)
             throws IOException, InterruptedException {
         List<String> guarded = new ArrayList<>(List.of(SETPRIV.toString(), "--pdeathsig", "KILL"));
         if (System.getProperty("user.name").equals("root")) {
@@ -62,7 +62,7 @@
         builder.environment().putAll(environment);
         try {
             Process process = starter.submit(builder::start).get();
-            Child child = new Child(name, process, log);
+            ChildProcess child = new ChildProcess(name, process, log);
             children.add(child);
             process.onExit().thenRun(() -> children.remove(child));
             return child;
@@ -72,7 +72,7 @@
     }
 
     private void killAll() {
-        children.forEach(Child::kill);
+        children.forEach(ChildProcess::kill);
     }
 
     /** Kills all children, and returns when they have ended. */
--- a/src/main/java/cranedeal/lab/slope/DataPathStage.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathStage.java
@@ -1,7 +1,7 @@
 package cranedeal.lab.slope;
 
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import cranedeal.lab.standin.DiscoveryServer;
 import cranedeal.lab.standin.LabClock;
 import io.netty.channel.EventLoopGroup;
@@ -72,7 +72,7 @@
     }
 
     private final Path folder;
-    private final Warden warden;
+    private final ProcessSupervisor warden;
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2,
             new DefaultThreadFactory("data-path", true), NioIoHandler.newFactory());
     private final DiscoveryServer discovery;
@@ -80,7 +80,7 @@
     private final List<InetSocketAddress> upstreams;
     private final InetSocketAddress listen;
     private final InetSocketAddress admin;
-    private final Child balancer;
+    private final ChildProcess balancer;
 
     /**
      * Starts all of it, and returns when the balancer serves.
@@ -103,9 +103,9 @@
             Processor processor) throws IOException, InterruptedException {
         client = new DataPathClient(loops.next(), mostConnections);
         folder = Files.createTempDirectory("data-path");
-        warden = new Warden();
+        warden = new ProcessSupervisor();
         Path ports = folder.resolve("ports");
-        Child all = warden.start("upstreams", List.of(program.get(0), "-Xmx128m", "-cp",
+        ChildProcess all = warden.start("upstreams", List.of(program.get(0), "-Xmx128m", "-cp",
                 System.getProperty("java.class.path"), DataPathUpstreams.class.getName(),
                 Integer.toString(count), Long.toString(workUs), ports.toString()), Map.of(),
                 folder.resolve("upstreams.txt"));
@@ -141,7 +141,7 @@
         boolean holds() throws IOException;
     }
 
-    private void await(Child child, Condition until) throws IOException, InterruptedException {
+    private void await(ChildProcess child, Condition until) throws IOException, InterruptedException {
         for (long waited = 0; !until.holds(); waited += LOOK_EVERY_MS) {
             if (!child.isAlive() || waited > LONGEST_START_MS) {
                 close();
@@ -249,7 +249,7 @@
     }
 
     /** The balancer, for faults of its process. */
-    Child balancer() {
+    ChildProcess balancer() {
         return balancer;
     }
 
--- a/src/main/java/cranedeal/lab/slope/DrainCommand.java
+++ b/src/main/java/cranedeal/lab/slope/DrainCommand.java
@@ -55,10 +55,10 @@
     @Override
     public Integer call() throws CommandException, InterruptedException {
         if (upstreams < 2 || balancers < 1 || !(rate > 0) || !(seconds > 0) || plays < 1) {
-            throw new CommandException(Program.WRONG_USE, "numbers above 0 and two upstreams are wanted");
+            throw new CommandException(Program.USAGE_ERROR, "numbers above 0 and two upstreams are wanted");
         }
         if (drawn != troubles.isEmpty()) {
-            throw new CommandException(Program.WRONG_USE, "either --trouble or --drawn is wanted");
+            throw new CommandException(Program.USAGE_ERROR, "either --trouble or --drawn is wanted");
         }
         boolean held = true;
         for (int seed = first; seed < first + plays; seed++) {
@@ -78,7 +78,7 @@
         try {
             return DiscoveryTrouble.parse(name);
         } catch (IllegalArgumentException e) {
-            throw new CommandException(Program.WRONG_USE, "--trouble: " + e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, "--trouble: " + e.getMessage());
         }
     }
 
--- a/src/main/java/cranedeal/lab/slope/DrainTrial.java
+++ b/src/main/java/cranedeal/lab/slope/DrainTrial.java
@@ -1,7 +1,7 @@
 package cranedeal.lab.slope;
 
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import cranedeal.lab.standin.DiscoveryServer;
 import cranedeal.lab.standin.LabClock;
 import io.netty.channel.EventLoopGroup;
@@ -61,7 +61,7 @@
     record Seen(double lastMs, long late, DataPathClient.Block requests, long listBytes) { }
 
     private final Path folder = Files.createTempDirectory("drain");
-    private final Warden warden = new Warden();
+    private final ProcessSupervisor warden = new ProcessSupervisor();
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2,
             new DefaultThreadFactory("drain", true), NioIoHandler.newFactory());
     private final Plan plan;
@@ -69,7 +69,7 @@
     private final DiscoveryServer discovery;
     private final List<InetSocketAddress> listening = new ArrayList<>();
     private final List<String> command = new ArrayList<>();
-    private final Child[] balancers;
+    private final ChildProcess[] balancers;
     private volatile long changedAt;
 
     /** Starts all balancers side by side, and returns when they serve. */
@@ -77,7 +77,7 @@
         this.plan = plan;
         command.addAll(program);
         command.add("serve");
-        balancers = new Child[plan.balancers()];
+        balancers = new ChildProcess[plan.balancers()];
         upstreams = new CountingUpstreams(loops, plan.upstreams());
         InetSocketAddress list = DataPathStage.free();
         discovery = new DiscoveryServer(loops.next(), new LabClock(), 0,
@@ -130,7 +130,7 @@
         }
     }
 
-    private void awaitListening(Child balancer, InetSocketAddress listen)
+    private void awaitListening(ChildProcess balancer, InetSocketAddress listen)
             throws IOException, InterruptedException {
         for (long waited = 0; !listens(listen); waited += LOOK_EVERY_MS) {
             if (!balancer.isAlive() || waited > LONGEST_START_MS) {
--- a/src/main/java/cranedeal/lab/slope/OverloadCommand.java
+++ b/src/main/java/cranedeal/lab/slope/OverloadCommand.java
@@ -38,7 +38,7 @@
     @Override
     public Integer call() throws CommandException, InterruptedException {
         if (plays < 1 || processor < 0) {
-            throw new CommandException(Program.WRONG_USE, "one play or more, and a processor, are wanted");
+            throw new CommandException(Program.USAGE_ERROR, "one play or more, and a processor, are wanted");
         }
         int broken = 0;
         for (long seed = first; seed < first + plays; seed++) {
--- a/src/main/java/cranedeal/lab/slope/Study.java
+++ b/src/main/java/cranedeal/lab/slope/Study.java
@@ -48,7 +48,7 @@
 
     /** Says that the command was given something that it can't use. */
     protected static CommandException wrong(String what) {
-        return new CommandException(Program.WRONG_USE, what);
+        return new CommandException(Program.USAGE_ERROR, what);
     }
 
     @Override
--- a/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
+++ b/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
@@ -70,7 +70,7 @@
     @Override
     public Integer call() throws CommandException {
         if (members < 2 || members > MOST || times < 1 || times >= members || !(seconds > 0)) {
-            throw new CommandException(Program.WRONG_USE, "2 to " + MOST + " members, fewer kills than"
+            throw new CommandException(Program.USAGE_ERROR, "2 to " + MOST + " members, fewer kills than"
                     + " members, and a time above 0 are wanted");
         }
         Swarm swarm;
@@ -79,7 +79,7 @@
                     !ignorePauses),
                     Network.GOOD.losing(loss).slowing(slow, stoppedMs, runningMs), seed);
         } catch (IllegalArgumentException e) {
-            throw new CommandException(Program.WRONG_USE, e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, e.getMessage());
         }
         PrintWriter out = spec.commandLine().getOut();
         swarm.populate(members);
--- a/src/main/java/cranedeal/node/Fleet.java
+++ b/src/main/java/cranedeal/node/Fleet.java
@@ -9,7 +9,7 @@
 import cranedeal.fleet.membership.Member;
 import cranedeal.fleet.membership.PeerStore;
 import cranedeal.fleet.membership.Settings;
-import cranedeal.fleet.store.KeptValue;
+import cranedeal.fleet.store.DurableValue;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.security.SecureRandom;
@@ -40,8 +40,8 @@
     static int run(Callable<Integer> serve, Callable<Integer> wire, String... args) {
         String serves = "Runs one balancer; PROXY_CONFIG names its configuration.";
         String hosts = "Hosts the decisions on the simulator's wire.";
-        return Program.run(Map.of("serve", new Program.Brought(serves, serve),
-                "wire", new Program.Brought(hosts, wire)), args);
+        return Program.run(Map.of("serve", new Program.SuppliedCommand(serves, serve),
+                "wire", new Program.SuppliedCommand(hosts, wire)), args);
     }
 
     /**
@@ -74,7 +74,7 @@
         FleetConfig given = config.fleet();
         Package program = Program.class.getPackage();
         String version = program.getImplementationVersion();
-        KeptValue peers = given.stateDir() == null ? null : new KeptValue(given.stateDir(),
+        DurableValue peers = given.stateDir() == null ? null : new DurableValue(given.stateDir(),
                 Node.LOG::warning);
         FleetMember member = new FleetMember(new FleetMember.Config(given.name(), config.name(),
                 given.listen(), given.advertise(), given.seeds(), "serve",
@@ -89,7 +89,7 @@
 
                     @Override
                     public void write(byte[] bytes) throws IOException {
-                        peers.change(before -> bytes);
+                        peers.update(before -> bytes);
                     }
                 });
         if (given.service() != null) {
@@ -138,10 +138,10 @@
     /** The configuration that a member has, in a store. */
     private static final class KeptConfig implements ConfigMember.StateStore {
 
-        private final KeptValue kept;
+        private final DurableValue kept;
 
         KeptConfig(Path stateDir) {
-            kept = new KeptValue(stateDir.resolve("config"), Node.LOG::warning);
+            kept = new DurableValue(stateDir.resolve("config"), Node.LOG::warning);
         }
 
         @Override
@@ -151,7 +151,7 @@
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            kept.change(before -> bytes);
+            kept.update(before -> bytes);
         }
     }
 
@@ -160,11 +160,11 @@
 
         private static final int FORM = 1;
 
-        private final KeptValue kept;
+        private final DurableValue kept;
         private final Path old;
 
         KeptOrders(Path folder, Path old) {
-            kept = new KeptValue(folder, Node.LOG::warning);
+            kept = new DurableValue(folder, Node.LOG::warning);
             this.old = old;
         }
 
@@ -175,7 +175,7 @@
 
         @Override
         public OperatorOverrides change(UnaryOperator<OperatorOverrides> change) throws IOException {
-            return orders(kept.change(before -> bytes(change.apply(orders(before)))));
+            return orders(kept.update(before -> bytes(change.apply(orders(before)))));
         }
 
         private OperatorOverrides orders(byte[] bytes) throws IOException {
--- a/src/test/java/cranedeal/fleet/command/StoreCommandTest.java
+++ b/src/test/java/cranedeal/fleet/command/StoreCommandTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.Limits;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
 import cranedeal.fleet.store.Store;
-import cranedeal.fleet.store.StoreReader;
+import cranedeal.fleet.store.ReplayHandler;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -20,9 +20,9 @@
 /** What an operator does with a damaged folder, by the command line. */
 class StoreCommandTest {
 
-    private static final StoreReader NOBODY = new StoreReader() {
+    private static final ReplayHandler NOBODY = new ReplayHandler() {
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             throw new AssertionError("there is none");
         }
 
@@ -51,7 +51,7 @@
 
     @Test
     void aDamagedFolderIsVerifiedRepairedAndDumped() throws Exception {
-        try (Store store = Store.open(new FolderDisk(folder), Limits.USUAL, NOBODY)) {
+        try (Store store = Store.open(new FolderDisk(folder), StoreLimits.DEFAULT, NOBODY)) {
             for (String text : new String[] {"ban u1", "ban u2", "drain n0"}) {
                 store.append(7, text.getBytes(StandardCharsets.UTF_8));
                 store.force();
--- a/src/test/java/cranedeal/fleet/config/LogStoreTest.java
+++ b/src/test/java/cranedeal/fleet/config/LogStoreTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.Limits;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
 import cranedeal.fleet.store.Repair;
-import cranedeal.fleet.store.StoreReader;
+import cranedeal.fleet.store.ReplayHandler;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -69,10 +69,10 @@
         }
         assertTrue(written < 16L * ConfigDocument.MAX_SECTION_BYTES, "40 versions take up " + written);
         // The operators' own tool reads it too.
-        Repair.verify(new FolderDisk(folder), Limits.USUAL, new StoreReader() {
+        Repair.verify(new FolderDisk(folder), StoreLimits.DEFAULT, new ReplayHandler() {
 
             @Override
-            public void snapshot(byte[] piece) {
+            public void snapshotChunk(byte[] piece) {
                 // Whole.
             }
 
--- a/src/test/java/cranedeal/fleet/store/CrashDisk.java
+++ b/src/test/java/cranedeal/fleet/store/CrashDisk.java
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(names.keySet());
     }
 
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void forceDirectory() throws IOException {
         forceNow();
         forcedNames.clear();
         forcedNames.putAll(names);
--- a/src/test/java/cranedeal/fleet/store/StoreBenchmark.java
+++ b/src/test/java/cranedeal/fleet/store/StoreBenchmark.java
@@ -24,18 +24,18 @@
     private static final int BATCHED = 400_000;
     private static final int SMALL = 100;
     private static final int MILLION = 1_000_000;
-    private static final Limits LIMITS = Limits.USUAL;
+    private static final StoreLimits LIMITS = StoreLimits.DEFAULT;
 
     private StoreBenchmark() {
     }
 
     /** A reader that only counts. */
-    private static final class Count implements StoreReader {
+    private static final class Count implements ReplayHandler {
 
         private long records;
 
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             // There is none.
         }
 
@@ -124,7 +124,7 @@
                 }).start();
             }
             done.await();
-            forces = commit.run(store -> store.figures().forces()).get();
+            forces = commit.run(store -> store.stats().forces()).get();
         }
         double seconds = (System.nanoTime() - start) / 1e9;
         System.out.printf(Locale.ROOT,
@@ -139,7 +139,7 @@
             try (Store store = Store.open(new FolderDisk(own), LIMITS, new Count())) {
                 for (int i = 0; i < records; i++) {
                     store.append(1, new byte[SMALL]);
-                    if (!store.hasRoom(SMALL)) {
+                    if (!store.fitsInBatch(SMALL)) {
                         store.force();
                     }
                 }
@@ -149,7 +149,7 @@
                 Count count = new Count();
                 try (Store store = Store.open(new FolderDisk(own), LIMITS, count)) {
                     System.out.printf(Locale.ROOT, "recovery of %d records: %.0f ms%n", count.records,
-                            store.figures().recoveryMs());
+                            store.stats().recoveryMs());
                 }
             }
         }
--- a/src/test/java/cranedeal/fleet/store/StoreTest.java
+++ b/src/test/java/cranedeal/fleet/store/StoreTest.java
@@ -29,18 +29,18 @@
  */
 class StoreTest {
 
-    private static final Limits SMALL = new Limits(3_000, 1_000, 4_000);
+    private static final StoreLimits SMALL = new StoreLimits(3_000, 1_000, 4_000);
 
     @TempDir
     Path folder;
 
     /** A state: the numbers that were appended, in order. A snapshot has them in pieces of ten. */
-    private static final class State implements StoreReader {
+    private static final class State implements ReplayHandler {
 
         private final List<Integer> values = new ArrayList<>();
 
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             ByteBuffer numbers = ByteBuffer.wrap(piece);
             while (numbers.hasRemaining()) {
                 values.add(numbers.getInt());
@@ -54,8 +54,8 @@
         }
 
         void writeTo(Store.Snapshot snapshot) throws IOException {
-            for (int from = 0; from < snapshot.covers(); from += 10) {
-                int to = (int) Math.min(from + 10, snapshot.covers());
+            for (int from = 0; from < snapshot.lastIncludedSequence(); from += 10) {
+                int to = (int) Math.min(from + 10, snapshot.lastIncludedSequence());
                 ByteBuffer piece = ByteBuffer.allocate(4 * (to - from));
                 values.subList(from, to).forEach(piece::putInt);
                 snapshot.write(piece.array());
@@ -90,12 +90,12 @@
                 appended = state.values;
                 for (int i = 0; i < steps; i++) {
                     int dice = random.nextInt(10);
-                    if (dice < 6 && store.hasRoom(604)) {
+                    if (dice < 6 && store.fitsInBatch(604)) {
                         appended.add(next);
                         store.append(1, payload(next++, random));
-                    } else if (dice < 9 || store.forced() == 0) {
+                    } else if (dice < 9 || store.forcedSequence() == 0) {
                         store.force();
-                        acknowledged = (int) store.forced();
+                        acknowledged = (int) store.forcedSequence();
                     } else {
                         snapshot(store, state);
                     }
@@ -107,11 +107,11 @@
         private void snapshot(Store store, State state) throws IOException {
             try (Store.Snapshot snapshot = store.snapshot()) {
                 state.writeTo(snapshot);
-                if (random.nextBoolean() && store.hasRoom(604)) {
+                if (random.nextBoolean() && store.fitsInBatch(604)) {
                     appended.add(next);
                     store.append(1, payload(next++, random));
                     store.force();
-                    acknowledged = (int) store.forced();
+                    acknowledged = (int) store.forcedSequence();
                 }
                 if (random.nextInt(5) > 0) {
                     snapshot.commit();
@@ -161,7 +161,7 @@
     }
 
     /** Six batches of two records, acknowledged one after the other. */
-    private static CrashDisk acknowledgedBatches(Limits limits) throws IOException {
+    private static CrashDisk acknowledgedBatches(StoreLimits limits) throws IOException {
         CrashDisk disk = new CrashDisk(new SplittableRandom(1), 0);
         try (Store store = Store.open(disk, limits, new State())) {
             for (int i = 0; i < 12; i++) {
@@ -177,23 +177,23 @@
     @Test
     void noFlippedByteAndNoLostEndIsEverServed() throws IOException {
         // All in one segment, where only what is behind the damage tells that it was acknowledged.
-        CrashDisk one = acknowledgedBatches(new Limits(100_000, 1_000, 4_000));
-        assertEquals(1, one.names().size());
+        CrashDisk one = acknowledgedBatches(new StoreLimits(100_000, 1_000, 4_000));
+        assertEquals(1, one.fileNames().size());
         assertTrue(flipEachByte(one) > 0);
         CrashDisk disk = acknowledgedBatches(SMALL);
-        List<String> files = disk.names();
+        List<String> files = disk.fileNames();
         assertEquals(2, files.size());
         assertTrue(flipEachByte(disk) > 0);
         for (int length = 0; length < disk.bytes(files.get(0)).length; length++) {
             CrashDisk cut = cut(disk, files.get(0), length);
-            assertThrows(DamagedException.class, () -> Store.open(cut, SMALL, new State()));
+            assertThrows(StoreDamagedException.class, () -> Store.open(cut, SMALL, new State()));
         }
     }
 
     /** How many flips open all the same. */
     private static int flipEachByte(CrashDisk disk) throws IOException {
         int lastBatch = 0;
-        for (String name : disk.names()) {
+        for (String name : disk.fileNames()) {
             for (int at = 0; at < disk.bytes(name).length; at++) {
                 CrashDisk damaged = disk.copy();
                 damaged.bytes(name)[at] ^= (byte) (1 << at % 8);
@@ -206,9 +206,9 @@
     @Test
     void anEndThatIsLostIsSaidUnlessItIsARecordsEnd() throws IOException {
         CrashDisk disk = acknowledgedBatches(SMALL);
-        String last = disk.names().get(1);
+        String last = disk.fileNames().get(1);
         Set<Long> ends = new HashSet<>(Set.of((long) FileKind.HEAD));
-        FrameReader frames = new FrameReader(disk, last, FileKind.HEAD, SMALL.recordBytes());
+        FrameReader frames = new FrameReader(disk, last, FileKind.HEAD, SMALL.maxRecordBytes());
         while (frames.next() != null) {
             ends.add(frames.offset());
         }
@@ -218,7 +218,7 @@
                 for (int i = 0; i < state.values.size(); i++) {
                     assertEquals(i, state.values.get(i));
                 }
-                assertEquals(ends.contains((long) length), store.figures().notes().isEmpty());
+                assertEquals(ends.contains((long) length), store.stats().notes().isEmpty());
             }
         }
     }
@@ -237,8 +237,8 @@
                 assertEquals(i, state.values.get(i));
             }
             assertTrue(state.values.size() >= 10, "only the last batch may be cut");
-            assertTrue(state.values.size() == 12 || store.figures().cut() > 0
-                    || !store.figures().notes().isEmpty());
+            assertTrue(state.values.size() == 12 || store.stats().cut() > 0
+                    || !store.stats().notes().isEmpty());
             return true;
         } catch (StoreException e) {
             return false;
@@ -266,7 +266,7 @@
                     }
                 }
                 assertTrue(full);
-                assertEquals(kept.size(), store.last());
+                assertEquals(kept.size(), store.lastSequence());
                 if (!kept.isEmpty()) {
                     assertThrows(IOException.class, () -> {
                         try (Store.Snapshot snapshot = store.snapshot()) {
@@ -330,21 +330,21 @@
                 }
             }
         }
-        List<String> snapshots = disk.names().stream().filter(FileKind.SNAPSHOT::has).toList();
+        List<String> snapshots = disk.fileNames().stream().filter(FileKind.SNAPSHOT::has).toList();
         assertEquals(2, snapshots.size());
         // Two snapshots' worth of records, and a segment more.
-        assertTrue(disk.names().size() < 25, disk.names().toString());
+        assertTrue(disk.fileNames().size() < 25, disk.fileNames().toString());
         for (int at = 0; at < disk.bytes(snapshots.get(1)).length; at += 13) {
             CrashDisk damaged = disk.copy();
             damaged.bytes(snapshots.get(1))[at] ^= 1;
             State read = new State();
             try (Store store = Store.open(damaged, SMALL, read)) {
                 assertEquals(all, read.values);
-                assertEquals(1, store.figures().notes().size());
+                assertEquals(1, store.stats().notes().size());
             }
         }
         snapshots.forEach(name -> disk.bytes(name)[30] ^= 1);
-        assertThrows(DamagedException.class, () -> Store.open(disk, SMALL, new State()));
+        assertThrows(StoreDamagedException.class, () -> Store.open(disk, SMALL, new State()));
     }
 
     @Test
@@ -356,7 +356,7 @@
         int snapshots = 0;
         // Opened anew now and then, as what is behind the snapshot must be known then too.
         for (int life = 0; life < 60; life++) {
-            try (Store store = Store.open(disk, Limits.USUAL, new Last())) {
+            try (Store store = Store.open(disk, StoreLimits.DEFAULT, new Last())) {
                 for (int i = 0; i < 50; i++) {
                     store.append(1, new byte[size]);
                     store.force();
@@ -370,7 +370,7 @@
                         }
                     }
                     long used = 0;
-                    for (String name : disk.names()) {
+                    for (String name : disk.fileNames()) {
                         used += disk.bytes(name).length;
                     }
                     most = Math.max(most, used / (double) (pieces * size));
@@ -383,10 +383,10 @@
     }
 
     /** Whatever it is told. */
-    private static final class Last implements StoreReader {
+    private static final class Last implements ReplayHandler {
 
         @Override
-        public void snapshot(byte[] piece) {
+        public void snapshotChunk(byte[] piece) {
             assertEquals(1_000, piece.length);
         }
 
@@ -402,7 +402,7 @@
         Store holder = Store.open(disk, SMALL, new State());
         assertThrows(StoreException.class, () -> Store.open(disk, SMALL, new State()));
         holder.close();
-        String name = disk.names().get(1);
+        String name = disk.fileNames().get(1);
         ByteBuffer head = ByteBuffer.wrap(disk.bytes(name));
         head.putInt(4, 2);
         CRC32C crc = new CRC32C();
@@ -416,7 +416,7 @@
     void manyThreadsShareForcesAndEachIsToldItsNumber() throws Exception {
         FolderDisk disk = new FolderDisk(folder);
         List<CompletableFuture<Long>> told = new ArrayList<>();
-        try (GroupCommit commit = new GroupCommit(Store.open(disk, Limits.USUAL, new State()), 100_000,
+        try (GroupCommit commit = new GroupCommit(Store.open(disk, StoreLimits.DEFAULT, new State()), 100_000,
                 "store")) {
             for (int i = 0; i < 50_000; i++) {
                 told.add(commit.append(1, ByteBuffer.allocate(4).putInt(i).array()));
@@ -424,10 +424,10 @@
             for (int i = 0; i < told.size(); i++) {
                 assertEquals(i + 1, told.get(i).get());
             }
-            long forces = commit.run(store -> store.figures().forces()).get();
+            long forces = commit.run(store -> store.stats().forces()).get();
             assertTrue(forces < 25_000, forces + " forces");
             assertThrows(CompletionException.class,
-                    () -> commit.append(1, new byte[Limits.USUAL.recordBytes() + 1]).join());
+                    () -> commit.append(1, new byte[StoreLimits.DEFAULT.maxRecordBytes() + 1]).join());
             commit.run(store -> {
                 try (Store.Snapshot snapshot = store.snapshot()) {
                     snapshot.write(new byte[] {0, 0, 0, 1});
@@ -437,12 +437,12 @@
             }).get();
             assertEquals(50_001, commit.append(1, new byte[4]).get());
             StoreException taken = assertThrows(StoreException.class,
-                    () -> Store.open(disk, Limits.USUAL, new State()));
+                    () -> Store.open(disk, StoreLimits.DEFAULT, new State()));
             assertTrue(taken.getMessage().contains("in use"));
         }
-        assertEquals(50_001, Repair.verify(disk, Limits.USUAL, new StoreReader() {
+        assertEquals(50_001, Repair.verify(disk, StoreLimits.DEFAULT, new ReplayHandler() {
             @Override
-            public void snapshot(byte[] piece) {
+            public void snapshotChunk(byte[] piece) {
                 assertEquals(4, piece.length);
             }
 
@@ -461,23 +461,23 @@
                 store.force();
             }
         }
-        Path second = folder.resolve(new FolderDisk(folder).names().stream().sorted().toList().get(1));
+        Path second = folder.resolve(new FolderDisk(folder).fileNames().stream().sorted().toList().get(1));
         byte[] bytes = Files.readAllBytes(second);
         bytes[FileKind.HEAD + 40] ^= 1;
         Files.write(second, bytes);
         long first = FileKind.JOURNAL.number(second.getFileName().toString());
-        DamagedException damage = assertThrows(DamagedException.class,
+        StoreDamagedException damage = assertThrows(StoreDamagedException.class,
                 () -> Store.open(new FolderDisk(folder), SMALL, new State()));
         assertEquals(FileKind.HEAD, damage.offset());
         Path kept = folder.resolve("kept");
         Repair.Outcome outcome = Repair.repair(folder, SMALL, kept);
         assertEquals(40 - first, outcome.droppedCount());
-        assertEquals(first + 1, outcome.dropped().get(0));
+        assertEquals(first + 1, outcome.droppedSequences().get(0));
         assertEquals(bytes.length, Files.size(kept.resolve(second.getFileName())));
         State state = new State();
         Store.open(new FolderDisk(folder), SMALL, state).close();
         assertEquals(first - 1, state.values.size());
         Repair.Outcome nothing = Repair.repair(folder, SMALL, folder.resolve("again"));
-        assertTrue(nothing.cut().isEmpty() && !Files.exists(folder.resolve("again")));
+        assertTrue(nothing.repairedDamage().isEmpty() && !Files.exists(folder.resolve("again")));
     }
 }
--- a/src/test/java/cranedeal/lab/Appender.java
+++ b/src/test/java/cranedeal/lab/Appender.java
@@ -2,10 +2,10 @@
 
 import cranedeal.fleet.store.FolderDisk;
 import cranedeal.fleet.store.GroupCommit;
-import cranedeal.fleet.store.Limits;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
 import cranedeal.fleet.store.Store;
-import cranedeal.fleet.store.StoreReader;
+import cranedeal.fleet.store.ReplayHandler;
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  */
 public final class Appender {
 
-    private static final Limits LIMITS = new Limits(64 * 1024, 4_096, 32 * 1024);
+    private static final StoreLimits LIMITS = new StoreLimits(64 * 1024, 4_096, 32 * 1024);
     private static final int WRITERS = 4;
     private static final int SNAPSHOT_EVERY = 2_000;
 
@@ -36,10 +36,10 @@
 
     /** The argument is the folder. */
     public static void main(String[] args) throws Exception {
-        Store store = Store.open(new FolderDisk(Path.of(args[0])), LIMITS, new StoreReader() {
+        Store store = Store.open(new FolderDisk(Path.of(args[0])), LIMITS, new ReplayHandler() {
 
             @Override
-            public void snapshot(byte[] piece) {
+            public void snapshotChunk(byte[] piece) {
                 ByteBuffer state = ByteBuffer.wrap(piece);
                 last = state.getLong();
                 sum = state.getLong();
@@ -70,7 +70,7 @@
 
     private static Object snapshot(Store store) throws IOException {
         try (Store.Snapshot snapshot = store.snapshot()) {
-            long covers = snapshot.covers();
+            long covers = snapshot.lastIncludedSequence();
             snapshot.write(ByteBuffer.allocate(16).putLong(covers).putLong(covers).array());
             snapshot.commit();
         }
--- a/src/test/java/cranedeal/lab/ConfigProcessTest.java
+++ b/src/test/java/cranedeal/lab/ConfigProcessTest.java
@@ -9,9 +9,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cranedeal.fleet.command.Program;
-import cranedeal.lab.link.Addresses;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.link.AddressBlock;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -46,16 +46,16 @@
     @TempDir
     Path folder;
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final Map<String, Child> processes = new LinkedHashMap<>();
-    private Warden warden;
-    private Addresses addresses;
+    private final Map<String, ChildProcess> processes = new LinkedHashMap<>();
+    private ProcessSupervisor warden;
+    private AddressBlock addresses;
     private ObjectNode own;
     private String said;
 
     @BeforeEach
     void start() throws Exception {
-        warden = new Warden();
-        addresses = Addresses.take();
+        warden = new ProcessSupervisor();
+        addresses = AddressBlock.reserve();
         for (int i = 0; i < COORDINATORS; i++) {
             startCoordinator(i);
         }
@@ -75,11 +75,11 @@
     }
 
     private String coordinator(int number) {
-        return ip(1 + number) + ":" + Addresses.MEMBER_PORT;
+        return ip(1 + number) + ":" + AddressBlock.MEMBER_PORT;
     }
 
     private String balancer(int number) {
-        return ip(11 + number) + ":" + Addresses.MEMBER_PORT;
+        return ip(11 + number) + ":" + AddressBlock.MEMBER_PORT;
     }
 
     private List<String> coordinators() {
@@ -115,7 +115,8 @@
         ObjectNode known = JSON.createObjectNode().put("version", 1).put("full", true);
         known.putArray("servers");
         // Nobody listens for discovery, so it serves by what it knows.
-        own = BalancerConfig.of(experiment, number, addresses.own(11 + number), addresses.own(99), number + 1,
+        own = BalancerConfig.of(experiment, number, addresses.listenAddress(11 + number),
+                addresses.listenAddress(99), number + 1,
                 known, List.of());
         ObjectNode fleet = own.putObject("fleet").put("name", "clinics").put("listen", balancer(number))
                 .put("service", "front").put("probe_period_ms", 500)
@@ -128,7 +129,7 @@
     }
 
     private String door(int number) {
-        return ip(11 + number) + ":" + Addresses.DOOR_PORT;
+        return ip(11 + number) + ":" + AddressBlock.ADMIN_PORT;
     }
 
     private void kill(String name) {
@@ -197,7 +198,7 @@
     }
 
     private boolean serves(int balancer) throws IOException, InterruptedException {
-        return http.send(HttpRequest.newBuilder(URI.create("http:/" + addresses.own(11 + balancer)
+        return http.send(HttpRequest.newBuilder(URI.create("http:/" + addresses.listenAddress(11 + balancer)
                 + "/_health")).timeout(Duration.ofSeconds(20)).build(),
                 HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
     }
@@ -267,7 +268,7 @@
         List<String> command = new ArrayList<>(new LabCommand.ProgramUnderTest().command());
         command.addAll(List.of("fleet", "config", "publish", b.toString(), "--to", coordinator(0),
                 "--operation", "b"));
-        Child author = warden.start("author", command, Map.of(), folder.resolve("author.log"));
+        ChildProcess author = warden.start("author", command, Map.of(), folder.resolve("author.log"));
         CompletableFuture<Integer> answered = author.onExit();
         Processes.until(() -> answered.isDone() || keepsOperation(0, "b"));
         kill("c0");
--- a/src/test/java/cranedeal/lab/KilledStoreTest.java
+++ b/src/test/java/cranedeal/lab/KilledStoreTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,15 +29,16 @@
         int rounds = Integer.getInteger("lab.kills", 8);
         long kept = 0;
         Path store = Files.createDirectory(folder.resolve("store"));
-        try (Warden warden = new Warden()) {
+        try (ProcessSupervisor warden = new ProcessSupervisor()) {
             for (int round = 0; round < rounds; round++) {
                 Path log = folder.resolve("round" + round);
-                Child child = warden.start("appender", Processes.java(Appender.class, store.toString()),
+                ChildProcess child = warden.start("appender", Processes.java(Appender.class,
+                        store.toString()),
                         Map.of(), log);
                 // Now and then before it has recovered, or while it does; mostly under load.
                 long until = random.nextInt(4) == 0 ? 0 : kept + 1 + random.nextInt(4_000);
                 String wanted = until == 0 ? "" : "kept " + until + "\n";
-                Processes.until(() -> child.hasSaid(wanted) || !child.isAlive());
+                Processes.until(() -> child.logContains(wanted) || !child.isAlive());
                 assertTrue(child.isAlive(), () -> "it ended by itself: " + read(log));
                 child.kill();
                 child.onExit().join();
--- a/src/test/java/cranedeal/lab/MembersTest.java
+++ b/src/test/java/cranedeal/lab/MembersTest.java
@@ -143,10 +143,10 @@
                 .noneMatch(line -> line.contains(" is faulty") && !line.contains("n3 ")),
                 "who was stopped blames nobody");
 
-        cut("n5", "*", Impairment.SILENT, Impairment.NONE);
+        cut("n5", "*", Impairment.BLOCKED, Impairment.NONE);
         for (int i = 0; i < COUNT; i++) {
             // Towards those whose names come first, the link is theirs.
-            cut("n5", name(i), Impairment.SILENT, Impairment.NONE);
+            cut("n5", name(i), Impairment.BLOCKED, Impairment.NONE);
         }
         Processes.until(agree(without(5)));
         cut("n5", "*", Impairment.NONE, Impairment.NONE);
@@ -157,7 +157,7 @@
         List<Integer> rest = without(part);
         for (int one : part) {
             for (int other : rest) {
-                cut(name(one), name(other), Impairment.SILENT, Impairment.SILENT);
+                cut(name(one), name(other), Impairment.BLOCKED, Impairment.BLOCKED);
             }
         }
         Processes.until(agree(IntStream.of(part).boxed().toList()));
--- a/src/test/java/cranedeal/lab/Processes.java
+++ b/src/test/java/cranedeal/lab/Processes.java
@@ -1,7 +1,7 @@
 package cranedeal.lab;
 
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,10 +29,11 @@
     }
 
     /** Starts a class of the tests, and returns once it has said {@code ready}. */
-    public static Child start(Warden warden, Class<?> main, String... arguments) throws Exception {
+    public static ChildProcess start(ProcessSupervisor warden, Class<?> main, String... arguments)
+            throws Exception {
         Path log = Files.createTempFile("child", ".log");
-        Child child = warden.start(main.getSimpleName(), java(main, arguments), Map.of(), log);
-        until(() -> child.hasSaid("ready") || !child.isAlive());
+        ChildProcess child = warden.start(main.getSimpleName(), java(main, arguments), Map.of(), log);
+        until(() -> child.logContains("ready") || !child.isAlive());
         if (!child.isAlive()) {
             throw new AssertionError(Files.readString(log));
         }
--- a/src/test/java/cranedeal/lab/hollow/HollowBalancersTest.java
+++ b/src/test/java/cranedeal/lab/hollow/HollowBalancersTest.java
@@ -5,9 +5,9 @@
 
 import cranedeal.fleet.command.Program;
 import cranedeal.lab.Processes;
-import cranedeal.lab.link.Addresses;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.link.AddressBlock;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import java.net.http.HttpClient;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,15 +27,15 @@
 
     @TempDir
     Path folder;
-    private Addresses addresses;
-    private Warden warden;
+    private AddressBlock addresses;
+    private ProcessSupervisor warden;
     private final List<HollowGroup> groups = new ArrayList<>();
     private final TreeSet<String> all = new TreeSet<>();
 
     @BeforeEach
     void start() throws Exception {
-        addresses = Addresses.take();
-        warden = new Warden();
+        addresses = AddressBlock.reserve();
+        warden = new ProcessSupervisor();
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         for (int i = 0; i < 2; i++) {
             List<HollowConfig.Balancer> its = new ArrayList<>();
@@ -43,7 +43,8 @@
                 its.add(new HollowConfig.Balancer("h" + j, at(j), at(j), null));
             }
             groups.add(HollowGroup.start("hollow-" + i, new HollowConfig(
-                    addresses.ip(2 * EACH + i).getHostAddress() + ":" + Addresses.DOOR_PORT, "test", 200, 1,
+                    addresses.ip(2 * EACH + i).getHostAddress() + ":" + AddressBlock.ADMIN_PORT, "test", 200,
+                    1,
                     List.of(at(0)), its), folder, warden, http));
             all.addAll(groups.get(i).names());
         }
@@ -60,7 +61,7 @@
     }
 
     private String at(int number) {
-        return addresses.ip(number).getHostAddress() + ":" + Addresses.MEMBER_PORT;
+        return addresses.ip(number).getHostAddress() + ":" + AddressBlock.MEMBER_PORT;
     }
 
     /** Whether exactly these run, and each sees as many. */
@@ -102,7 +103,7 @@
 
     @Test
     void hundredsNeedNoThreadsOfTheirOwn() throws Exception {
-        Child child = groups.get(0).child();
+        ChildProcess child = groups.get(0).child();
         try (var threads = Files.list(Path.of("/proc", Long.toString(child.pid()), "task"))) {
             List<String> names = new ArrayList<>();
             for (Path thread : threads.toList()) {
--- a/src/test/java/cranedeal/lab/link/DatagramLinksTest.java
+++ b/src/test/java/cranedeal/lab/link/DatagramLinksTest.java
@@ -23,28 +23,28 @@
     @Test
     void datagramsComeFromTheSendersOtherAddressAndFaultsHitOneWay() throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Addresses addresses = Addresses.take(); DatagramSocket a = socket(addresses, 0);
+        try (AddressBlock addresses = AddressBlock.reserve(); DatagramSocket a = socket(addresses, 0);
                 DatagramSocket b = socket(addresses, 1); DatagramSocket c = socket(addresses, 2)) {
             DatagramLinks links = new DatagramLinks(loops.next(), new SplittableRandom(1));
             for (int party = 0; party < 3; party++) {
-                links.join(addresses.own(party), addresses.link(0, party)).sync();
+                links.addParty(addresses.listenAddress(party), addresses.linkAddress(0, party)).sync();
             }
-            send(a, "to b", addresses.link(0, 1));
+            send(a, "to b", addresses.linkAddress(0, 1));
             DatagramPacket got = receive(b);
             assertEquals("to b", text(got));
-            assertEquals(addresses.link(0, 0), got.getSocketAddress());
+            assertEquals(addresses.linkAddress(0, 0), got.getSocketAddress());
             send(b, "answer", (InetSocketAddress) got.getSocketAddress());
             assertEquals("answer", text(receive(a)));
 
             links.impair(addresses.ip(0), addresses.ip(1), LOSES_ALL).sync();
-            send(a, "lost", addresses.link(0, 1));
-            send(c, "from c", addresses.link(0, 1));
+            send(a, "lost", addresses.linkAddress(0, 1));
+            send(c, "from c", addresses.linkAddress(0, 1));
             assertEquals("from c", text(receive(b)));
-            send(b, "the way back is in order", addresses.link(0, 0));
+            send(b, "the way back is in order", addresses.linkAddress(0, 0));
             assertEquals("the way back is in order", text(receive(a)));
 
             links.impair(addresses.ip(0), addresses.ip(1), DOUBLES).sync();
-            send(a, "twice", addresses.link(0, 1));
+            send(a, "twice", addresses.linkAddress(0, 1));
             assertEquals("twice", text(receive(b)));
             assertEquals("twice", text(receive(b)));
             links.close();
@@ -56,24 +56,25 @@
     @Test
     void groupsOfPartiesLoseEachOtherAndMeetAlsoThoseThatNeverSpokeBefore() throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Addresses addresses = Addresses.take(); DatagramSocket a = socket(addresses, 0);
+        try (AddressBlock addresses = AddressBlock.reserve(); DatagramSocket a = socket(addresses, 0);
                 DatagramSocket b = socket(addresses, 1); DatagramSocket c = socket(addresses, 2)) {
             DatagramLinks links = new DatagramLinks(loops.next(), new SplittableRandom(1));
             for (int party = 0; party < 3; party++) {
-                links.join(addresses.own(party), addresses.link(0, party), party == 2 ? 1 : 0).sync();
+                links.addParty(addresses.listenAddress(party), addresses.linkAddress(0, party), party == 2 ? 1
+                        : 0).sync();
             }
-            send(a, "a pair that is in use", addresses.link(0, 2));
+            send(a, "a pair that is in use", addresses.linkAddress(0, 2));
             assertEquals("a pair that is in use", text(receive(c)));
-            links.between(0, 1, LOSES_ALL).sync();
-            send(a, "lost", addresses.link(0, 2));
-            send(b, "lost", addresses.link(0, 2));
-            send(c, "lost", addresses.link(0, 1));
-            send(a, "within its group", addresses.link(0, 1));
+            links.impairGroups(0, 1, LOSES_ALL).sync();
+            send(a, "lost", addresses.linkAddress(0, 2));
+            send(b, "lost", addresses.linkAddress(0, 2));
+            send(c, "lost", addresses.linkAddress(0, 1));
+            send(a, "within its group", addresses.linkAddress(0, 1));
             assertEquals("within its group", text(receive(b)));
-            links.between(1, 0, Impairment.NONE).sync();
-            send(b, "they meet", addresses.link(0, 2));
+            links.impairGroups(1, 0, Impairment.NONE).sync();
+            send(b, "they meet", addresses.linkAddress(0, 2));
             assertEquals("they meet", text(receive(c)));
-            send(c, "and back", addresses.link(0, 1));
+            send(c, "and back", addresses.linkAddress(0, 1));
             assertEquals("and back", text(receive(b)));
             links.close();
         } finally {
@@ -81,8 +82,8 @@
         }
     }
 
-    private static DatagramSocket socket(Addresses addresses, int party) throws IOException {
-        DatagramSocket socket = new DatagramSocket(addresses.own(party));
+    private static DatagramSocket socket(AddressBlock addresses, int party) throws IOException {
+        DatagramSocket socket = new DatagramSocket(addresses.listenAddress(party));
         socket.setSoTimeout(60_000);
         return socket;
     }
--- a/src/test/java/cranedeal/lab/link/LinkBenchmark.java
+++ b/src/test/java/cranedeal/lab/link/LinkBenchmark.java
@@ -2,7 +2,7 @@
 
 import cranedeal.lab.Echo;
 import cranedeal.lab.Processes;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ProcessSupervisor;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -32,17 +32,19 @@
     /** Takes no arguments. */
     public static void main(String[] args) throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Addresses addresses = Addresses.take(); Warden warden = new Warden()) {
+        try (AddressBlock addresses = AddressBlock.reserve();
+                ProcessSupervisor warden = new ProcessSupervisor()) {
             Processes.start(warden, Echo.class, addresses.ip(1).getHostAddress(),
-                    Integer.toString(Addresses.OWN_PORT));
-            StreamLink link = new StreamLink(loops.next(), addresses.link(0, 1), addresses.own(1),
+                    Integer.toString(AddressBlock.LISTEN_PORT));
+            StreamLink link = new StreamLink(loops.next(), addresses.linkAddress(0, 1),
+                    addresses.listenAddress(1),
                     addresses.ip(0), new SplittableRandom(1));
-            link.targetUp(true).sync();
+            link.setTargetUp(true).sync();
             Histogram direct = new Histogram(3);
             Histogram linked = new Histogram(3);
             for (int i = 0; i <= ROUNDS; i++) {
                 // The first round warms up.
-                trips(addresses.own(1), i == 0 ? new Histogram(3) : direct);
+                trips(addresses.listenAddress(1), i == 0 ? new Histogram(3) : direct);
                 trips(link.address(), i == 0 ? new Histogram(3) : linked);
             }
             print("direct", direct);
--- a/src/test/java/cranedeal/lab/link/StreamLinkTest.java
+++ b/src/test/java/cranedeal/lab/link/StreamLinkTest.java
@@ -7,8 +7,8 @@
 
 import cranedeal.lab.Echo;
 import cranedeal.lab.Processes;
-import cranedeal.lab.process.Child;
-import cranedeal.lab.process.Warden;
+import cranedeal.lab.process.ChildProcess;
+import cranedeal.lab.process.ProcessSupervisor;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -39,19 +39,19 @@
     private static final int HERE = 0;
     private static final int THERE = 1;
     private static final EventLoopGroup LOOPS = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private static Addresses addresses;
-    private static Warden warden;
-    private static Child echo;
+    private static AddressBlock addresses;
+    private static ProcessSupervisor warden;
+    private static ChildProcess echo;
     private StreamLink link;
     /** A second way to the same process, in order at all times: what goes through it takes time. */
     private StreamLink other;
 
     @BeforeAll
     static void startEcho() throws Exception {
-        addresses = Addresses.take();
-        warden = new Warden();
+        addresses = AddressBlock.reserve();
+        warden = new ProcessSupervisor();
         echo = Processes.start(warden, Echo.class, addresses.ip(THERE).getHostAddress(),
-                Integer.toString(Addresses.OWN_PORT));
+                Integer.toString(AddressBlock.LISTEN_PORT));
     }
 
     @AfterAll
@@ -74,9 +74,10 @@
     }
 
     private static StreamLink open(int from) throws Exception {
-        StreamLink opened = new StreamLink(LOOPS.next(), addresses.link(from, THERE), addresses.own(THERE),
+        StreamLink opened = new StreamLink(LOOPS.next(), addresses.linkAddress(from, THERE),
+                addresses.listenAddress(THERE),
                 addresses.ip(from), new SplittableRandom(1));
-        opened.targetUp(true).sync();
+        opened.setTargetUp(true).sync();
         return opened;
     }
 
@@ -121,7 +122,7 @@
         try (Line line = new Line(link.address())) {
             line.say("hello");
             assertEquals("hello", line.hear());
-            assertTrue(echo.hasSaid("from " + addresses.ip(HERE).getHostAddress()));
+            assertTrue(echo.logContains("from " + addresses.ip(HERE).getHostAddress()));
         }
     }
 
@@ -130,11 +131,11 @@
         try (Line line = new Line(link.address())) {
             line.say("before");
             assertEquals("before", line.hear());
-            link.impair(Impairment.SILENT, Impairment.SILENT).sync();
+            link.impair(Impairment.BLOCKED, Impairment.BLOCKED).sync();
             line.say("held-1");
             line.say("held-2");
             letOthersTalk();
-            assertFalse(echo.hasSaid("held-1"));
+            assertFalse(echo.logContains("held-1"));
             link.impair(Impairment.NONE, Impairment.NONE).sync();
             assertEquals("held-1", line.hear());
             assertEquals("held-2", line.hear());
@@ -153,12 +154,12 @@
             long start = System.nanoTime();
             line.say("on-its-way");
             letOthersTalk();
-            link.impair(Impairment.SILENT, Impairment.NONE).sync();
+            link.impair(Impairment.BLOCKED, Impairment.NONE).sync();
             if (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(100)) {
                 while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(300)) {
                     letOthersTalk();
                 }
-                assertFalse(echo.hasSaid("on-its-way"));
+                assertFalse(echo.logContains("on-its-way"));
             }
             link.impair(Impairment.NONE, Impairment.NONE).sync();
             assertEquals("on-its-way", line.hear());
@@ -167,7 +168,7 @@
 
     @Test
     void letsNoConnectionComeUpWhileSilent() throws Exception {
-        link.impair(Impairment.SILENT, Impairment.SILENT).sync();
+        link.impair(Impairment.BLOCKED, Impairment.BLOCKED).sync();
         try (SocketChannel late = SocketChannel.open()) {
             late.configureBlocking(false);
             late.connect(link.address());
@@ -183,9 +184,9 @@
         try (Line line = new Line(link.address())) {
             line.say("known");
             assertEquals("known", line.hear());
-            link.impair(Impairment.NONE, Impairment.SILENT).sync();
+            link.impair(Impairment.NONE, Impairment.BLOCKED).sync();
             line.say("only-there");
-            Processes.until(() -> echo.hasSaid("only-there"));
+            Processes.until(() -> echo.logContains("only-there"));
             letOthersTalk();
             assertFalse(line.in.ready());
             link.impair(Impairment.NONE, Impairment.NONE).sync();
@@ -200,15 +201,15 @@
             assertEquals("to be reset", line.hear());
             link.reset().sync();
             assertThrows(SocketException.class, line::hear);
-            Processes.until(() -> echo.hasSaid("broken: Connection reset"));
+            Processes.until(() -> echo.logContains("broken: Connection reset"));
         }
     }
 
     @Test
     void refusesWhileTheTargetIsDown() throws Exception {
-        link.targetUp(false).sync();
+        link.setTargetUp(false).sync();
         assertThrows(ConnectException.class, () -> new Line(link.address()));
-        link.targetUp(true).sync();
+        link.setTargetUp(true).sync();
         try (Line line = new Line(link.address())) {
             line.say("back");
             assertEquals("back", line.hear());
@@ -278,11 +279,11 @@
     @Test
     void keepsWhatASlowReaderHasNotTakenWhenTheStreamEnds() throws Exception {
         byte[] bytes = new byte[8 << 20];
-        InetSocketAddress target = addresses.own(3);
+        InetSocketAddress target = addresses.listenAddress(3);
         try (ServerSocket server = new ServerSocket(target.getPort(), 1, target.getAddress())) {
-            StreamLink ending = new StreamLink(LOOPS.next(), addresses.link(HERE, 3), target,
+            StreamLink ending = new StreamLink(LOOPS.next(), addresses.linkAddress(HERE, 3), target,
                     addresses.ip(HERE), new SplittableRandom(1));
-            ending.targetUp(true).sync();
+            ending.setTargetUp(true).sync();
             try (Socket reader = new Socket()) {
                 reader.setReceiveBufferSize(4_096);
                 reader.setSoTimeout(60_000);
--- a/src/test/java/cranedeal/lab/process/Nursery.java
+++ b/src/test/java/cranedeal/lab/process/Nursery.java
@@ -14,10 +14,10 @@
 
     /** The arguments are a file for the children's output, and the address and ports to listen on. */
     public static void main(String[] args) throws Exception {
-        Warden warden = new Warden();
-        Child running = warden.start("running", Processes.java(Echo.class, args[1], args[2]), Map.of(),
+        ProcessSupervisor warden = new ProcessSupervisor();
+        ChildProcess running = warden.start("running", Processes.java(Echo.class, args[1], args[2]), Map.of(),
                 Path.of(args[0]));
-        Child paused = warden.start("paused", Processes.java(Echo.class, args[1], args[3]), Map.of(),
+        ChildProcess paused = warden.start("paused", Processes.java(Echo.class, args[1], args[3]), Map.of(),
                 Path.of(args[0]));
         paused.signal("STOP");
         System.out.println("children " + running.pid() + " " + paused.pid() + " ready");
--- a/src/test/java/cranedeal/lab/process/ProcessTest.java
+++ b/src/test/java/cranedeal/lab/process/ProcessTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.lab.Processes;
-import cranedeal.lab.link.Addresses;
+import cranedeal.lab.link.AddressBlock;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -34,12 +34,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"KILL", "TERM", "INT"})
     void nothingOutlivesALabHoweverThatEnds(String signal) throws Exception {
-        try (Warden outer = new Warden(); Addresses addresses = Addresses.take()) {
+        try (ProcessSupervisor outer = new ProcessSupervisor();
+                AddressBlock addresses = AddressBlock.reserve()) {
             Path log = folder.resolve("nursery.log");
-            Child lab = outer.start("nursery", Processes.java(Nursery.class,
+            ChildProcess lab = outer.start("nursery", Processes.java(Nursery.class,
                     folder.resolve("children.log").toString(), addresses.ip(1).getHostAddress(), "9001",
                     "9002"), Map.of(), log);
-            Processes.until(() -> lab.hasSaid("ready") || !lab.isAlive());
+            Processes.until(() -> lab.logContains("ready") || !lab.isAlive());
             Matcher told = Pattern.compile("children (\\d+) (\\d+)").matcher(Files.readString(log));
             assertTrue(told.find(), Files.readString(log));
             List<ProcessHandle> children = Stream.of(told.group(1), told.group(2))
@@ -63,8 +64,10 @@
 
     @Test
     void aPausedProcessGoesOnAndTellsWhatItUsed() throws Exception {
-        try (Warden warden = new Warden(); Addresses addresses = Addresses.take()) {
-            Child child = Processes.start(warden, cranedeal.lab.Echo.class, addresses.ip(1).getHostAddress(),
+        try (ProcessSupervisor warden = new ProcessSupervisor();
+                AddressBlock addresses = AddressBlock.reserve()) {
+            ChildProcess child = Processes.start(warden, cranedeal.lab.Echo.class,
+                    addresses.ip(1).getHostAddress(),
                     "9001");
             assertTrue(child.usage().orElseThrow().rssKb() > 1_000);
             child.signal("STOP");
@@ -80,18 +83,18 @@
 
     @Test
     void aProcessOnAFullOrReadOnlyDiskIsToldSoUntilThatIsOver() throws Exception {
-        try (Warden warden = new Warden()) {
+        try (ProcessSupervisor warden = new ProcessSupervisor()) {
             Path written = Files.createDirectory(folder.resolve("disk"));
-            Child child = Processes.start(warden, Writer.class, written.toString());
+            ChildProcess child = Processes.start(warden, Writer.class, written.toString());
             Processes.until(() -> Files.exists(written.resolve("wrote")));
-            child.diskFull(true);
+            child.setDiskFull(true);
             Processes.until(() -> Files.exists(written.resolve("full")));
-            child.diskFull(false);
+            child.setDiskFull(false);
             Files.delete(written.resolve("wrote"));
             Processes.until(() -> Files.exists(written.resolve("wrote")));
-            DiskFault.readOnly(written, true);
-            Processes.until(() -> child.hasSaid("AccessDenied"));
-            DiskFault.readOnly(written, false);
+            DiskFault.setReadOnly(written, true);
+            Processes.until(() -> child.logContains("AccessDenied"));
+            DiskFault.setReadOnly(written, false);
             Files.delete(written.resolve("wrote"));
             Processes.until(() -> Files.exists(written.resolve("wrote")));
         }
--- a/src/test/java/cranedeal/lab/slope/DataPathTest.java
+++ b/src/test/java/cranedeal/lab/slope/DataPathTest.java
@@ -129,7 +129,7 @@
             line[0] = "lab";
             line[1] = "slope";
             System.arraycopy(wrong, 0, line, 2, wrong.length);
-            assertEquals(Program.WRONG_USE, Program.run(Map.of(), line), String.join(" ", line));
+            assertEquals(Program.USAGE_ERROR, Program.run(Map.of(), line), String.join(" ", line));
         }
     }
 
--- a/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
+++ b/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
@@ -26,9 +26,9 @@
                 SOCKETS / 3, Processor.ANY)) {
             List<InetSocketAddress> balancer = List.of(stage.listen());
             stage.client().play(balancer, RATE, SECONDS, 1);
-            stage.balancer().descriptorsAtMost(stage.descriptors());
+            stage.balancer().limitDescriptors(stage.descriptors());
             DataPathClient.Block shortOfSockets = stage.client().play(balancer, RATE, SECONDS, 2);
-            stage.balancer().descriptorsAtMost(USUAL);
+            stage.balancer().limitDescriptors(USUAL);
             stage.client().play(balancer, RATE, SECONDS, 3);
             DataPathClient.Block after = stage.client().play(balancer, RATE, SECONDS, 4);
             assertEquals(0, shortOfSockets.unanswered(), () -> DataPathStudy.told(shortOfSockets).toString());
--- a/src/test/java/cranedeal/lab/slope/SlopeReportTest.java
+++ b/src/test/java/cranedeal/lab/slope/SlopeReportTest.java
@@ -119,8 +119,8 @@
 
     @Test
     void wrongUseIsSaid() {
-        assertEquals(Program.WRONG_USE, Program.run(Map.of(), "lab", "slope"));
-        assertEquals(Program.WRONG_USE, Program.run(Map.of(), "lab", "slope", "membership", "--members",
+        assertEquals(Program.USAGE_ERROR, Program.run(Map.of(), "lab", "slope"));
+        assertEquals(Program.USAGE_ERROR, Program.run(Map.of(), "lab", "slope", "membership", "--members",
                 "4"));
     }
 }
--- a/src/test/java/cranedeal/lab/standin/LoadBenchmark.java
+++ b/src/test/java/cranedeal/lab/standin/LoadBenchmark.java
@@ -2,7 +2,7 @@
 
 import cranedeal.lab.history.Effect;
 import cranedeal.lab.history.Event;
-import cranedeal.lab.link.Addresses;
+import cranedeal.lab.link.AddressBlock;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -36,13 +36,14 @@
         EventLoopGroup serverLoop = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         AtomicLong served = new AtomicLong();
         AtomicLong other = new AtomicLong();
-        try (Addresses addresses = Addresses.take()) {
+        try (AddressBlock addresses = AddressBlock.reserve()) {
             LabClock clock = new LabClock();
             UpstreamServer server = new UpstreamServer("u0",
                     new UpstreamKind("k", 1, 256, 1_000, 100_000, 1, 0, 0, 100_000), serverLoop.next(), clock,
                     new SplittableRandom(1), address -> "n0", event -> { }, new SeenKeys(4_000));
-            server.bind(addresses.own(1));
-            var front = new Front(clientLoop.next(), List.of(new Front.Backend("n0", addresses.own(1))),
+            server.bind(addresses.listenAddress(1));
+            var front = new Front(clientLoop.next(), List.of(new Front.Backend("n0",
+                    addresses.listenAddress(1))),
                     1_000);
             front.take("n0", true);
             Load load = new Load(rate, 2_000, SECONDS * 1_000, List.of(new ServiceClass("look-up",
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.Limits;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Repair;
 import cranedeal.node.discovery.UpstreamList;
 import java.nio.file.Files;
@@ -130,7 +130,7 @@
                 assertEquals(200, stage.order("PUT", "/ops/upstreams/down/" + id(i % 2)));
             }
         }
-        String journal = new FolderDisk(state).names().get(0);
+        String journal = new FolderDisk(state).fileNames().get(0);
         byte[] bytes = Files.readAllBytes(state.resolve(journal));
         bytes[40] ^= 1;
         Files.write(state.resolve(journal), bytes);
@@ -139,7 +139,7 @@
             assertTrue(stats(stage).contains("orders_unknown=1"));
             assertEquals(500, stage.order("PUT", "/ops/upstreams/down/" + id(0)));
             assertTrue(stage.script.banned.isEmpty(), "nothing was changed");
-            Repair.repair(state, Limits.USUAL, state.resolve("before"));
+            Repair.repair(state, StoreLimits.DEFAULT, state.resolve("before"));
             assertEquals(200, stage.order("PUT", "/ops/upstreams/down/" + id(0)));
             assertTrue(stats(stage).contains("orders_unknown=0"));
         }
