--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/cranedeal/node/Exchange.java
@@ -14,10 +14,10 @@
 final class Exchange {
 
     /** Who waits for the answer. It is told it whole, or in pieces between {@code begin} and an end. */
-    interface Caller extends Download {
+    interface Caller extends ResponseSink {
 
         /** Whether it still waits, by what its connection says at this moment; not from within its reads. */
-        boolean isThere();
+        boolean isConnected();
 
         /**
          * Writes the answer; called once at most. The body is not to be kept; {@code retryAfter} in ms is
@@ -31,10 +31,10 @@
          * @param length negative if it is not known
          * @param drained run each time when pieces can be taken again
          */
-        void begin(long length, Runnable drained);
+        void startStream(long length, Runnable drained);
 
         /** That was the whole answer. */
-        void end();
+        void endStream();
 
         /** The rest of the answer won't come, and the caller must be able to tell. */
         void abort();
@@ -54,13 +54,13 @@
     double deadline;
     final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
     /** How many attempts were asked for, and how many of them are out; one not sent is null in the list. */
-    int sends;
-    int running;
+    int attemptsRequested;
+    int attemptsInFlight;
     /** How the latest attempt that is over has ended; cancelled if none has, as a copy is sent beside one. */
     Result lastResult = Result.CANCELLED;
-    Future<?> overdue;
+    Future<?> deadlineTimer;
     /** When its body was there; NaN while that is on its way. */
-    double arrivedAt;
+    double receivedAt;
     private Caller caller;
     /** When it was last known that the caller was there, in ms of the clock. */
     private double seenAt;
@@ -73,7 +73,7 @@
         this.serviceClass = serviceClass;
         this.figures = figures;
         this.request = request;
-        upload = request instanceof LargeRequest large ? large.upload : null;
+        upload = request instanceof StreamedRequest large ? large.upload : null;
         this.deadline = deadline;
         this.caller = caller;
         seenAt = now;
@@ -93,8 +93,8 @@
      * Whether an attempt may go out now, some time after the module has asked for it: only while somebody
      * waits, and where repeats are dropped for a while, only for that long after another may have run.
      */
-    boolean mayBegin(int number, double now) {
-        if (!isAwaited(now)) {
+    boolean maySend(int number, double now) {
+        if (!isCallerWaiting(now)) {
             return false;
         }
         if (serviceClass.idempotency() != Idempotency.DEDUPLICATED) {
@@ -113,18 +113,18 @@
      * Whether somebody waits for its answer, and has not left while this process was busy elsewhere. Who
      * sends a body that comes on its own is not asked: its connection is being read, or reading is to wait.
      */
-    boolean isAwaited(double now) {
+    boolean isCallerWaiting(double now) {
         if (!isOpen() || upload != null || now <= seenAt + SURELY_THERE_MS) {
             return isOpen();
         }
         seenAt = now;
-        return caller.isThere();
+        return caller.isConnected();
     }
 
     /** How long this process held an attempt up before its request went out, in ms. */
-    double heldUp(int number) {
+    double localDelay(int number) {
         UpstreamClient.Attempt attempt = number < attempts.size() ? attempts.get(number) : null;
-        return attempt == null ? 0 : attempt.heldUp();
+        return attempt == null ? 0 : attempt.localDelay();
     }
 
     /** Answers unless that is done already or nobody waits any more; breaks off an answer that has begun. */
@@ -152,21 +152,21 @@
     }
 
     /** Begins with an answer that comes in pieces, and returns who takes them. */
-    Download begin(long length, Runnable drained) {
+    ResponseSink startStream(long length, Runnable drained) {
         begun = true;
-        if (overdue != null) {
-            overdue.cancel(false);
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
         }
-        caller.begin(length, drained);
+        caller.startStream(length, drained);
         return caller;
     }
 
     /** The answer that has begun is whole. */
-    void end() {
+    void endStream() {
         Caller waiting = caller;
         close();
         figures.requestAnswered(className, HttpResponseStatus.OK);
-        waiting.end();
+        waiting.endStream();
     }
 
     /** Nobody waits for an answer any more. */
@@ -175,8 +175,8 @@
             figures.requestEnded();
         }
         caller = null;
-        if (overdue != null) {
-            overdue.cancel(false);
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
         }
     }
 }
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -95,7 +95,7 @@
 
     private final EventLoop loop;
     private NodeConfig config;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final ByteBufAllocator memory;
     private final Node node;
     private final NodeMetrics figures;
@@ -123,7 +123,7 @@
     private int silent;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
-    Frontend(EventLoop loop, NodeConfig config, Sockets sockets, ByteBufAllocator memory, Node node,
+    Frontend(EventLoop loop, NodeConfig config, SocketBudget sockets, ByteBufAllocator memory, Node node,
             NodeMetrics figures, LoopMonitor monitor, Clock clock) {
         this.loop = loop;
         this.config = config;
@@ -134,7 +134,7 @@
         this.monitor = monitor;
         arrivals = new Arrivals<>(clock::now, sockets::mayOpenUpstream, Connection::handleWaiting,
                 Connection::refuseLate);
-        sockets.evictCallersWith(new Sockets.IdlePool() {
+        sockets.evictCallersWith(new SocketBudget.IdlePool() {
             @Override
             public double idleSince() {
                 double since = resting.isEmpty() ? Double.NaN : resting.iterator().next().since;
@@ -147,11 +147,11 @@
                 return evictIdle();
             }
         });
-        retune(config);
+        settingsChanged(config);
     }
 
     /** From now on requests are read by these settings. */
-    final void retune(NodeConfig replaced) {
+    final void settingsChanged(NodeConfig replaced) {
         config = replaced;
         parser = new RequestParser(replaced);
     }
@@ -271,14 +271,14 @@
     }
 
     /** From now on every answer asks its caller to leave, and the front has the given answer. */
-    void beginDrain(HttpResponseStatus healthMeanwhile) {
+    void startDrain(HttpResponseStatus healthMeanwhile) {
         draining = true;
         health = healthMeanwhile;
     }
 
     /** Leaves new callers to another process that listens at the same address, and sends away who is here. */
     void handOver() {
-        beginDrain(HttpResponseStatus.OK);
+        startDrain(HttpResponseStatus.OK);
         stopListening();
     }
 
@@ -315,7 +315,7 @@
     }
 
     /** Closes what is idle; whether nothing is left and nobody can come, so that the process may end. */
-    boolean endDrain() {
+    boolean closeIdle() {
         if (listening != null) {
             Channels.readNow(listening);
         }
@@ -341,7 +341,7 @@
     }
 
     /** At the end of a drain: nothing that comes from now on is taken, and who waits is refused. */
-    void endAll() {
+    void refuseQueuedAndCloseIdle() {
         List.copyOf(connections).forEach(
                 connection -> connection.refuseWaiting(NodeMetrics.RefusalReason.ENDING));
         List.copyOf(connections).stream().filter(Connection::isIdle)
@@ -463,7 +463,7 @@
 
         /** Ends what is at work with a body that does not come, or an answer that is not taken. */
         void checkTransfer(double now) {
-            if (current instanceof LargeRequest large && !large.upload.isWhole() && !closing
+            if (current instanceof StreamedRequest large && !large.upload.isWhole() && !closing
                     && channel.config().isAutoRead() && comesTooSlowly(now)) {
                 silent++;
                 large.upload.fail(ReadTimeoutException.INSTANCE);
@@ -505,7 +505,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (ended) {
-                if (request instanceof LargeRequest large) {
+                if (request instanceof StreamedRequest large) {
                     large.upload.discard();
                 }
                 return;
@@ -536,7 +536,7 @@
             exchange = null;
             resting.remove(this);
             unserved.remove(this);
-            if (current instanceof LargeRequest) {
+            if (current instanceof StreamedRequest) {
                 // Its body goes on to come, and has to have its owner by then.
                 handle(current);
             } else {
@@ -554,7 +554,7 @@
             }
             waits = false;
             try {
-                if (isThere()) {
+                if (isConnected()) {
                     handle(current);
                 }
             } catch (RuntimeException e) {
@@ -602,7 +602,7 @@
         }
 
         @Override
-        public boolean isThere() {
+        public boolean isConnected() {
             readNow();
             if (!channel.isActive()) {
                 // The loop hears of its end only later.
@@ -628,7 +628,7 @@
 
         private void handle(FullHttpRequest request) {
             if (!request.decoderResult().isSuccess()) {
-                reject(status(request.decoderResult().cause()), "malformed HTTP");
+                reject(errorStatus(request.decoderResult().cause()), "malformed HTTP");
                 return;
             }
             if (request.uri().equals(HEALTH_PATH)) {
@@ -658,7 +658,7 @@
         }
 
         @Override
-        public void begin(long length, Runnable writable) {
+        public void startStream(long length, Runnable writable) {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             framed = length >= 0 || current.protocolVersion().equals(HttpVersion.HTTP_1_1);
             if (length >= 0) {
@@ -692,7 +692,7 @@
         }
 
         @Override
-        public void end() {
+        public void endStream() {
             finish(LastHttpContent.EMPTY_LAST_CONTENT);
         }
 
@@ -740,7 +740,7 @@
             if (retryAfter > 0) {
                 response.headers().set("Retry-After", UpstreamClient.seconds(Math.ceil(retryAfter)));
             }
-            boolean early = current instanceof LargeRequest large && !large.upload.isWhole();
+            boolean early = current instanceof StreamedRequest large && !large.upload.isWhole();
             // The rest of its body is still to come, and may be long.
             ended |= early;
             if (isLast()) {
@@ -752,9 +752,9 @@
         /** Writes the end of an answer and goes on to the next request. */
         private void finish(HttpObject last) {
             FullHttpRequest request = current;
-            boolean early = request instanceof LargeRequest large && !large.upload.isWhole();
+            boolean early = request instanceof StreamedRequest large && !large.upload.isWhole();
             if (early) {
-                ((LargeRequest) request).upload.discard();
+                ((StreamedRequest) request).upload.discard();
             }
             // Whoever reads a large answer slowly is still to have its end.
             long unread = drained == null ? UNREAD_MS : (long) UpstreamClient.STALL_MS;
@@ -830,20 +830,20 @@
     /** Forgets a request that will have no answer. */
     private static void drop(FullHttpRequest request) {
         request.release();
-        if (request instanceof LargeRequest large) {
+        if (request instanceof StreamedRequest large) {
             large.upload.discard();
         }
     }
 
     /** How to tell a caller that its request can't be read. */
-    static HttpResponseStatus status(Throwable cause) {
+    static HttpResponseStatus errorStatus(Throwable cause) {
         return cause instanceof TooLongHttpContentException ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
                 : cause instanceof ReadTimeoutException ? HttpResponseStatus.REQUEST_TIMEOUT
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
     /** A caller was turned down whose body could not be read. */
-    void turnedDown() {
+    void countBadRequest() {
         malformed++;
     }
 }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -89,7 +89,7 @@
     private final UpstreamClient upstreams;
     private final DiscoveryClient discovery;
     private final Frontend frontend;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final NodeMetrics figures = new NodeMetrics();
     /** The operators' door; null if the configuration names none. */
     private final AdminEndpoint door;
@@ -149,7 +149,7 @@
                 : new WarmStateSaver(new WarmStateFile(config.stateDir()), clock);
         PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
                 CACHED, false);
-        sockets = new Sockets(config.maxDescriptors()
+        sockets = new SocketBudget(config.maxDescriptors()
                 - (config.admin() == null ? 0 : AdminEndpoint.DESCRIPTORS)
                 - (config.fleet() == null ? 0 : MembershipHandle.DESCRIPTORS));
         balancer = module.apply(this);
@@ -290,7 +290,7 @@
     private void lookAround() {
         inSuccession(processes -> {
             boolean other = processes.hasOtherProcess();
-            sockets.share(other);
+            sockets.setShared(other);
             if ((other || hadOther) && book == null) {
                 obey(OperatorOverrides.read(folder), 0);
             } else if (other || hadOther) {
@@ -425,7 +425,7 @@
         upstreams.ban(upstream, !used);
         tell(null, () -> {
             balancer.upstreamDisabled(clock.now(), upstream, !used);
-            figures.upstreamCounts(upstreams.listed(), balancer.excludedUpstreams());
+            figures.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
         });
     }
 
@@ -433,8 +433,8 @@
         if (handDrain == null) {
             LOG.info("drains by hand");
             draining = true;
-            frontend.beginDrain(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            handDrain = loop.scheduleAtFixedRate(frontend::endDrain, LATE_CONNECTIONS_MS, DRAIN_CHECK_MS,
+            frontend.startDrain(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            handDrain = loop.scheduleAtFixedRate(frontend::closeIdle, LATE_CONNECTIONS_MS, DRAIN_CHECK_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -483,7 +483,7 @@
             Thread.sleep(DRAIN_CHECK_MS);
             succeeded = succeeded || handOver();
         }
-        loop.submit(() -> frontend.beginDrain(HttpResponseStatus.OK)).sync();
+        loop.submit(() -> frontend.startDrain(HttpResponseStatus.OK)).sync();
         // Those that come late come to the successor, where there is one.
         double idleFrom = succeeded ? sendAway : sendAway + LATE_CONNECTIONS_MS;
         while (clock.now() < idleFrom) {
@@ -494,7 +494,7 @@
         boolean done = awaitEnd(latest);
         // What SIGKILL found unanswered would be lost; a failure is an answer.
         loop.submit(() -> {
-            frontend.endAll();
+            frontend.refuseQueuedAndCloseIdle();
             List.copyOf(exchanges.values()).stream().filter(Exchange::isOpen)
                     .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT,
                             NodeMetrics.FailureReason.ENDING));
@@ -588,8 +588,8 @@
     private void retune(NodeConfig replaced) {
         config = replaced;
         figures.registerClasses(replaced.classes());
-        upstreams.retune(replaced.settings());
-        frontend.retune(replaced);
+        upstreams.settingsChanged(replaced.settings());
+        frontend.settingsChanged(replaced);
         // Before the module, which may begin to ask for itself.
         discovery.setPushed(!replaced.settings().subscribe());
         tell(null, () -> balancer.settingsChanged(clock.now(), replaced.settings()));
@@ -599,7 +599,7 @@
 
     /** Closes callers' connections that are idle; whether none is left. */
     boolean closeIdleCallers() throws InterruptedException {
-        return loop.submit(frontend::endDrain).sync().getNow();
+        return loop.submit(frontend::closeIdle).sync().getNow();
     }
 
     /** Ends at once, whatever is under way; for tests. */
@@ -683,7 +683,7 @@
 
     private void listChanged(Change change, List<Upstream> entries) {
         balancer.upstreamsChanged(clock.now(), change, entries);
-        figures.upstreamCounts(upstreams.listed(), balancer.excludedUpstreams());
+        figures.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
     }
 
     /** Takes a request in; the node owns a reference to {@code message} from here on. */
@@ -694,7 +694,7 @@
                 config.settings().classes().get(request.serviceClass()), message, request.deadline(), caller,
                 clock.now(), figures);
         exchanges.put(exchange.id, exchange);
-        exchange.arrivedAt = clock.now();
+        exchange.receivedAt = clock.now();
         if (exchange.upload == null) {
             watch(exchange);
             tell(exchange, () -> balancer.request(clock.now(), request));
@@ -706,31 +706,31 @@
 
     /** Takes in a request whose body comes on its own: its client's time counts from the last byte. */
     private void receive(Exchange exchange, Request request) {
-        double patience = request.deadline() - exchange.arrivedAt;
+        double patience = request.deadline() - exchange.receivedAt;
         watch(exchange);
         exchange.deadline = Double.POSITIVE_INFINITY;
-        exchange.arrivedAt = Double.NaN;
+        exchange.receivedAt = Double.NaN;
         tell(exchange, () -> balancer.requestStarted(clock.now(), request));
-        exchange.upload.own(new Upload.Owner() {
+        exchange.upload.setListener(new Upload.Listener() {
             @Override
-            public void arrived() {
+            public void onComplete() {
                 if (!exchange.isOpen()) {
                     return;
                 }
-                exchange.arrivedAt = clock.now();
+                exchange.receivedAt = clock.now();
                 exchange.deadline = clock.now() + patience;
-                exchange.overdue.cancel(false);
+                exchange.deadlineTimer.cancel(false);
                 watch(exchange);
                 exchange.attempts.stream().filter(Objects::nonNull)
-                        .forEach(attempt -> attempt.waitForAnswerUntil(exchange.deadline));
+                        .forEach(attempt -> attempt.setDeadline(exchange.deadline));
                 tell(exchange, () -> balancer.bodyArrived(clock.now(), exchange.id, exchange.deadline));
             }
 
             @Override
-            public void broken(Exception cause) {
+            public void onError(Exception cause) {
                 if (exchange.isOpen() && !exchange.isStreaming()) {
-                    frontend.turnedDown();
-                    exchange.reject(Frontend.status(cause), Unpooled.EMPTY_BUFFER);
+                    frontend.countBadRequest();
+                    exchange.reject(Frontend.errorStatus(cause), Unpooled.EMPTY_BUFFER);
                     leave(exchange);
                 }
             }
@@ -740,15 +740,16 @@
     /** Sees to it that a request has its answer, soon after its time is over at the latest. */
     private void watch(Exchange exchange) {
         double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
-        exchange.overdue = loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest),
+        exchange.deadlineTimer = loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest),
                 TimeUnit.NANOSECONDS);
     }
 
     /** The module has left a request without its answer; it must not stay so. */
     private void overdue(Exchange exchange) {
-        if (exchange.isOpen() && Double.isNaN(exchange.arrivedAt) && exchange.running > 0) {
+        if (exchange.isOpen() && Double.isNaN(exchange.receivedAt) && exchange.attemptsInFlight > 0) {
             // An attempt takes its body, and is watched for whether that moves on.
-            exchange.overdue = loop.schedule(() -> overdue(exchange), LARGE_CHECK_MS, TimeUnit.MILLISECONDS);
+            exchange.deadlineTimer = loop.schedule(() ->
+                    overdue(exchange), LARGE_CHECK_MS, TimeUnit.MILLISECONDS);
         } else if (exchange.isOpen()) {
             LOG.warning("a request was left without an answer");
             fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, NodeMetrics.FailureReason.DEADLINE);
@@ -778,13 +779,13 @@
 
     private void finished(Exchange exchange, int number, long upstream, double sentAt, Result result,
             FullHttpResponse response) {
-        exchange.running--;
+        exchange.attemptsInFlight--;
         exchange.lastResult = result;
         double[] report = response == null || config.settings().reportMode() != ReportMode.PIGGYBACK ? null
                 : LoadReport.parse(response.headers().get("X-Pressure"), config.settings().reportFields());
         if (exchange.isStreaming()) {
             if (result == Result.OK) {
-                exchange.end();
+                exchange.endStream();
             } else {
                 figures.failed(NodeMetrics.FailureReason.BROKEN_ANSWER);
                 exchange.answer(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
@@ -802,20 +803,20 @@
      * late its answer lies unread, and that is no work of the upstream's.
      */
     private double elapsed(Exchange exchange, int number, double sentAt) {
-        if (Double.isNaN(exchange.arrivedAt)) {
+        if (Double.isNaN(exchange.receivedAt)) {
             return 0;
         }
-        double since = clock.now() - Math.max(sentAt, exchange.arrivedAt);
-        return Math.max(0, since - exchange.heldUp(number) - monitor.lag());
+        double since = clock.now() - Math.max(sentAt, exchange.receivedAt);
+        return Math.max(0, since - exchange.localDelay(number) - monitor.lag());
     }
 
     /** An answer too large to be held has begun; null if nobody waits for it. */
-    private Download begun(Exchange exchange, int number, double sentAt, UpstreamClient.Attempt attempt,
+    private ResponseSink begun(Exchange exchange, int number, double sentAt, UpstreamClient.Attempt attempt,
             long length) {
         if (!exchange.isOpen() || exchange.isStreaming()) {
             return null;
         }
-        Download download = exchange.begin(length, attempt::resume);
+        ResponseSink download = exchange.startStream(length, attempt::resume);
         tell(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number,
                 elapsed(exchange, number, sentAt)));
         return download;
@@ -823,7 +824,7 @@
 
     /** Forgets a request once nothing more can come of it. */
     private void settle(Exchange exchange) {
-        if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
+        if (!exchange.isOpen() && exchange.attemptsInFlight == 0 && exchanges.remove(exchange.id) != null) {
             exchange.request.release();
             if (exchange.upload != null) {
                 exchange.upload.discard();
@@ -849,12 +850,12 @@
             return;
         }
         double now = clock.now();
-        int number = exchange.sends++;
-        exchange.running++;
+        int number = exchange.attemptsRequested++;
+        exchange.attemptsInFlight++;
         if (number > 0) {
             figures.requestRetried(exchange.lastResult);
         }
-        if (!exchange.isAwaited(now) || now >= exchange.deadline
+        if (!exchange.isCallerWaiting(now) || now >= exchange.deadline
                 || number >= config.settings().limits().maxAttempts()
                 || exchange.upload != null && !exchange.upload.isRepeatable()) {
             exchange.attempts.add(null);
@@ -869,12 +870,12 @@
             }
 
             @Override
-            public boolean mayBegin() {
-                return exchange.mayBegin(number, clock.now());
+            public boolean maySend() {
+                return exchange.maySend(number, clock.now());
             }
 
             @Override
-            public Download begun(UpstreamClient.Attempt attempt, long length) {
+            public ResponseSink streamStarted(UpstreamClient.Attempt attempt, long length) {
                 return Node.this.begun(exchange, number, now, attempt, length);
             }
         };
@@ -911,7 +912,7 @@
     @Override
     public double localDelay(long requestId, int attempt) {
         Exchange exchange = exchanges.get(requestId);
-        return exchange == null ? 0 : exchange.heldUp(attempt) + monitor.lag();
+        return exchange == null ? 0 : exchange.localDelay(attempt) + monitor.lag();
     }
 
     @Override
--- a/src/main/java/cranedeal/node/RequestAggregator.java
+++ b/src/main/java/cranedeal/node/RequestAggregator.java
@@ -22,7 +22,8 @@
 import java.util.List;
 
 /**
- * Puts whole requests together; one that is too large for that goes on as a {@link LargeRequest}. One whose
+ * Puts whole requests together; one that is too large for that goes on as a {@link StreamedRequest}. One
+ * whose
  * head leaves in doubt where it ends, or that is larger than any may be, goes on as a request that failed to
  * decode, and whoever gets it must read no further: what follows may be the inside of its body.
  */
@@ -109,7 +110,7 @@
             if (received > longest) {
                 upload = new Upload(ctx.channel(), HttpUtil.getContentLength(head, -1L), held);
                 held = null;
-                out.add(new LargeRequest(head, upload));
+                out.add(new StreamedRequest(head, upload));
             } else if (part instanceof LastHttpContent) {
                 out.add(whole());
             }
--- a/src/main/java/cranedeal/node/Download.java
+++ b/src/main/java/cranedeal/node/ResponseSink.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 
 /** Takes an answer that is too large to be held, as it comes. */
-interface Download {
+interface ResponseSink {
 
     /** Takes a piece over. */
     void piece(ByteBuf piece);
--- a/src/main/java/cranedeal/node/Sockets.java
+++ b/src/main/java/cranedeal/node/SocketBudget.java
@@ -9,7 +9,7 @@
  * many upstreams each has a connection that is hardly ever used again; callers' are, and who closes one may
  * cross a request on it.
  */
-final class Sockets {
+final class SocketBudget {
 
     /** Connections that stand idle. */
     interface IdlePool {
@@ -51,13 +51,13 @@
     private IdlePool callers = IdlePool.EMPTY;
     private IdlePool upstreams = IdlePool.EMPTY;
 
-    Sockets(int descriptors) {
+    SocketBudget(int descriptors) {
         this.descriptors = descriptors;
-        share(false);
+        setShared(false);
     }
 
     /** Keeps to half of the descriptors while another process of this balancer needs the rest. */
-    final void share(boolean shared) {
+    final void setShared(boolean shared) {
         limit = Math.max(CALLERS_SHARE, (shared ? descriptors / 2 : descriptors) - OF_THE_PROCESS);
         boolean evicted = open > limit;
         while (evicted && open > limit) {
--- a/src/main/java/cranedeal/node/LargeRequest.java
+++ b/src/main/java/cranedeal/node/StreamedRequest.java
@@ -6,11 +6,11 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /** A request whose body comes on its own. */
-final class LargeRequest extends DefaultFullHttpRequest {
+final class StreamedRequest extends DefaultFullHttpRequest {
 
     final Upload upload;
 
-    LargeRequest(HttpRequest head, Upload upload) {
+    StreamedRequest(HttpRequest head, Upload upload) {
         super(head.protocolVersion(), head.method(), head.uri(), Unpooled.EMPTY_BUFFER, head.headers(),
                 new DefaultHttpHeaders());
         this.upload = upload;
--- a/src/main/java/cranedeal/node/Upload.java
+++ b/src/main/java/cranedeal/node/Upload.java
@@ -26,12 +26,12 @@
     }
 
     /** Who is told how it ends. */
-    interface Owner {
+    interface Listener {
 
-        void arrived();
+        void onComplete();
 
         /** The rest of the body can't be read. */
-        void broken(Exception cause);
+        void onError(Exception cause);
     }
 
     private final Channel from;
@@ -40,7 +40,7 @@
     /** All of it that has come; null once a part is gone. */
     private ByteBuf start;
     private Sink sink;
-    private Owner owner;
+    private Listener owner;
     private boolean whole;
     private Exception cause;
     private boolean discarded;
@@ -53,12 +53,12 @@
     }
 
     /** Names who is told; at once if there is something to tell. */
-    void own(Owner given) {
+    void setListener(Listener given) {
         owner = given;
         if (cause != null) {
-            owner.broken(cause);
+            owner.onError(cause);
         } else if (whole) {
-            owner.arrived();
+            owner.onComplete();
         }
     }
 
@@ -103,7 +103,7 @@
             sink.end();
         }
         if (owner != null) {
-            owner.arrived();
+            owner.onComplete();
         }
     }
 
@@ -114,7 +114,7 @@
         cause = why;
         drop();
         if (owner != null) {
-            owner.broken(why);
+            owner.onError(why);
         }
     }
 
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -79,7 +79,7 @@
         void finished(Result result, FullHttpResponse response);
 
         /** Whether it may still be begun, asked as its connection is up: that may have taken long. */
-        default boolean mayBegin() {
+        default boolean maySend() {
             return true;
         }
 
@@ -87,7 +87,7 @@
          * A served answer has begun that is too large to be held; its length is negative if not known.
          * Returns who takes it, null for nobody.
          */
-        default Download begun(Attempt attempt, long length) {
+        default ResponseSink streamStarted(Attempt attempt, long length) {
             return null;
         }
     }
@@ -96,7 +96,7 @@
     private final Clock clock;
     private final DoubleSupplier lateness;
     private Settings settings;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final NodeMetrics figures;
     private final Bootstrap bootstrap;
     /** All connections that stand idle, the longest idle first. */
@@ -118,7 +118,8 @@
     private double toldAt = Double.NEGATIVE_INFINITY;
 
     /** {@code lateness} tells how long what is read now has lain unread, in ms. */
-    UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier lateness, Settings settings, Sockets sockets,
+    UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier lateness, Settings settings,
+            SocketBudget sockets,
             NodeMetrics figures, ByteBufAllocator memory) {
         this.loop = loop;
         this.clock = clock;
@@ -135,8 +136,8 @@
                                 new ResponseAggregator(MAX_BODY), new Connection(channel, decoder));
                     }
                 });
-        retune(settings);
-        sockets.evictUpstreamsWith(new Sockets.IdlePool() {
+        settingsChanged(settings);
+        sockets.evictUpstreamsWith(new SocketBudget.IdlePool() {
             @Override
             public double idleSince() {
                 return idle.isEmpty() ? Double.NaN : idle.iterator().next().idleSince;
@@ -151,7 +152,7 @@
     }
 
     /** From now on goes by these settings; what is under way keeps its times. */
-    final void retune(Settings replaced) {
+    final void settingsChanged(Settings replaced) {
         settings = replaced;
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, settings.limits().connectTimeout()));
@@ -294,12 +295,12 @@
     }
 
     /** How many upstreams the list has. */
-    int listed() {
+    int listedCount() {
         return listed;
     }
 
     /** How many upstreams it knows; for tests. */
-    int known() {
+    int targetCount() {
         return targets.size();
     }
 
@@ -363,7 +364,7 @@
         private boolean written;
         private boolean over;
         /** Who takes the answer, once a large one has begun; and when something last moved. */
-        private Download download;
+        private ResponseSink download;
         private double movedAt;
 
         private Attempt(FullHttpRequest request, boolean probe, double latest, Listener listener) {
@@ -371,11 +372,11 @@
             this.probe = probe;
             this.latest = latest;
             this.listener = listener;
-            upload = request instanceof LargeRequest large ? large.upload : null;
+            upload = request instanceof StreamedRequest large ? large.upload : null;
         }
 
         /** Sets how long to wait at the most, as a body has come. */
-        void waitForAnswerUntil(double given) {
+        void setDeadline(double given) {
             latest = given;
             waitUntil(given);
         }
@@ -440,7 +441,7 @@
         }
 
         /** How long this process has held it up before its request went out, in ms. */
-        double heldUp() {
+        double localDelay() {
             return heldUp;
         }
 
@@ -453,7 +454,7 @@
                     || now >= target.drainingSince + settings.rules().drainGrace();
             boolean restarted = !target.isStill(meant);
             boolean late = drained || restarted || now >= until || upload != null && !upload.isRepeatable()
-                    || !listener.mayBegin();
+                    || !listener.maySend();
             if (over) {
                 // Whoever was asked has called it off, and its connection is closed.
                 return;
@@ -553,7 +554,7 @@
 
         /** A large answer has begun. */
         private boolean begun(HttpResponse head) {
-            download = listener.begun(this, HttpUtil.getContentLength(head, -1L));
+            download = listener.streamStarted(this, HttpUtil.getContentLength(head, -1L));
             if (download == null || over) {
                 return false;
             }
--- a/src/test/java/cranedeal/node/CallerGoneTest.java
+++ b/src/test/java/cranedeal/node/CallerGoneTest.java
@@ -30,13 +30,13 @@
     private final LinkedBlockingQueue<Request> kept = new LinkedBlockingQueue<>();
 
     /** The upstream's connections that have a request which is not answered yet. */
-    private final LinkedBlockingQueue<Peer> atUpstream = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<HttpPeer> atUpstream = new LinkedBlockingQueue<>();
 
     /** A way to leave. */
     enum Leaving {
         CLOSE, RESET, END_OF_SENDING;
 
-        void leave(Peer caller) throws IOException {
+        void leave(HttpPeer caller) throws IOException {
             switch (this) {
                 case CLOSE -> caller.close();
                 case RESET -> caller.reset();
@@ -51,13 +51,13 @@
     }
 
     /** Holds the node's one thread in the module meanwhile. */
-    private static void whileBusy(Stage stage, Step step) throws Exception {
+    private static void whileBusy(NodeFixture fixture, Step step) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        var before = stage.script.onRequest;
-        stage.script.onRequest = request -> {
-            stage.script.onRequest = before;
-            stage.script.actions.refuse(request.id(), 0);
+        var before = fixture.balancer.onRequest;
+        fixture.balancer.onRequest = request -> {
+            fixture.balancer.onRequest = before;
+            fixture.balancer.actions.refuse(request.id(), 0);
             held.countDown();
             try {
                 release.await();
@@ -65,9 +65,9 @@
                 Thread.currentThread().interrupt();
             }
         };
-        stage.caller().write(Stage.get("hold", "10"));
+        fixture.caller().write(NodeFixture.get("hold", "10"));
         try {
-            assertTrue(held.await(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(held.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             // A caller that was there a ms ago is taken to be there: on a fast machine this takes less.
             TimeUnit.MILLISECONDS.sleep(SURELY_NOT_JUST_SEEN_MS);
             step.run();
@@ -77,23 +77,23 @@
     }
 
     /** How many attempts were written whole. */
-    private static long dispatches(Stage stage) throws IOException {
+    private static long dispatches(NodeFixture fixture) throws IOException {
         // What an upstream has read already is counted only once the node's thread goes on.
-        stage.settle();
-        return stage.node.stats().lines().filter(line -> line.contains(".dispatches="))
+        fixture.awaitReads();
+        return fixture.node.stats().lines().filter(line -> line.contains(".dispatches="))
                 .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
                 .findFirst().orElseThrow();
     }
 
     /** Has the upstream serve all but requests that are held there. */
-    private void serve(Stage stage) {
-        stage.upstreams.get(0).each(peer -> {
+    private void serve(NodeFixture fixture) {
+        fixture.upstreams.get(0).serveEach(peer -> {
             try {
-                for (Peer.Message request = peer.read(); request != null; request = peer.read()) {
+                for (HttpPeer.Message request = peer.read(); request != null; request = peer.read()) {
                     if (request.header("X-Txn").startsWith("held")) {
                         atUpstream.add(peer);
                     } else {
-                        peer.write(Stage.ok("served"));
+                        peer.write(NodeFixture.ok("served"));
                     }
                 }
             } catch (IOException e) {
@@ -103,34 +103,34 @@
     }
 
     /** The same, with idle connections to it, on which an attempt goes out at once. */
-    private void serveOnIdle(Stage stage) throws Exception {
-        serve(stage);
-        Peer[] callers = {stage.caller(), stage.caller()};
-        for (Peer caller : callers) {
-            caller.write(Stage.get("held", "10"));
+    private void serveOnIdle(NodeFixture fixture) throws Exception {
+        serve(fixture);
+        HttpPeer[] callers = {fixture.caller(), fixture.caller()};
+        for (HttpPeer caller : callers) {
+            caller.write(NodeFixture.get("held", "10"));
         }
-        for (Peer caller : callers) {
-            Script.next(atUpstream).write(Stage.ok("served"));
+        for (HttpPeer caller : callers) {
+            ScriptedBalancer.next(atUpstream).write(NodeFixture.ok("served"));
         }
-        for (Peer caller : callers) {
+        for (HttpPeer caller : callers) {
             assertEquals("served", caller.read().body());
-            assertEquals(Result.OK, stage.script.result());
+            assertEquals(Result.OK, fixture.balancer.nextResult());
         }
     }
 
     /** What goes out from here on is what is asked for now. */
-    private static void nothingElseIsSentOn(Stage stage, long before) throws Exception {
-        stage.settle();
-        stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-        Peer caller = stage.caller();
-        caller.write(Stage.get("next", "10"));
+    private static void nothingElseIsSentOn(NodeFixture fixture, long before) throws Exception {
+        fixture.awaitReads();
+        fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
+        HttpPeer caller = fixture.caller();
+        caller.write(NodeFixture.get("next", "10"));
         assertEquals("served", caller.read().body());
-        assertEquals(before + 1, dispatches(stage));
+        assertEquals(before + 1, dispatches(fixture));
     }
 
-    private static Peer resting(Stage stage) throws IOException {
-        Peer caller = stage.caller();
-        caller.write(Stage.HEALTH);
+    private static HttpPeer resting(NodeFixture fixture) throws IOException {
+        HttpPeer caller = fixture.caller();
+        caller.write(NodeFixture.HEALTH);
         assertEquals(200, caller.read().status());
         return caller;
     }
@@ -138,184 +138,184 @@
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void whatTheModuleKeepsIsOverOnceItsCallerHasLeft(Leaving way) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            serveOnIdle(stage);
-            long before = dispatches(stage);
-            stage.script.onRequest = kept::add;
-            Peer caller = stage.caller();
-            caller.write(Stage.get("kept", "10"));
-            Request request = Script.next(kept);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            serveOnIdle(fixture);
+            long before = dispatches(fixture);
+            fixture.balancer.onRequest = kept::add;
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("kept", "10"));
+            Request request = ScriptedBalancer.next(kept);
             way.leave(caller);
             // A close and an end of sending look alike from here: whoever ends its sending has gone.
-            assertEquals(request.id(), Script.next(stage.script.gone));
-            assertTrue(caller.socket.isClosed() || caller.ended());
-            stage.script.onRequest = other -> {
-                stage.script.sendTo(0, request, 0);
-                stage.script.actions.refuse(other.id(), 0);
+            assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.gone));
+            assertTrue(caller.socket.isClosed() || caller.awaitClose());
+            fixture.balancer.onRequest = other -> {
+                fixture.balancer.sendTo(0, request, 0);
+                fixture.balancer.actions.refuse(other.id(), 0);
             };
-            assertEquals(503, answer(stage, "now"));
-            nothingElseIsSentOn(stage, before);
+            assertEquals(503, answer(fixture, "now"));
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
-    private static int answer(Stage stage, String id) throws IOException {
-        Peer caller = stage.caller();
-        caller.write(Stage.get(id, "10"));
+    private static int answer(NodeFixture fixture, String id) throws IOException {
+        HttpPeer caller = fixture.caller();
+        caller.write(NodeFixture.get(id, "10"));
         return caller.read().status();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void aFirstAttemptDoesNotBeginForWhoHasLeftUnseen(Leaving way) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            serveOnIdle(stage);
-            long before = dispatches(stage);
-            stage.script.onRequest = kept::add;
-            Peer caller = stage.caller();
-            caller.write(Stage.get("kept", "10"));
-            Request request = Script.next(kept);
-            stage.script.onRequest = other -> {
-                stage.script.sendTo(0, request, 0);
-                stage.script.actions.refuse(other.id(), 0);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            serveOnIdle(fixture);
+            long before = dispatches(fixture);
+            fixture.balancer.onRequest = kept::add;
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("kept", "10"));
+            Request request = ScriptedBalancer.next(kept);
+            fixture.balancer.onRequest = other -> {
+                fixture.balancer.sendTo(0, request, 0);
+                fixture.balancer.actions.refuse(other.id(), 0);
             };
-            Peer other = resting(stage);
-            whileBusy(stage, () -> {
+            HttpPeer other = resting(fixture);
+            whileBusy(fixture, () -> {
                 // What makes the module send is there before the end that forbids it.
-                other.write(Stage.get("cause", "10"));
+                other.write(NodeFixture.get("cause", "10"));
                 way.leave(caller);
             });
             assertEquals(503, other.read().status());
-            assertEquals(Result.NOT_SENT, stage.script.result());
-            assertEquals(request.id(), Script.next(stage.script.gone));
-            nothingElseIsSentOn(stage, before);
+            assertEquals(Result.NOT_SENT, fixture.balancer.nextResult());
+            assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.gone));
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void aRequestThatIsReadOnceItsCallerHasLeftIsNotSentOn(Leaving way) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            serveOnIdle(stage);
-            long before = dispatches(stage);
-            Peer caller = resting(stage);
-            whileBusy(stage, () -> {
-                caller.write(Stage.get("left", "10"));
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            serveOnIdle(fixture);
+            long before = dispatches(fixture);
+            HttpPeer caller = resting(fixture);
+            whileBusy(fixture, () -> {
+                caller.write(NodeFixture.get("left", "10"));
                 way.leave(caller);
             });
-            nothingElseIsSentOn(stage, before);
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void whoComesWithoutADescriptorForItIsClosedUnread(Leaving way) throws Exception {
-        try (Stage stage = new Stage()) {
+        try (NodeFixture fixture = new NodeFixture()) {
             // Callers may have ten of them; one is that of who has just asked how the node is.
-            stage.sockets = 64 + 15;
-            stage.start();
-            serve(stage);
-            long before = dispatches(stage);
-            stage.script.onRequest = kept::add;
-            List<Peer> taken = new ArrayList<>();
+            fixture.sockets = 64 + 15;
+            fixture.start();
+            serve(fixture);
+            long before = dispatches(fixture);
+            fixture.balancer.onRequest = kept::add;
+            List<HttpPeer> taken = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
-                Peer caller = stage.caller();
-                caller.write(Stage.get("taken" + i, "10"));
+                HttpPeer caller = fixture.caller();
+                caller.write(NodeFixture.get("taken" + i, "10"));
                 taken.add(caller);
-                Script.next(kept);
+                ScriptedBalancer.next(kept);
             }
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
             // All descriptors carry requests: nobody waits for one of them to end, and nothing is read.
-            Peer stays = stage.caller();
-            assertTrue(stays.ended());
-            Peer left = stage.caller();
+            HttpPeer stays = fixture.caller();
+            assertTrue(stays.awaitClose());
+            HttpPeer left = fixture.caller();
             try {
-                left.write(Stage.get("left", "10"));
+                left.write(NodeFixture.get("left", "10"));
                 way.leave(left);
             } catch (IOException e) {
                 // It was closed before.
             }
-            for (Peer caller : taken) {
+            for (HttpPeer caller : taken) {
                 caller.close();
-                Script.next(stage.script.gone);
+                ScriptedBalancer.next(fixture.balancer.gone);
             }
-            nothingElseIsSentOn(stage, before);
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void aFailureIsNotRepeatedForWhoHasLeft(Leaving way) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.sendUntilNotSent(0);
-            serveOnIdle(stage);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("held", "10"));
-            Peer upstream = Script.next(atUpstream);
-            long before = dispatches(stage);
-            whileBusy(stage, () -> {
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.balancer.sendUntilNotSent(0);
+            serveOnIdle(fixture);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("held", "10"));
+            HttpPeer upstream = ScriptedBalancer.next(atUpstream);
+            long before = dispatches(fixture);
+            whileBusy(fixture, () -> {
                 upstream.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
                 way.leave(caller);
             });
-            assertEquals(Result.ERROR, stage.script.result());
-            nothingElseIsSentOn(stage, before);
+            assertEquals(Result.ERROR, fixture.balancer.nextResult());
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void noSecondAttemptIsMadeBesideTheFirstForWhoHasLeft(Leaving way) throws Exception {
-        try (Stage stage = new Stage().start()) {
+        try (NodeFixture fixture = new NodeFixture().start()) {
             LinkedBlockingQueue<Request> sent = new LinkedBlockingQueue<>();
-            stage.script.onRequest = request -> {
-                stage.script.sendTo(0, request, 0);
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.sendTo(0, request, 0);
                 sent.add(request);
             };
-            serveOnIdle(stage);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("held", "10"));
-            Script.next(atUpstream);
-            long before = dispatches(stage);
-            Request request = Script.next(sent);
-            stage.script.onRequest = other -> {
-                stage.script.sendTo(0, request, 0);
-                stage.script.actions.refuse(other.id(), 0);
+            serveOnIdle(fixture);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("held", "10"));
+            ScriptedBalancer.next(atUpstream);
+            long before = dispatches(fixture);
+            Request request = ScriptedBalancer.next(sent);
+            fixture.balancer.onRequest = other -> {
+                fixture.balancer.sendTo(0, request, 0);
+                fixture.balancer.actions.refuse(other.id(), 0);
             };
-            Peer other = resting(stage);
-            whileBusy(stage, () -> {
-                other.write(Stage.get("cause", "10"));
+            HttpPeer other = resting(fixture);
+            whileBusy(fixture, () -> {
+                other.write(NodeFixture.get("cause", "10"));
                 way.leave(caller);
             });
             assertEquals(503, other.read().status());
-            nothingElseIsSentOn(stage, before);
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void aConnectionThatComesUpAsItsCallerLeavesCarriesNothing(Leaving way) throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 15_000;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            stage.tell(Stage.entry(1, stage.upstreams.get(0).address(), "up"),
-                    Stage.entry(9, full.address(), "up"));
-            stage.script.onRequest = request -> stage.script.sendTo(1, request, 0);
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            stage.settle();
-            Peer[] up = new Peer[1];
-            whileBusy(stage, () -> {
+        try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
+            fixture.connectTimeout = 15_000;
+            fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
+            fixture.start();
+            fixture.sendList(NodeFixture.listEntry(1, fixture.upstreams.get(0).address(), "up"),
+                    NodeFixture.listEntry(9, full.address(), "up"));
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            fixture.awaitReads();
+            HttpPeer[] up = new HttpPeer[1];
+            whileBusy(fixture, () -> {
                 // It is up before the caller leaves, and the node sees the one before the other.
-                up[0] = full.acceptLast();
+                up[0] = full.acceptNext();
                 way.leave(caller);
             });
-            try (Peer late = up[0]) {
-                assertTrue(stage.script.result().neverRan());
-                stage.script.onRequest = request -> stage.script.sendTo(1, request, 0);
-                Peer other = stage.caller();
-                other.write(Stage.get("next", "10"));
+            try (HttpPeer late = up[0]) {
+                assertTrue(fixture.balancer.nextResult().neverRan());
+                fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
+                HttpPeer other = fixture.caller();
+                other.write(NodeFixture.get("next", "10"));
                 assertEquals("next", late.read().header("X-Txn"));
-                late.write(Stage.ok("served"));
+                late.write(NodeFixture.ok("served"));
                 assertEquals("served", other.read().body());
             }
         }
@@ -324,44 +324,45 @@
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void whatWasSentAheadIsNotSentOnOnceItsCallerHasLeft(Leaving way) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            serveOnIdle(stage);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("held", "10") + Stage.get("2", "10") + Stage.get("3", "10"));
-            Peer upstream = Script.next(atUpstream);
-            stage.settle();
-            long before = dispatches(stage);
-            whileBusy(stage, () -> {
-                upstream.write(Stage.ok("served"));
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            serveOnIdle(fixture);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("held", "10") + NodeFixture.get("2", "10")
+                    + NodeFixture.get("3", "10"));
+            HttpPeer upstream = ScriptedBalancer.next(atUpstream);
+            fixture.awaitReads();
+            long before = dispatches(fixture);
+            whileBusy(fixture, () -> {
+                upstream.write(NodeFixture.ok("served"));
                 way.leave(caller);
             });
-            assertEquals(Result.OK, stage.script.result());
-            nothingElseIsSentOn(stage, before);
+            assertEquals(Result.OK, fixture.balancer.nextResult());
+            nothingElseIsSentOn(fixture, before);
         }
     }
 
     @Test
     void aLongQueueOfOneCallerDoesNotHideThatItHasLeft() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             StringBuilder ahead = new StringBuilder();
             for (int i = 0; i < 200; i++) {
-                ahead.append(Stage.get("ahead" + i, "10"));
+                ahead.append(NodeFixture.get("ahead" + i, "10"));
             }
             caller.write(ahead.toString());
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             caller.close();
             // What is beyond the limit of requests sent ahead is thrown away, not left unread before the end.
-            Script.next(stage.script.gone);
-            upstream.write(Stage.ok("nobody waits"));
-            assertTrue(Script.next(stage.script.outcomes).requestClosed());
-            stage.settle();
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-            Peer other = stage.caller();
-            other.write(Stage.get("next", "10"));
+            ScriptedBalancer.next(fixture.balancer.gone);
+            upstream.write(NodeFixture.ok("nobody waits"));
+            assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
+            fixture.awaitReads();
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
+            HttpPeer other = fixture.caller();
+            other.write(NodeFixture.get("next", "10"));
             assertEquals("next", upstream.read().header("X-Txn"));
-            upstream.write(Stage.ok("served"));
+            upstream.write(NodeFixture.ok("served"));
             assertEquals("served", other.read().body());
         }
     }
--- a/src/test/java/cranedeal/node/ConnectionLifeTest.java
+++ b/src/test/java/cranedeal/node/ConnectionLifeTest.java
@@ -28,17 +28,17 @@
 
     /** What an upstream's side of the stage has seen and can still answer. */
     private static final class Upstream {
-        final Queue<Peer> silent = new ConcurrentLinkedQueue<>();
+        final Queue<HttpPeer> silent = new ConcurrentLinkedQueue<>();
         final Queue<String> seen = new ConcurrentLinkedQueue<>();
 
         /** What it does with a request stands in the request's id. */
-        private void serve(Peer peer) {
+        private void serve(HttpPeer peer) {
             try {
-                for (Peer.Message request = peer.read(); request != null; request = peer.read()) {
+                for (HttpPeer.Message request = peer.read(); request != null; request = peer.read()) {
                     String id = request.header("X-Txn");
                     seen.add(id);
                     if (id.startsWith("serve")) {
-                        peer.write(Stage.ok("of-" + id));
+                        peer.write(NodeFixture.ok("of-" + id));
                     } else if (id.startsWith("fail")) {
                         peer.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
                     } else if (id.startsWith("half")) {
@@ -57,7 +57,7 @@
     }
 
     private static String request(String id, Random random) {
-        return random.nextBoolean() ? Stage.spend(id, "x") : Stage.get(id, "10");
+        return random.nextBoolean() ? NodeFixture.spend(id, "x") : NodeFixture.get(id, "10");
     }
 
     @Test
@@ -72,12 +72,12 @@
     }
 
     private static void play(Random random) throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.door = true;
+        try (NodeFixture fixture = new NodeFixture()) {
+            fixture.adminEnabled = true;
             Upstream upstream = new Upstream();
-            stage.upstreams.get(0).each(upstream::serve);
-            stage.start();
-            Peer caller = stage.caller();
+            fixture.upstreams.get(0).serveEach(upstream::serve);
+            fixture.start();
+            HttpPeer caller = fixture.caller();
             Queue<String> sent = new ArrayDeque<>();
             String[] fates = {"serve", "serve", "fail", "half", "reset", "hold"};
             boolean open = true;
@@ -98,27 +98,27 @@
                         String text = request(id, random);
                         sent.add(id);
                         open = wrote(caller, text.substring(0, text.length() / 2));
-                        stage.settle();
+                        fixture.awaitReads();
                         open = open && wrote(caller, text.substring(text.length() / 2));
                     }
-                    case 5 -> stage.order("PUT", "/ops/drain/start");
-                    case 6 -> stage.order("PUT", "/ops/drain/stop");
+                    case 5 -> fixture.order("PUT", "/ops/drain/start");
+                    case 6 -> fixture.order("PUT", "/ops/drain/stop");
                     default -> answerOne(upstream);
                 }
             }
             boolean leaves = random.nextBoolean();
             if (leaves) {
-                leave(stage, upstream, caller, random);
+                leave(fixture, upstream, caller, random);
             } else {
-                readAnswers(stage, upstream, caller, sent);
+                readAnswers(fixture, upstream, caller, sent);
             }
             assertEquals(new HashSet<>(upstream.seen).size(), upstream.seen.size(),
                     "sent twice: " + upstream.seen);
-            nothingIsLeft(stage);
+            nothingIsLeft(fixture);
         }
     }
 
-    private static boolean wrote(Peer caller, String text) {
+    private static boolean wrote(HttpPeer caller, String text) {
         try {
             caller.write(text);
             return true;
@@ -129,34 +129,36 @@
     }
 
     private static void answerOne(Upstream upstream) {
-        Peer waiting = upstream.silent.poll();
+        HttpPeer waiting = upstream.silent.poll();
         if (waiting != null) {
             wrote(waiting, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
         }
     }
 
     /** A caller that leaves: once the node has seen that, nothing of it is sent on. */
-    private static void leave(Stage stage, Upstream upstream, Peer caller, Random random) throws Exception {
+    private static void leave(NodeFixture fixture, Upstream upstream, HttpPeer caller, Random random)
+            throws Exception {
         if (random.nextBoolean()) {
             caller.close();
         } else {
             caller.reset();
         }
         // What it wrote before it left has been read once what came after that is answered.
-        stage.settle();
-        nothingIsLeft(stage);
-        String before = dispatches(stage);
+        fixture.awaitReads();
+        nothingIsLeft(fixture);
+        String before = dispatches(fixture);
         while (!upstream.silent.isEmpty()) {
             answerOne(upstream);
         }
-        stage.settle();
-        assertEquals(before, dispatches(stage));
+        fixture.awaitReads();
+        assertEquals(before, dispatches(fixture));
     }
 
     /** A caller that stays: the answers come in the order of the requests, each once, up to a clean end. */
-    private static void readAnswers(Stage stage, Upstream upstream, Peer caller, Queue<String> sent)
+    private static void readAnswers(NodeFixture fixture, Upstream upstream, HttpPeer caller,
+            Queue<String> sent)
             throws Exception {
-        stage.order("PUT", "/ops/drain/start");
+        fixture.order("PUT", "/ops/drain/start");
         Thread freeing = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 answerOne(upstream);
@@ -167,7 +169,7 @@
         freeing.start();
         try {
             List<String> answered = new ArrayList<>();
-            Peer.Message answer = caller.read();
+            HttpPeer.Message answer = caller.read();
             while (answer != null) {
                 String id = sent.remove();
                 answered.add(id);
@@ -187,16 +189,16 @@
     }
 
     /** How many attempts were written whole. */
-    private static String dispatches(Stage stage) {
-        return stage.node.stats().lines().filter(line -> line.contains(".dispatches=")).findFirst()
+    private static String dispatches(NodeFixture fixture) {
+        return fixture.node.stats().lines().filter(line -> line.contains(".dispatches=")).findFirst()
                 .orElseThrow();
     }
 
-    private static void nothingIsLeft(Stage stage) throws Exception {
-        long giveUpAt = System.nanoTime() + Peer.PATIENCE_MS * 1_000_000L;
-        while (!stage.node.stats().contains(".concurrent=0\n") && System.nanoTime() < giveUpAt) {
+    private static void nothingIsLeft(NodeFixture fixture) throws Exception {
+        long giveUpAt = System.nanoTime() + HttpPeer.TIMEOUT_MS * 1_000_000L;
+        while (!fixture.node.stats().contains(".concurrent=0\n") && System.nanoTime() < giveUpAt) {
             Thread.sleep(1);
         }
-        assertTrue(stage.node.stats().contains(".concurrent=0\n"), stage.node.stats());
+        assertTrue(fixture.node.stats().contains(".concurrent=0\n"), fixture.node.stats());
     }
 }
--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -196,7 +196,7 @@
         try (ServerSocket free = new ServerSocket(0)) {
             at = new InetSocketAddress(here, free.getLocalPort());
         }
-        try (Stage stage = new Stage(0)) {
+        try (NodeFixture fixture = new NodeFixture(0)) {
             server = new DiscoveryServer(loops.next(), new LabClock(), 0, Map.of(here, 0),
                     Map.of(0, "n0"), (from, to) -> new InetSocketAddress("127.1." + to / 250 + "."
                     + (1 + to % 250), 8_081), event -> { });
@@ -207,7 +207,7 @@
             server.bind(at);
             try (Counter counter = new Counter(at)) {
                 Path file = folder.resolve("config-" + size + ".json");
-                Files.writeString(file, stage.config().replace(stage.discovery.address(),
+                Files.writeString(file, fixture.config().replace(fixture.discovery.address(),
                         "127.0.0.1:" + counter.listening.getLocalPort()));
                 return play(size, server, counter, NodeConfig.read(file.toString()),
                         loops.next());
--- a/src/test/java/cranedeal/node/DiscoveryTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryTest.java
@@ -33,59 +33,62 @@
     /** Lists may come indented: more than are written, one a ms, until the end. */
     private static final int BLANKS = 8_000;
 
-    private final Stage stage = new Stage();
+    private final NodeFixture fixture = new NodeFixture();
 
     DiscoveryTest() throws IOException {
-        stage.script.onStart = () -> stage.script.actions.watch(true);
+        fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
     }
 
     private void started() throws Exception {
-        stage.start();
-        assertEquals(Change.CACHED, Script.next(stage.script.changes));
+        fixture.start();
+        assertEquals(Change.CACHED, ScriptedBalancer.next(fixture.balancer.changes));
     }
 
     @Test
     void aWatchGoesOnFromWhatItWasTold() throws Exception {
-        try (stage) {
+        try (fixture) {
             started();
-            Peer watch = stage.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=2500 HTTP/1.1", watch.read().first());
-            watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1", watch.read().first());
-            watch.write(Stage.ok(Stage.roster(46, false)));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals("GET /catalog/members?index=46&wait=2500 HTTP/1.1", watch.read().first());
-            watch.write(Stage.ok(Stage.roster(47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals("GET /catalog/members?index=47&wait=2500 HTTP/1.1", watch.read().first());
+            HttpPeer watch = fixture.discovery.accept();
+            assertEquals("GET /catalog/members?index=41&wait=2500 HTTP/1.1", watch.read().firstLine());
+            watch.write(NodeFixture.ok(NodeFixture.listJson(45, false,
+                    NodeFixture.listEntry(0, "127.0.0.1:1", "draining"))));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
+            assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1", watch.read().firstLine());
+            watch.write(NodeFixture.ok(NodeFixture.listJson(46, false)));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
+            assertEquals("GET /catalog/members?index=46&wait=2500 HTTP/1.1", watch.read().firstLine());
+            watch.write(NodeFixture.ok(NodeFixture.listJson(47, false,
+                    "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
+            assertEquals("GET /catalog/members?index=47&wait=2500 HTTP/1.1", watch.read().firstLine());
         }
     }
 
     /** Discovery works through its calls in turn, and in a crowd answers some time after the wait is over. */
     @Test
     void aWatchThatIsAnsweredASecondAfterItsWaitIsNotGivenUp() throws Exception {
-        try (stage) {
+        try (fixture) {
             started();
-            Peer watch = stage.discovery.accept();
+            HttpPeer watch = fixture.discovery.accept();
             watch.read();
             Thread.sleep(DiscoveryClient.MAX_WAIT_MS + CROWDED_MS);
-            watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
+            watch.write(NodeFixture.ok(NodeFixture.listJson(45, false,
+                    NodeFixture.listEntry(0, "127.0.0.1:1", "draining"))));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 
     /** A long list comes in for longer than a call is waited for; while parts of it come, that goes on. */
     @Test
     void aListThatIsComingInIsWaitedForBeyondItsTime() throws Exception {
-        try (stage) {
+        try (fixture) {
             started();
-            Peer watch = stage.discovery.accept();
+            HttpPeer watch = fixture.discovery.accept();
             watch.read();
             long longer = GIVEN_UP_ONCE_MS + LONG_LIST_MS;
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longer);
-            String list = Stage.ok(" ".repeat(BLANKS) + Stage.roster(45, false,
-                    Stage.entry(0, "127.0.0.1:1", "draining")));
+            String list = NodeFixture.ok(" ".repeat(BLANKS) + NodeFixture.listJson(45, false,
+                    NodeFixture.listEntry(0, "127.0.0.1:1", "draining")));
             int blank = list.indexOf("\r\n\r\n") + 4;
             watch.write(list.substring(0, blank));
             int written = blank;
@@ -94,7 +97,7 @@
                 Thread.sleep(1);
             }
             watch.write(list.substring(written));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 
@@ -103,7 +106,7 @@
     void aChangeThatHasComeIsReadBeforeItsCallIsGivenUp() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        stage.script.onOutcome = outcome -> {
+        fixture.balancer.onOutcome = outcome -> {
             held.countDown();
             try {
                 release.await();
@@ -111,19 +114,20 @@
                 Thread.currentThread().interrupt();
             }
         };
-        try (stage) {
+        try (fixture) {
             started();
-            Peer watch = stage.discovery.accept();
+            HttpPeer watch = fixture.discovery.accept();
             watch.read();
-            stage.caller().write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+            fixture.caller().write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            upstream.write(Stage.ok("served"));
+            upstream.write(NodeFixture.ok("served"));
             held.await();
-            watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
+            watch.write(NodeFixture.ok(NodeFixture.listJson(45, false,
+                    NodeFixture.listEntry(0, "127.0.0.1:1", "draining"))));
             Thread.sleep(GIVEN_UP_ONCE_MS);
             release.countDown();
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 
@@ -137,58 +141,58 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
         "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"})
     void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
-        try (stage) {
+        try (fixture) {
             started();
-            Peer watch = stage.discovery.accept();
+            HttpPeer watch = fixture.discovery.accept();
             watch.read();
             watch.write(answer);
             watch.close();
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
-            stage.servesStill();
+            assertEquals(Change.FAILED, ScriptedBalancer.next(fixture.balancer.changes));
+            fixture.assertServes();
             // One failure for one call, and the module can ask again from where it was.
-            assertTrue(stage.script.changes.isEmpty());
-            stage.script.onRequest = request -> {
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.actions.watch(true);
+            assertTrue(fixture.balancer.changes.isEmpty());
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.actions.refuse(request.id(), 0);
+                fixture.balancer.actions.watch(true);
             };
-            stage.caller().write(Stage.get("again", "10"));
+            fixture.caller().write(NodeFixture.get("again", "10"));
             assertEquals("GET /catalog/members?index=41&wait=250 HTTP/1.1",
-                    stage.discovery.accept().read().first());
+                    fixture.discovery.accept().read().firstLine());
         }
     }
 
     @Test
     void aDiscoveryThatIsDownIsAFailure() throws Exception {
-        try (stage) {
-            stage.discovery.close();
+        try (fixture) {
+            fixture.discovery.close();
             started();
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
+            assertEquals(Change.FAILED, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 
     @Test
     void theModuleAsksAgainAfterAFailure() throws Exception {
-        try (stage) {
-            stage.start(cranedeal.LatencyWeightedBalancer::new);
-            stage.discovery.accept().reset();
-            Peer again = stage.discovery.accept();
+        try (fixture) {
+            fixture.start(cranedeal.LatencyWeightedBalancer::new);
+            fixture.discovery.accept().reset();
+            HttpPeer again = fixture.discovery.accept();
             // Its answer tells whether discovery is back, so it must not be long in coming.
-            assertEquals("GET /catalog/members?index=41&wait=250 HTTP/1.1", again.read().first());
-            again.write(Stage.ok(Stage.roster(45, false)));
-            assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1", again.read().first());
+            assertEquals("GET /catalog/members?index=41&wait=250 HTTP/1.1", again.read().firstLine());
+            again.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
+            assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1", again.read().firstLine());
         }
     }
 
     private interface WatchTest {
-        void play(Peer silent, LinkedBlockingQueue<String> told) throws Exception;
+        void play(HttpPeer silent, LinkedBlockingQueue<String> told) throws Exception;
     }
 
     /** Plays with a watch that asks for 100 ms at most and whose first call gets no answer. */
     private void withSilentWatch(WatchTest test) throws Exception {
         EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Path file = Files.createTempFile("node", ".json");
-        try (stage) {
-            Files.writeString(file, stage.config());
+        try (fixture) {
+            Files.writeString(file, fixture.config());
             LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
             NodeConfig config = NodeConfig.read(file.toString());
             DiscoveryClient discovery = new DiscoveryClient(loop, new Clock()::now,
@@ -206,8 +210,8 @@
                         }
                     });
             loop.execute(() -> discovery.watch(true));
-            Peer watch = stage.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", watch.read().first());
+            HttpPeer watch = fixture.discovery.accept();
+            assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", watch.read().firstLine());
             test.play(watch, told);
         } finally {
             Files.delete(file);
@@ -215,9 +219,9 @@
         }
     }
 
-    private Peer furtherCall() throws Exception {
-        Peer call = stage.discovery.accept();
-        assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", call.read().first());
+    private HttpPeer furtherCall() throws Exception {
+        HttpPeer call = fixture.discovery.accept();
+        assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", call.read().firstLine());
         return call;
     }
 
@@ -225,24 +229,24 @@
     void besideAWatchThatFallsSilentAnotherCallGoesOutAndItsAnswerEndsTheFirst() throws Exception {
         withSilentWatch((silent, told) -> {
             // Nobody has to ask for it: whoever would, may do so too late.
-            Peer anew = furtherCall();
+            HttpPeer anew = furtherCall();
             assertTrue(told.isEmpty());
-            anew.write(Stage.ok(Stage.roster(45, false)));
-            assertEquals("version 45", Script.next(told));
-            assertTrue(silent.ended());
-            assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", anew.read().first());
+            anew.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
+            assertEquals("version 45", ScriptedBalancer.next(told));
+            assertTrue(silent.awaitClose());
+            assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", anew.read().firstLine());
         });
     }
 
     @Test
     void aCallIsNotGivenUpWhileAnotherIsOutAndItsLateAnswerCounts() throws Exception {
         withSilentWatch((silent, told) -> {
-            Peer second = furtherCall();
-            silent.write(Stage.ok(Stage.roster(45, false)));
-            assertEquals("version 45", Script.next(told));
+            HttpPeer second = furtherCall();
+            silent.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
+            assertEquals("version 45", ScriptedBalancer.next(told));
             // An older list must not take the place of a newer one; it answers the call all the same.
-            second.write(Stage.ok(Stage.roster(44, false)));
-            assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", second.read().first());
+            second.write(NodeFixture.ok(NodeFixture.listJson(44, false)));
+            assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", second.read().firstLine());
             assertTrue(told.isEmpty());
         });
     }
@@ -250,13 +254,13 @@
     @Test
     void whereAllAreSilentTheOldestIsKeptAndAnotherIsGivenUp() throws Exception {
         withSilentWatch((silent, told) -> {
-            Peer second = furtherCall();
+            HttpPeer second = furtherCall();
             furtherCall();
             furtherCall();
-            assertTrue(second.ended());
-            assertEquals("TIMED_OUT", Script.next(told));
-            silent.write(Stage.ok(Stage.roster(45, false)));
-            assertEquals("version 45", Script.next(told));
+            assertTrue(second.awaitClose());
+            assertEquals("TIMED_OUT", ScriptedBalancer.next(told));
+            silent.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
+            assertEquals("version 45", ScriptedBalancer.next(told));
         });
     }
 
@@ -266,48 +270,50 @@
         withSilentWatch((silent, told) -> {
             String[] entries = new String[3_200];
             for (int i = 0; i < entries.length; i++) {
-                entries[i] = Stage.entry(i, "127.0.0.1:" + (1 + i), "up").replace(",", ",\n        ");
+                entries[i] = NodeFixture.listEntry(i, "127.0.0.1:" + (1 + i), "up").replace(",",
+                        ",\n        ");
             }
-            String answer = Stage.ok(Stage.roster(45, true, entries));
+            String answer = NodeFixture.ok(NodeFixture.listJson(45, true, entries));
             silent.write(answer.substring(0, answer.length() - 1));
-            Peer second = furtherCall();
+            HttpPeer second = furtherCall();
             second.write(answer.substring(0, answer.length() - 1));
-            Peer third = furtherCall();
+            HttpPeer third = furtherCall();
             third.write(answer);
-            assertEquals("version 45", Script.next(told));
-            assertTrue(second.ended());
+            assertEquals("version 45", ScriptedBalancer.next(told));
+            assertTrue(second.awaitClose());
         });
     }
 
     @Test
     void whereListsArePushedTheWatchIsKeptThoughNobodyAsks() throws Exception {
-        try (stage) {
-            stage.pushed = true;
-            stage.script.onStart = () -> { };
+        try (fixture) {
+            fixture.pushLists = true;
+            fixture.balancer.onStart = () -> { };
             started();
-            Peer watch = stage.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=2500 HTTP/1.1", watch.read().first());
-            watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
+            HttpPeer watch = fixture.discovery.accept();
+            assertEquals("GET /catalog/members?index=41&wait=2500 HTTP/1.1", watch.read().firstLine());
+            watch.write(NodeFixture.ok(NodeFixture.listJson(45, false,
+                    NodeFixture.listEntry(0, "127.0.0.1:1", "draining"))));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
             watch.read();
             watch.reset();
             // Nobody has asked, so nobody is told of a failure; the watch is back all the same.
-            Peer again = stage.discovery.accept();
-            assertEquals("GET /catalog/members?index=45&wait=250 HTTP/1.1", again.read().first());
-            again.write(Stage.ok(Stage.roster(46, false)));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
+            HttpPeer again = fixture.discovery.accept();
+            assertEquals("GET /catalog/members?index=45&wait=250 HTTP/1.1", again.read().firstLine());
+            again.write(NodeFixture.ok(NodeFixture.listJson(46, false)));
+            assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 
     @Test
     void theWholeListIsAskedForOnItsOwn() throws Exception {
-        try (stage) {
-            stage.script.onStart = () -> stage.script.actions.fetch();
+        try (fixture) {
+            fixture.balancer.onStart = () -> fixture.balancer.actions.fetch();
             started();
-            Peer call = stage.discovery.accept();
-            assertEquals("GET /catalog/members HTTP/1.1", call.read().first());
-            call.write(Stage.ok(Stage.roster(50, true)));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
+            HttpPeer call = fixture.discovery.accept();
+            assertEquals("GET /catalog/members HTTP/1.1", call.read().firstLine());
+            call.write(NodeFixture.ok(NodeFixture.listJson(50, true)));
+            assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 }
--- a/src/test/java/cranedeal/node/DrainTest.java
+++ b/src/test/java/cranedeal/node/DrainTest.java
@@ -47,7 +47,7 @@
         try (BufferedReader error = process.errorReader()) {
             assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
         }
-        assertTrue(process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(status, process.exitValue());
     }
 
@@ -58,13 +58,13 @@
         endsWithOneLine(1, null, "serve");
         endsWithOneLine(1, Path.of("no-such-file"), "serve");
         Path file = Files.createTempFile("node", ".json");
-        try (Stage stage = new Stage()) {
+        try (NodeFixture fixture = new NodeFixture()) {
             for (String bad : new String[] {"", "{", "[]", "{\"listen\":\"nowhere\"}",
-                stage.config().replace("127.0.0.1:0", "127.0.0.1:notaport"),
-                stage.config().replace("\"aim\":1000.0", "\"aim\":\"soon\""),
-                stage.config().replace("8c1f30d27a5be964", "no number"),
-                stage.config().replace("\"up\"", "\"sideways\""),
-                stage.config().replace("127.0.0.1:0", stage.discovery.address())}) {
+                fixture.config().replace("127.0.0.1:0", "127.0.0.1:notaport"),
+                fixture.config().replace("\"aim\":1000.0", "\"aim\":\"soon\""),
+                fixture.config().replace("8c1f30d27a5be964", "no number"),
+                fixture.config().replace("\"up\"", "\"sideways\""),
+                fixture.config().replace("127.0.0.1:0", fixture.discovery.address())}) {
                 Files.writeString(file, bad);
                 endsWithOneLine(1, file, "serve");
             }
@@ -75,70 +75,70 @@
 
     @Test
     void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
-        try (Stage stage = new Stage(); Served served = new Served(stage)) {
-            Peer taken = Peer.toServing(served.address, served.process);
-            Peer idle = Peer.to(served.address);
-            idle.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture(); NodeProcess node = new NodeProcess(fixture)) {
+            HttpPeer taken = HttpPeer.connectWhenServing(node.address, node.process);
+            HttpPeer idle = HttpPeer.connect(node.address);
+            idle.write(NodeFixture.HEALTH);
             assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-            taken.write(Stage.get("taken", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+            taken.write(NodeFixture.get("taken", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             // One that is served after it: what is taken is late by itself then, and no sign of overload.
-            idle.write(Stage.get("before", "2"));
-            Peer second = stage.upstreams.get(0).accept();
+            idle.write(NodeFixture.get("before", "2"));
+            HttpPeer second = fixture.upstreams.get(0).accept();
             second.read();
-            second.write(Stage.ok("before"));
+            second.write(NodeFixture.ok("before"));
             assertEquals("before", idle.read().body());
-            served.process.destroy();
+            node.process.destroy();
             // A late caller, one on a connection that it had, and the one that was taken before.
-            Peer.Message late = null;
+            HttpPeer.Message late = null;
             while (late == null || late.header("Connection") == null) {
                 // Until callers are sent away, answers keep the connection. Were it left open, so many would
                 // come that the idle one had to go.
-                try (Peer caller = Peer.to(served.address)) {
-                    caller.write(Stage.HEALTH);
+                try (HttpPeer caller = HttpPeer.connect(node.address)) {
+                    caller.write(NodeFixture.HEALTH);
                     late = caller.read();
                     assertEquals(200, late.status());
                 }
             }
-            idle.write(Stage.get("reused", "2"));
+            idle.write(NodeFixture.get("reused", "2"));
             second.read();
-            second.write(Stage.ok("reused"));
-            Peer.Message reused = idle.read();
+            second.write(NodeFixture.ok("reused"));
+            HttpPeer.Message reused = idle.read();
             assertEquals("reused", reused.body());
             assertEquals("close", reused.header("Connection"));
-            assertTrue(idle.ended());
-            upstream.write(Stage.ok("taken"));
+            assertTrue(idle.awaitClose());
+            upstream.write(NodeFixture.ok("taken"));
             assertEquals("taken", taken.read().body());
-            served.endsByItself();
+            node.assertTerminated();
         }
     }
 
     @Test
     void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            stage.node.drain();
+            fixture.node.drain();
             assertEquals(504, caller.read().status());
-            assertTrue(upstream.ended());
+            assertTrue(upstream.awaitClose());
         }
     }
 
     @Test
     void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.HEALTH);
             caller.read();
-            caller.write(Stage.get("1", "10"));
+            caller.write(NodeFixture.get("1", "10"));
             // The request lies in the kernel or is at work; either way it must not be lost.
-            assertFalse(stage.node.closeIdleCallers());
-            Peer upstream = stage.upstreams.get(0).accept();
+            assertFalse(fixture.node.closeIdleCallers());
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            upstream.write(Stage.ok("kept"));
+            upstream.write(NodeFixture.ok("kept"));
             assertEquals("kept", caller.read().body());
         }
     }
@@ -151,24 +151,25 @@
             port = free.getLocalPort();
         }
         Process process = null;
-        try (Stage stage = new Stage(); Listener moved = new Listener()) {
-            String config = stage.config().replace("127.0.0.1:0", "127.0.0.1:" + port);
+        try (NodeFixture fixture = new NodeFixture(); TestServer moved = new TestServer()) {
+            String config = fixture.config().replace("127.0.0.1:0", "127.0.0.1:" + port);
             Files.writeString(file, config);
             process = start(file, "serve");
-            Peer caller = Peer.toServing(new InetSocketAddress("127.0.0.1", port), process);
-            Peer before = stage.discovery.accept();
+            HttpPeer caller = HttpPeer.connectWhenServing(new InetSocketAddress("127.0.0.1", port), process);
+            HttpPeer before = fixture.discovery.accept();
             before.read();
-            before.write(Stage.ok(Stage.roster(45, false)));
+            before.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
             before.read();
             // A file that can't be read changes nothing, and what follows it still counts.
-            String replaced = config.replace(stage.discovery.address(), moved.address());
+            String replaced = config.replace(fixture.discovery.address(), moved.address());
             for (String text : new String[] {"{", replaced}) {
                 Files.writeString(file, text);
                 new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor();
             }
-            assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1", moved.accept().read().first());
-            assertTrue(before.ended());
-            caller.write(Stage.HEALTH);
+            assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1",
+                    moved.accept().read().firstLine());
+            assertTrue(before.awaitClose());
+            caller.write(NodeFixture.HEALTH);
             assertEquals(200, caller.read().status());
         } finally {
             if (process != null) {
@@ -180,13 +181,13 @@
 
     @Test
     void aDrainServesOnBeforeItSendsItsCallersAway() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.HEALTH);
             caller.read();
             Thread drain = new Thread(() -> {
                 try {
-                    stage.node.drain();
+                    fixture.node.drain();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -195,9 +196,9 @@
             drain.start();
             // Some answers come after the drain has begun and keep the connection, until one ends it.
             int kept = 0;
-            Peer.Message answer = null;
+            HttpPeer.Message answer = null;
             while (answer == null || answer.header("Connection") == null) {
-                caller.write(Stage.HEALTH);
+                caller.write(NodeFixture.HEALTH);
                 answer = caller.read();
                 kept++;
             }
@@ -209,19 +210,19 @@
 
     @Test
     void aDrainWaitsForARequestThatIsOnItsWayIn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.HEALTH);
             caller.read();
-            String request = Stage.spend("1", "body");
+            String request = NodeFixture.spend("1", "body");
             caller.write(request.substring(0, request.length() - 2));
             // What the caller wrote before has been read once this one, on the same thread, has its answer.
-            stage.settle();
-            assertFalse(stage.node.closeIdleCallers());
+            fixture.awaitReads();
+            assertFalse(fixture.node.closeIdleCallers());
             caller.write(request.substring(request.length() - 2));
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            upstream.write(Stage.ok("kept"));
+            upstream.write(NodeFixture.ok("kept"));
             assertEquals("kept", caller.read().body());
         }
     }
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -21,9 +21,9 @@
 
     @Test
     void itIsHealthyOnceItListens() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.HEALTH);
             assertEquals(200, caller.read().status());
         }
     }
@@ -44,176 +44,176 @@
         "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: many\r\n\r\n",
         "no request at all\r\n\r\n"})
     void aMalformedRequestIsTheCallersFault(String request) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(request);
             assertEquals(400, caller.read().status());
-            stage.servesStill();
+            fixture.assertServes();
         }
     }
 
     @Test
     void aBodyOverTheLimitIsTurnedDown() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write("POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\n"
                     + "X-Remaining: 10\r\nContent-Length: " + (Frontend.MAX_LARGE + 1) + "\r\n\r\n");
             assertEquals(413, caller.read().status());
-            stage.servesStill();
+            fixture.assertServes();
         }
     }
 
     @Test
     void aCallerThatStillSendsHasItsAnswerAllTheSame() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write("no request at all\r\n\r\n");
             // The answer may be out before the rest comes in; it must not be lost to a reset.
             caller.write("x".repeat(200_000));
             assertEquals(400, caller.read().status());
             caller.socket.shutdownOutput();
-            assertTrue(caller.ended());
+            assertTrue(caller.awaitClose());
         }
     }
 
     @Test
     void headersOverTheLimitAreTurnedDown() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write("GET /look-up HTTP/1.1\r\nX-Labels: " + "x".repeat(20_000) + "\r\n\r\n");
             int status = caller.read().status();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-            stage.servesStill();
+            fixture.assertServes();
         }
     }
 
     @Test
     void aRefusalSaysWhenToComeBackAndAFailureIsNoRefusal() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 250);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer.Message refused = caller.read();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 250);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer.Message refused = caller.read();
             assertEquals(503, refused.status());
             assertEquals("0.250", refused.header("Retry-After"));
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 0);
-            caller.write(Stage.get("2", "10"));
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
+            caller.write(NodeFixture.get("2", "10"));
             assertNull(caller.read().header("Retry-After"));
-            stage.script.onRequest = request -> stage.script.actions.fail(request.id());
-            caller.write(Stage.get("3", "10"));
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.fail(request.id());
+            caller.write(NodeFixture.get("3", "10"));
             assertEquals(502, caller.read().status());
         }
     }
 
     @Test
     void anAnswerIsGivenOnceOnly() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> {
-                stage.script.actions.fail(request.id());
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.actions.fail(request.id());
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.actions.fail(request.id());
+                fixture.balancer.actions.refuse(request.id(), 0);
+                fixture.balancer.actions.fail(request.id());
             };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
             assertEquals(502, caller.read().status());
-            caller.write(Stage.HEALTH);
+            caller.write(NodeFixture.HEALTH);
             assertEquals(200, caller.read().status());
         }
     }
 
     @Test
     void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10") + Stage.get("2", "10") + Stage.HEALTH);
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10") + NodeFixture.get("2", "10") + NodeFixture.HEALTH);
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             assertEquals("1", upstream.read().header("X-Txn"));
-            upstream.write(Stage.ok("first"));
+            upstream.write(NodeFixture.ok("first"));
             assertEquals("first", caller.read().body());
             // The first answer has freed its connection before the next request looks for one.
             assertEquals("2", upstream.read().header("X-Txn"));
-            upstream.write(Stage.ok("second"));
+            upstream.write(NodeFixture.ok("second"));
             assertEquals("second", caller.read().body());
             assertEquals(200, caller.read().status());
-            assertEquals(0, stage.upstreams.get(0).waiting());
+            assertEquals(0, fixture.upstreams.get(0).pendingConnections());
         }
     }
 
     @Test
     void aCallerThatLeavesIsGoneOnceAndLaterOutcomesAreDropped() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             caller.close();
-            assertEquals(1, Script.next(stage.script.gone));
-            upstream.write(Stage.ok("nobody waits"));
-            assertTrue(Script.next(stage.script.outcomes).requestClosed());
-            stage.script.onRequest = request -> stage.script.actions.fail(request.id());
-            Peer other = stage.caller();
-            other.write(Stage.get("2", "10"));
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
+            upstream.write(NodeFixture.ok("nobody waits"));
+            assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.fail(request.id());
+            HttpPeer other = fixture.caller();
+            other.write(NodeFixture.get("2", "10"));
             other.read();
-            assertTrue(stage.script.gone.isEmpty());
+            assertTrue(fixture.balancer.gone.isEmpty());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"request", "outcome", "timer"})
     void anExceptionInTheModuleFailsThatRequestOnly(String where) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Script script = stage.script;
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            ScriptedBalancer script = fixture.balancer;
             Runnable broken = () -> {
                 throw new IllegalStateException("made by a test");
             };
             if (where.equals("request")) {
                 script.onRequest = request -> broken.run();
             } else if (where.equals("outcome")) {
-                script.onOpen = (actions, outcome) -> broken.run();
+                script.onOpenOutcome = (actions, outcome) -> broken.run();
             } else {
                 script.onRequest = request -> script.actions.setTimer(7, 0);
                 script.onTimer = broken;
             }
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
             if (where.equals("outcome")) {
-                Peer upstream = stage.upstreams.get(0).accept();
+                HttpPeer upstream = fixture.upstreams.get(0).accept();
                 upstream.read();
                 upstream.close();
             }
             assertEquals(500, caller.read().status());
-            assertEquals(1, Script.next(script.gone));
+            assertEquals(1, ScriptedBalancer.next(script.gone));
             script.onRequest = request -> script.sendTo(0, request, 0);
-            script.onOpen = (actions, outcome) -> { };
-            stage.servesStill();
+            script.onOpenOutcome = (actions, outcome) -> { };
+            fixture.assertServes();
         }
     }
 
     @Test
     void aRequestThatTheModuleForgetsFailsSoonAfterItsDeadline() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> { };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "0.1"));
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.balancer.onRequest = request -> { };
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "0.1"));
             assertEquals(504, caller.read().status());
-            assertEquals(1, Script.next(stage.script.gone));
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
         }
     }
 
     @Test
     void anEventThatAnActionCausesWaitsForTheModulesCallToReturn() throws Exception {
-        try (Stage stage = new Stage().start()) {
+        try (NodeFixture fixture = new NodeFixture().start()) {
             boolean[] inside = new boolean[1];
             boolean[] nested = new boolean[1];
-            stage.script.onOutcome = outcome -> nested[0] |= inside[0];
-            stage.script.onRequest = request -> {
+            fixture.balancer.onOutcome = outcome -> nested[0] |= inside[0];
+            fixture.balancer.onRequest = request -> {
                 inside[0] = true;
                 // No such upstream: the attempt has ended before the action returns.
-                stage.script.actions.send(request.id(), 12_345, 0);
+                fixture.balancer.actions.send(request.id(), 12_345, 0);
                 inside[0] = false;
             };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
             assertEquals(502, caller.read().status());
             assertFalse(nested[0]);
         }
@@ -221,13 +221,13 @@
 
     @Test
     void anAttemptOverTheLimitIsNotSent() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.upstreams.get(0).refuse();
-            stage.script.sendUntilNotSent(0);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.upstreams.get(0).refuseConnections();
+            fixture.balancer.sendUntilNotSent(0);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
             assertEquals(503, caller.read().status());
-            assertEquals(5, stage.script.outcomes.size());
+            assertEquals(5, fixture.balancer.outcomes.size());
         }
     }
 
@@ -249,107 +249,110 @@
         "HTTP/1.1\r\nContent-Length: 40000000",
         "HTTP/3.1\r\nContent-Length: 5"})
     void nothingBehindARequestWhoseEndIsInDoubtIsServed(String framing) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write("POST /credit-spend " + framing + "\r\nHost: app.svc\r\nX-Txn: outside\r\n"
-                    + "X-Lane: credit-spend\r\nX-Remaining: 10\r\n\r\n0\r\n\r\n" + Stage.get("inside", "10"));
+                    + "X-Lane: credit-spend\r\nX-Remaining: 10\r\n\r\n0\r\n\r\n"
+                    + NodeFixture.get("inside", "10"));
             int status = caller.read().status();
             assertTrue(status == 400 || status == 413, "status " + status);
             caller.socket.shutdownOutput();
-            assertTrue(caller.ended());
-            stage.caller().write(Stage.get("after", "10"));
-            assertEquals("after", stage.upstreams.get(0).accept().read().header("X-Txn"));
+            assertTrue(caller.awaitClose());
+            fixture.caller().write(NodeFixture.get("after", "10"));
+            assertEquals("after", fixture.upstreams.get(0).accept().read().header("X-Txn"));
         }
     }
 
     @Test
     void nothingIsReadBehindTheLastRequestOfAConnection() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n" + Stage.get("behind", "10"));
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"
+                    + NodeFixture.get("behind", "10"));
             assertEquals(200, caller.read().status());
             caller.socket.shutdownOutput();
-            assertTrue(caller.ended());
-            stage.caller().write(Stage.get("after", "10"));
-            assertEquals("after", stage.upstreams.get(0).accept().read().header("X-Txn"));
+            assertTrue(caller.awaitClose());
+            fixture.caller().write(NodeFixture.get("after", "10"));
+            assertEquals("after", fixture.upstreams.get(0).accept().read().header("X-Txn"));
         }
     }
 
     @Test
     void aMalformedRequestWaitsForTheOneBeforeItAndEndsTheConnection() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10") + "no request at all\r\n\r\n" + Stage.get("2", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10") + "no request at all\r\n\r\n"
+                    + NodeFixture.get("2", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            upstream.write(Stage.ok("first"));
+            upstream.write(NodeFixture.ok("first"));
             assertEquals("first", caller.read().body());
             assertEquals(400, caller.read().status());
             caller.socket.shutdownOutput();
-            assertTrue(caller.ended());
+            assertTrue(caller.awaitClose());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /credit", "POST /credit HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
     void aConnectionOnWhichNoRequestComesIsClosed(String part) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(part);
-            assertTrue(caller.ended());
-            stage.servesStill();
+            assertTrue(caller.awaitClose());
+            fixture.assertServes();
         }
     }
 
     @Test
     void aRequestThatComesInPartOnAConnectionThatWasServedIsNotWaitedFor() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.HEALTH);
             assertEquals(200, caller.read().status());
             caller.write("POST /credit-spend HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
-            assertTrue(caller.ended());
+            assertTrue(caller.awaitClose());
         }
     }
 
     @Test
     void aConnectionWithARequestAtWorkIsNoIdleOne() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             // By the time that a silent one of the same age is closed, this one would be closed as well.
-            assertTrue(stage.caller().ended());
-            upstream.write(Stage.ok("late"));
+            assertTrue(fixture.caller().awaitClose());
+            upstream.write(NodeFixture.ok("late"));
             assertEquals("late", caller.read().body());
         }
     }
 
     @Test
     void callersLeaveDescriptorsToAttemptsAndGiveWayOnceTheyHaveRested() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.sockets = 64 + 15;
-            stage.start();
-            List<Peer> callers = new ArrayList<>();
+        try (NodeFixture fixture = new NodeFixture()) {
+            fixture.sockets = 64 + 15;
+            fixture.start();
+            List<HttpPeer> callers = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                callers.add(stage.caller());
-                callers.get(i).write(Stage.HEALTH);
+                callers.add(fixture.caller());
+                callers.get(i).write(NodeFixture.HEALTH);
                 assertEquals(200, callers.get(i).read().status());
             }
-            assertTrue(stage.caller().ended(), "the rest is for attempts");
-            Peer caller = callers.get(9);
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+            assertTrue(fixture.caller().awaitClose(), "the rest is for attempts");
+            HttpPeer caller = callers.get(9);
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            upstream.write(Stage.ok("served"));
+            upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
             // Who has rested for two seconds may be closed, the longest first.
-            Peer.Message answer = null;
+            HttpPeer.Message answer = null;
             while (answer == null) {
-                Peer next = stage.caller();
+                HttpPeer next = fixture.caller();
                 try {
-                    next.write(Stage.HEALTH);
+                    next.write(NodeFixture.HEALTH);
                     answer = next.read();
                 } catch (IOException e) {
                     // There was no place for it yet.
@@ -360,8 +363,8 @@
                 }
             }
             assertEquals(200, answer.status());
-            assertTrue(callers.get(0).ended());
-            caller.write(Stage.HEALTH);
+            assertTrue(callers.get(0).awaitClose());
+            caller.write(NodeFixture.HEALTH);
             assertEquals(200, caller.read().status());
         }
     }
@@ -372,11 +375,11 @@
         int rounds = 400;
         int many = 1_000;
         int answered = 0;
-        try (Stage stage = new Stage().start(); Socket socket = new Socket()) {
+        try (NodeFixture fixture = new NodeFixture().start(); Socket socket = new Socket()) {
             socket.setReceiveBufferSize(32_768);
-            socket.connect(stage.node.address());
-            Peer caller = new Peer(socket);
-            String requests = Stage.HEALTH.repeat(many);
+            socket.connect(fixture.node.address());
+            HttpPeer caller = new HttpPeer(socket);
+            String requests = NodeFixture.HEALTH.repeat(many);
             try {
                 for (int i = 0; i < rounds; i++) {
                     caller.write(requests);
@@ -388,7 +391,7 @@
                 // Cut off, maybe inside an answer.
             }
             assertTrue(answered < rounds * many, answered + " were answered");
-            stage.servesStill();
+            fixture.assertServes();
         }
     }
 }
--- a/src/test/java/cranedeal/node/Backlog.java
+++ b/src/test/java/cranedeal/node/FullBacklog.java
@@ -13,7 +13,7 @@
  * is seen in the kernel's table before anybody else connects, and nobody but the test's own connection waits
  * to be let in: others would try again at the same times as it, and take the place that an accept has made.
  */
-final class Backlog implements AutoCloseable {
+final class FullBacklog implements AutoCloseable {
 
     /** The kernel takes one more than it was asked for. */
     private static final int BACKLOG = 1;
@@ -22,11 +22,11 @@
     private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final List<Socket> filling = new ArrayList<>();
 
-    Backlog() throws Exception {
+    FullBacklog() throws Exception {
         for (int i = 0; i < FILLING; i++) {
             filling.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
-        long end = System.nanoTime() + Peer.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpPeer.TIMEOUT_MS * 1_000_000L;
         while (queued() < FILLING) {
             if (System.nanoTime() > end) {
                 throw new AssertionError(queued() + " wait in the queue");
@@ -45,16 +45,16 @@
     }
 
     /** Lets those in that fill the queue, then the next one that is none of them. */
-    Peer acceptLast() throws Exception {
+    HttpPeer acceptNext() throws Exception {
         List<Integer> own = new ArrayList<>();
         for (Socket socket : filling) {
             own.add(((InetSocketAddress) socket.getLocalSocketAddress()).getPort());
         }
-        server.setSoTimeout(Peer.PATIENCE_MS);
-        Peer next = new Peer(server.accept());
+        server.setSoTimeout(HttpPeer.TIMEOUT_MS);
+        HttpPeer next = new HttpPeer(server.accept());
         while (own.contains(next.socket.getPort())) {
             next.close();
-            next = new Peer(server.accept());
+            next = new HttpPeer(server.accept());
         }
         return next;
     }
--- a/src/test/java/cranedeal/node/GracefulCloseTest.java
+++ b/src/test/java/cranedeal/node/GracefulCloseTest.java
@@ -28,41 +28,41 @@
     private static final String BODY = "0123456789abcdef".repeat(3_750);
 
     /** A caller whose kernel takes next to nothing before it reads. */
-    private static Peer slowCaller(Stage stage) throws IOException {
+    private static HttpPeer slowCaller(NodeFixture fixture) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(1_024);
-        socket.connect(stage.node.address());
-        return new Peer(socket);
+        socket.connect(fixture.node.address());
+        return new HttpPeer(socket);
     }
 
-    private static Peer served(Stage stage, String body) throws Exception {
-        Peer upstream = stage.upstreams.get(0).accept();
+    private static HttpPeer served(NodeFixture fixture, String body) throws Exception {
+        HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
-        upstream.write(Stage.ok(body));
+        upstream.write(NodeFixture.ok(body));
         return upstream;
     }
 
     @Test
     void nothingIsSentOnThatComesBehindTheLastAnswer() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.door = true;
-            stage.start();
+        try (NodeFixture fixture = new NodeFixture()) {
+            fixture.adminEnabled = true;
+            fixture.start();
             AtomicInteger taken = new AtomicInteger();
-            stage.script.onRequest = request -> {
+            fixture.balancer.onRequest = request -> {
                 taken.incrementAndGet();
-                stage.script.sendTo(0, request, 0);
+                fixture.balancer.sendTo(0, request, 0);
             };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertEquals(200, stage.order("PUT", "/ops/drain/start"));
-            upstream.write(Stage.ok("last"));
-            Peer.Message answer = caller.read();
+            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            upstream.write(NodeFixture.ok("last"));
+            HttpPeer.Message answer = caller.read();
             assertEquals("last", answer.body());
             assertEquals("close", answer.header("Connection"));
-            caller.write(Stage.get("2", "10"));
-            stage.settle();
+            caller.write(NodeFixture.get("2", "10"));
+            fixture.awaitReads();
             assertNull(caller.read());
             assertEquals(1, taken.get());
         }
@@ -70,22 +70,22 @@
 
     @Test
     void whatIsSentAheadIsAnsweredBeforeADrainEndsItsConnection() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.door = true;
-            stage.start();
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10") + Stage.get("2", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture()) {
+            fixture.adminEnabled = true;
+            fixture.start();
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10") + NodeFixture.get("2", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertEquals(200, stage.order("PUT", "/ops/drain/start"));
-            upstream.write(Stage.ok("first"));
-            Peer.Message first = caller.read();
+            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            upstream.write(NodeFixture.ok("first"));
+            HttpPeer.Message first = caller.read();
             assertEquals("first", first.body());
             assertNull(first.header("Connection"), "the answer to the second one is still to come");
             // The first answer has freed its connection before the next request looks for one.
             assertEquals("2", upstream.read().header("X-Txn"));
-            upstream.write(Stage.ok("second"));
-            Peer.Message second = caller.read();
+            upstream.write(NodeFixture.ok("second"));
+            HttpPeer.Message second = caller.read();
             assertEquals("second", second.body());
             assertEquals("close", second.header("Connection"));
             assertNull(caller.read());
@@ -95,22 +95,22 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRequestThatCrossesTheEndDoesNotTakeTheLastAnswerAway(boolean evicted) throws Exception {
-        try (Stage stage = new Stage()) {
+        try (NodeFixture fixture = new NodeFixture()) {
             // Callers may have ten of them; this one and that which settles the stage are the first two.
-            stage.sockets = 64 + 15;
-            stage.start();
-            try (Peer caller = slowCaller(stage)) {
-                caller.write(Stage.get("1", "10"));
-                served(stage, BODY);
-                stage.script.result();
-                stage.settle();
+            fixture.sockets = 64 + 15;
+            fixture.start();
+            try (HttpPeer caller = slowCaller(fixture)) {
+                caller.write(NodeFixture.get("1", "10"));
+                served(fixture, BODY);
+                fixture.balancer.nextResult();
+                fixture.awaitReads();
                 if (evicted) {
-                    takeItsPlace(stage);
+                    takeItsPlace(fixture);
                 } else {
-                    stage.node.closeIdleCallers();
+                    fixture.node.closeIdleCallers();
                 }
                 // It is on its way while the answer still is: a close over it would be a reset.
-                caller.write(Stage.get("2", "10"));
+                caller.write(NodeFixture.get("2", "10"));
                 assertEquals(BODY, caller.read().body());
                 assertNull(caller.read());
             }
@@ -118,12 +118,12 @@
     }
 
     /** Callers with requests come until there is a place for the ninth: the longest resting has gone. */
-    private static void takeItsPlace(Stage stage) throws Exception {
+    private static void takeItsPlace(NodeFixture fixture) throws Exception {
         CountDownLatch taken = new CountDownLatch(9);
-        stage.script.onRequest = request -> taken.countDown();
+        fixture.balancer.onRequest = request -> taken.countDown();
         for (int i = 0; taken.getCount() > 0; i++) {
             try {
-                stage.caller().write(Stage.get("more" + i, "10"));
+                fixture.caller().write(NodeFixture.get("more" + i, "10"));
             } catch (IOException e) {
                 // There was no place for it yet.
             }
@@ -133,14 +133,14 @@
 
     @Test
     void aBrokenAnswerThatSaysItsLengthEndsWithoutAReset() throws Exception {
-        try (Stage stage = new Stage().start(); Peer caller = slowCaller(stage)) {
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start(); HttpPeer caller = slowCaller(fixture)) {
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + BODY);
-            Script.next(stage.script.streams);
+            ScriptedBalancer.next(fixture.balancer.streams);
             upstream.reset();
-            stage.script.result();
+            fixture.balancer.nextResult();
             InputStream in = caller.socket.getInputStream();
             String came = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(came.endsWith(BODY), "came " + came.length());
@@ -149,9 +149,9 @@
 
     @Test
     void whoComesAfterADrainIsRefusedAndNotLeftInTheQueue() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.node.drain();
-            assertThrows(ConnectException.class, stage::caller);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.node.drain();
+            assertThrows(ConnectException.class, fixture::caller);
         }
     }
 }
--- a/src/test/java/cranedeal/node/HangUpBenchmark.java
+++ b/src/test/java/cranedeal/node/HangUpBenchmark.java
@@ -89,8 +89,8 @@
         SlopeReport report = new SlopeReport("hang-up", COMMAND, "process").with("upstreams", LIST)
                 .with("flags", FLAGS).with("not_in_it", "the way to other machines, and whoever types it");
         Map<Integer, List<Double>> took = new LinkedHashMap<>();
-        try (Stage stage = new Stage(0)) {
-            String config = stage.config().replace(Stage.roster(41, true), ListBenchmark.list(LIST))
+        try (NodeFixture fixture = new NodeFixture(0)) {
+            String config = fixture.config().replace(NodeFixture.listJson(41, true), ListBenchmark.list(LIST))
                     .replace("[\"dakar-a\"]", names(ListBenchmark.ZONES))
                     .replace("[\"front-mid\"]", names(ListBenchmark.KINDS));
             for (int size : SIZES) {
--- a/src/test/java/cranedeal/node/Peer.java
+++ b/src/test/java/cranedeal/node/HttpPeer.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /** One end of a plain HTTP/1.1 connection, with nothing between the test and the bytes. */
-final class Peer implements AutoCloseable {
+final class HttpPeer implements AutoCloseable {
 
     /** A message as it came: its first line, its headers by lower-case name, its body. */
-    record Message(String first, Map<String, String> headers, String body) {
+    record Message(String firstLine, Map<String, String> headers, String body) {
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(firstLine.split(" ")[1]);
         }
 
         String header(String name) {
@@ -25,28 +25,28 @@
         }
     }
 
-    static final int PATIENCE_MS = 20_000;
+    static final int TIMEOUT_MS = 20_000;
 
     final Socket socket;
     private final InputStream in;
 
-    Peer(Socket socket) throws IOException {
+    HttpPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = socket.getInputStream();
     }
 
-    static Peer to(InetSocketAddress address) throws IOException {
-        return new Peer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+    static HttpPeer connect(InetSocketAddress address) throws IOException {
+        return new HttpPeer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
     }
 
     /** Connects as soon as the process serves. */
-    static Peer toServing(InetSocketAddress address, Process process) throws IOException {
+    static HttpPeer connectWhenServing(InetSocketAddress address, Process process) throws IOException {
         while (true) {
             try {
-                Peer peer = to(address);
-                peer.write(Stage.HEALTH);
+                HttpPeer peer = connect(address);
+                peer.write(NodeFixture.HEALTH);
                 if (peer.read().status() != 200) {
                     throw new AssertionError("not healthy");
                 }
@@ -80,7 +80,7 @@
     }
 
     /** Whether the other side has ended the connection; waits for that. */
-    boolean ended() {
+    boolean awaitClose() {
         try {
             return in.read() < 0;
         } catch (java.net.SocketTimeoutException e) {
--- a/src/test/java/cranedeal/node/LargeTest.java
+++ b/src/test/java/cranedeal/node/LargeTest.java
@@ -28,12 +28,12 @@
                 + "X-Remaining: 10\r\n" + framing + "\r\n\r\n";
     }
 
-    private static String bytes(Peer peer, int count) throws IOException {
+    private static String bytes(HttpPeer peer, int count) throws IOException {
         return new String(peer.socket.getInputStream().readNBytes(count), StandardCharsets.ISO_8859_1);
     }
 
     /** What comes until an empty line. */
-    private static String head(Peer peer) throws IOException {
+    private static String head(HttpPeer peer) throws IOException {
         InputStream in = peer.socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
@@ -62,7 +62,7 @@
     }
 
     /** The body of a chunked message. */
-    private static String unchunked(Peer peer) throws IOException {
+    private static String unchunked(HttpPeer peer) throws IOException {
         StringBuilder body = new StringBuilder();
         InputStream in = peer.socket.getInputStream();
         while (true) {
@@ -84,173 +84,173 @@
 
     @Test
     void aBodyReachesTheUpstreamWhileItStillComes() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY.substring(0, HALF));
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             assertTrue(head(upstream).contains("\r\nContent-Length: " + BODY.length() + "\r\n"));
             assertEquals(BODY.substring(0, HALF), bytes(upstream, HALF));
             caller.write(BODY.substring(HALF));
             assertEquals(BODY.substring(HALF), bytes(upstream, BODY.length() - HALF));
-            upstream.write(Stage.ok("served"));
+            upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
-            assertEquals(Result.OK, stage.script.result());
+            assertEquals(Result.OK, fixture.balancer.nextResult());
             // The connection goes on as any.
-            caller.write(Stage.get("2", "10"));
+            caller.write(NodeFixture.get("2", "10"));
             assertTrue(head(upstream).contains("X-Txn: 2"));
-            upstream.write(Stage.ok("again"));
+            upstream.write(NodeFixture.ok("again"));
             assertEquals("again", caller.read().body());
         }
     }
 
     @Test
     void aChunkedBodyKeepsItsBytes() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(post("Expect: 100-continue\r\nTransfer-Encoding: chunked"));
             assertEquals(100, caller.read().status());
             caller.write(chunked(BODY));
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             head(upstream);
             assertEquals(BODY, unchunked(upstream));
-            upstream.write(Stage.ok("served"));
+            upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
         }
     }
 
     @Test
     void aSmallChunkedBodyGoesOnWithItsLength() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(post("Transfer-Encoding: chunked"));
             caller.write("4\r\nbody\r\n0\r\nX-Sum: 7\r\n\r\n");
-            assertEquals("body", stage.upstreams.get(0).accept().read().body());
+            assertEquals("body", fixture.upstreams.get(0).accept().read().body());
         }
     }
 
     @Test
     void whatNobodyHasTakenYetGoesToAnotherUpstream() throws Exception {
-        try (Stage stage = new Stage(2).start()) {
-            stage.upstreams.get(0).refuse();
-            stage.script.onOpen = (actions, outcome) ->
-                    actions.send(outcome.requestId(), stage.script.upstreams.get(1).id(), 0);
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture(2).start()) {
+            fixture.upstreams.get(0).refuseConnections();
+            fixture.balancer.onOpenOutcome = (actions, outcome) ->
+                    actions.send(outcome.requestId(), fixture.balancer.upstreams.get(1).id(), 0);
+            HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY);
-            Peer upstream = stage.upstreams.get(1).accept();
+            HttpPeer upstream = fixture.upstreams.get(1).accept();
             head(upstream);
             assertEquals(BODY, bytes(upstream, BODY.length()));
-            upstream.write(Stage.ok("served"));
+            upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
         }
     }
 
     @Test
     void whatIsGoneCannotBeSentAgain() throws Exception {
-        try (Stage stage = new Stage(2).start()) {
-            stage.script.sendUntilNotSent(1);
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture(2).start()) {
+            fixture.balancer.sendUntilNotSent(1);
+            HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY);
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             head(upstream);
             bytes(upstream, BODY.length());
             upstream.write("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Result.FULL, stage.script.result());
-            assertEquals(Result.NOT_SENT, stage.script.result());
+            assertEquals(Result.FULL, fixture.balancer.nextResult());
+            assertEquals(Result.NOT_SENT, fixture.balancer.nextResult());
             assertEquals(503, caller.read().status());
-            assertEquals(0, stage.upstreams.get(1).waiting());
+            assertEquals(0, fixture.upstreams.get(1).pendingConnections());
         }
     }
 
     @Test
     void aRefusalInTheMiddleOfABodyIsAnsweredAtOnce() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 0);
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
+            HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY.substring(0, HALF));
-            Peer.Message refused = caller.read();
+            HttpPeer.Message refused = caller.read();
             assertEquals(503, refused.status());
             assertEquals("close", refused.header("Connection"));
             caller.write(BODY.substring(HALF));
-            assertTrue(caller.ended());
+            assertTrue(caller.awaitClose());
         }
     }
 
     @Test
     void aCallerThatLeavesInTheMiddleFreesTheUpstream() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY.substring(0, HALF));
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             head(upstream);
             bytes(upstream, HALF);
             caller.close();
-            assertTrue(upstream.ended());
-            assertEquals(1, Script.next(stage.script.gone));
+            assertTrue(upstream.awaitClose());
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
         }
     }
 
     @Test
     void aBodyThatStopsComingIsGivenUp() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY.substring(0, HALF));
             assertEquals(408, caller.read().status());
-            assertTrue(stage.node.stats().contains("edge_proxy.concurrent=0\n"));
+            assertTrue(fixture.node.stats().contains("edge_proxy.concurrent=0\n"));
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"zz\r\n", "5;x\r\nfive!xx\r\n"})
     void aBodyThatCannotBeReadIsTheCallersFault(String rest) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
             caller.write(post("Transfer-Encoding: chunked"));
             caller.write(Integer.toHexString(HALF) + "\r\n" + BODY.substring(0, HALF) + "\r\n" + rest);
             assertEquals(400, caller.read().status());
             // The attempt that had its start is broken off.
-            Peer upstream = stage.upstreams.get(0).accept();
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             assertTrue(bytes(upstream, 2 * BODY.length()).length() < BODY.length());
-            stage.servesStill();
+            fixture.assertServes();
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void anAnswerReachesTheCallerWhileItStillComes(boolean chunked) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             String whole = chunked ? chunked(BODY) : BODY;
             upstream.write(okHead(chunked) + whole.substring(0, HALF));
             String head = head(caller);
             assertTrue(head.startsWith("HTTP/1.1 200"), head);
-            assertEquals(1, Script.next(stage.script.streams));
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.streams));
             upstream.write(whole.substring(HALF));
             assertEquals(BODY, chunked ? unchunked(caller) : bytes(caller, BODY.length()));
-            assertEquals(Result.OK, stage.script.result());
-            assertTrue(stage.node.stats().contains("edge_proxy.success.look-up=1\n"));
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-            caller.write(Stage.get("2", "10"));
+            assertEquals(Result.OK, fixture.balancer.nextResult());
+            assertTrue(fixture.node.stats().contains("edge_proxy.success.look-up=1\n"));
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
+            caller.write(NodeFixture.get("2", "10"));
             upstream.read();
-            upstream.write(Stage.ok("again"));
+            upstream.write(NodeFixture.ok("again"));
             assertEquals("again", caller.read().body());
         }
     }
 
     @Test
     void theStartOfASlowAnswerIsNotHeldBack() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstart\r\n");
             head(caller);
@@ -263,10 +263,10 @@
     @Test
     void anAnswerThatEndsWithItsConnectionIsWholeIfItSaysSoAndWasNotCutOff() throws Exception {
         for (boolean abruptly : new boolean[] {false, true}) {
-            try (Stage stage = new Stage().start()) {
-                Peer caller = stage.caller();
-                caller.write(Stage.get("1", "10"));
-                Peer upstream = stage.upstreams.get(0).accept();
+            try (NodeFixture fixture = new NodeFixture().start()) {
+                HttpPeer caller = fixture.caller();
+                caller.write(NodeFixture.get("1", "10"));
+                HttpPeer upstream = fixture.upstreams.get(0).accept();
                 upstream.read();
                 upstream.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall");
                 if (abruptly) {
@@ -274,7 +274,7 @@
                 } else {
                     upstream.close();
                 }
-                assertEquals(abruptly ? Result.RESET : Result.OK, stage.script.result());
+                assertEquals(abruptly ? Result.RESET : Result.OK, fixture.balancer.nextResult());
                 assertEquals(abruptly ? 502 : 200, caller.read().status());
             }
         }
@@ -283,16 +283,16 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aCallerCanTellThatAnAnswerIsNotWhole(boolean chunked) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             String whole = chunked ? chunked(BODY) : BODY;
             upstream.write(okHead(chunked) + whole.substring(0, HALF));
             head(caller);
             upstream.close();
-            assertEquals(Result.RESET, stage.script.result());
+            assertEquals(Result.RESET, fixture.balancer.nextResult());
             assertThrows(IOException.class, () -> {
                 if (chunked) {
                     unchunked(caller);
@@ -300,16 +300,16 @@
                     throw new IOException("the end came too soon");
                 }
             });
-            assertTrue(stage.node.stats().contains("edge_proxy.error.look-up=1\n"), stage.node.stats());
+            assertTrue(fixture.node.stats().contains("edge_proxy.error.look-up=1\n"), fixture.node.stats());
         }
     }
 
     @Test
     void anUpstreamIsReadNoFasterThanTheCallerReads() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             String piece = "x".repeat(1 << 20);
             CompletableFuture<Void> written = CompletableFuture.runAsync(() -> {
@@ -325,7 +325,7 @@
             // Were the answer taken into memory, it would be out at once.
             assertThrows(TimeoutException.class, () -> written.get(1, TimeUnit.SECONDS));
             caller.close();
-            assertTrue(upstream.ended());
+            assertTrue(upstream.awaitClose());
         }
     }
 }
--- a/src/test/java/cranedeal/node/LateLookTest.java
+++ b/src/test/java/cranedeal/node/LateLookTest.java
@@ -25,7 +25,7 @@
     private void holdUp() {
         held.countDown();
         try {
-            assertTrue(goOn.await(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(goOn.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             Thread.sleep(HELD_UP_MS);
         } catch (InterruptedException e) {
             throw new AssertionError(e);
@@ -33,74 +33,74 @@
     }
 
     private void awaitHeldUp() throws InterruptedException {
-        assertTrue(held.await(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(held.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     @Test
     void aRequestThatIsReadAfterItsCallerHasLeftIsNotSentOn() throws Exception {
-        try (Stage stage = new Stage().start()) {
+        try (NodeFixture fixture = new NodeFixture().start()) {
             AtomicBoolean first = new AtomicBoolean(true);
-            stage.script.onRequest = request -> {
+            fixture.balancer.onRequest = request -> {
                 if (first.getAndSet(false)) {
                     holdUp();
                 }
-                stage.script.sendTo(0, request, 0);
+                fixture.balancer.sendTo(0, request, 0);
             };
             // Both are with the node when it is held up, so it reads them in one round.
-            Peer gone = stage.caller();
-            Peer after = stage.caller();
-            for (Peer caller : List.of(gone, after)) {
-                caller.write(Stage.HEALTH);
+            HttpPeer gone = fixture.caller();
+            HttpPeer after = fixture.caller();
+            for (HttpPeer caller : List.of(gone, after)) {
+                caller.write(NodeFixture.HEALTH);
                 assertEquals(200, caller.read().status());
             }
-            Peer stays = stage.caller();
-            stays.write(Stage.get("holds", "10"));
+            HttpPeer stays = fixture.caller();
+            stays.write(NodeFixture.get("holds", "10"));
             awaitHeldUp();
-            gone.write(Stage.get("gone", "10"));
+            gone.write(NodeFixture.get("gone", "10"));
             gone.close();
-            after.write(Stage.get("after", "10"));
+            after.write(NodeFixture.get("after", "10"));
             goOn.countDown();
-            serve(stage, "holds");
+            serve(fixture, "holds");
             assertEquals(200, stays.read().status());
-            serve(stage, "after");
+            serve(fixture, "after");
             assertEquals(200, after.read().status());
         }
     }
 
     /** Takes the next request that is sent on, which must be the one given. */
-    private static void serve(Stage stage, String id) throws Exception {
-        Peer upstream = stage.upstreams.get(0).accept();
+    private static void serve(NodeFixture fixture, String id) throws Exception {
+        HttpPeer upstream = fixture.upstreams.get(0).accept();
         assertEquals(id, upstream.read().header("X-Txn"));
-        upstream.write(Stage.ok("done"));
+        upstream.write(NodeFixture.ok("done"));
     }
 
     @Test
     void anAttemptThatFailedIsNotFollowedByAnotherOnceItsCallerHasLeft() throws Exception {
-        try (Stage stage = new Stage(2)) {
+        try (NodeFixture fixture = new NodeFixture(2)) {
             Request[] asked = new Request[1];
-            stage.script.onRequest = request -> {
+            fixture.balancer.onRequest = request -> {
                 asked[0] = request;
-                stage.script.sendTo(0, request, 0);
+                fixture.balancer.sendTo(0, request, 0);
             };
-            stage.script.onOpen = (to, outcome) -> {
+            fixture.balancer.onOpenOutcome = (to, outcome) -> {
                 holdUp();
-                stage.script.sendTo(1, asked[0], 0);
+                fixture.balancer.sendTo(1, asked[0], 0);
             };
-            stage.start();
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+            fixture.start();
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.reset();
             awaitHeldUp();
             caller.close();
             goOn.countDown();
             // The second attempt is over without having begun, and nobody waits any more.
-            Script.next(stage.script.outcomes);
-            assertTrue(Script.next(stage.script.outcomes).requestClosed());
-            stage.script.onRequest = request -> stage.script.sendTo(1, request, 0);
-            stage.caller().write(Stage.get("2", "10"));
-            assertEquals("2", stage.upstreams.get(1).accept().read().header("X-Txn"));
+            ScriptedBalancer.next(fixture.balancer.outcomes);
+            assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
+            fixture.caller().write(NodeFixture.get("2", "10"));
+            assertEquals("2", fixture.upstreams.get(1).accept().read().header("X-Txn"));
         }
     }
 }
--- a/src/test/java/cranedeal/node/LateLoopTest.java
+++ b/src/test/java/cranedeal/node/LateLoopTest.java
@@ -28,73 +28,73 @@
 
     @Test
     void anAnswerThatHasComeIsNoTimeoutHoweverLateItIsRead() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = keptConnection(stage, caller);
-            stage.script.onRequest = request -> {
-                stage.script.sendTo(0, request, TIMEOUT_MS);
-                awaitUnread(stage.upstreams.get(0), TIMEOUT_MS);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = keptConnection(fixture, caller);
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.sendTo(0, request, TIMEOUT_MS);
+                awaitUnread(fixture.upstreams.get(0), TIMEOUT_MS);
             };
-            caller.write(Stage.get("2", "10"));
+            caller.write(NodeFixture.get("2", "10"));
             upstream.read();
-            upstream.write(Stage.ok("second"));
-            assertEquals(Result.OK, stage.script.result());
+            upstream.write(NodeFixture.ok("second"));
+            assertEquals(Result.OK, fixture.balancer.nextResult());
             assertEquals("second", caller.read().body());
         }
     }
 
     @Test
     void theModuleHearsOfAnAnswerThatHasComeBeforeATimerOfItsRequest() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = keptConnection(stage, caller);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = keptConnection(fixture, caller);
             LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-            stage.script.onOutcome = outcome -> told.add("outcome");
-            stage.script.onTimer = () -> told.add("timer");
-            stage.script.onRequest = request -> {
-                stage.script.sendTo(0, request, 0);
-                stage.script.actions.setTimer(1, request.deadline() - PATIENCE_S * 1_000 + TIMEOUT_MS);
-                awaitUnread(stage.upstreams.get(0), TIMEOUT_MS);
+            fixture.balancer.onOutcome = outcome -> told.add("outcome");
+            fixture.balancer.onTimer = () -> told.add("timer");
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.sendTo(0, request, 0);
+                fixture.balancer.actions.setTimer(1, request.deadline() - PATIENCE_S * 1_000 + TIMEOUT_MS);
+                awaitUnread(fixture.upstreams.get(0), TIMEOUT_MS);
             };
-            caller.write(Stage.get("2", Integer.toString(PATIENCE_S)));
+            caller.write(NodeFixture.get("2", Integer.toString(PATIENCE_S)));
             upstream.read();
-            upstream.write(Stage.ok("second"));
-            assertEquals("outcome", Script.next(told));
-            assertEquals("timer", Script.next(told));
+            upstream.write(NodeFixture.ok("second"));
+            assertEquals("outcome", ScriptedBalancer.next(told));
+            assertEquals("timer", ScriptedBalancer.next(told));
             assertEquals("second", caller.read().body());
         }
     }
 
     @Test
     void answersThatHaveComeAreTakenBeforeTheCallersThatCameMeanwhile() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer other = stage.caller();
-            stage.settle();
-            Peer upstream = keptConnection(stage, caller);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer other = fixture.caller();
+            fixture.awaitReads();
+            HttpPeer upstream = keptConnection(fixture, caller);
             LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
             CountDownLatch held = new CountDownLatch(1);
-            stage.script.onOutcome = outcome -> told.add("outcome");
-            stage.script.onRequest = request -> {
+            fixture.balancer.onOutcome = outcome -> told.add("outcome");
+            fixture.balancer.onRequest = request -> {
                 told.add("request");
                 if (held.getCount() == 0) {
-                    stage.script.actions.refuse(request.id(), 0);
+                    fixture.balancer.actions.refuse(request.id(), 0);
                     return;
                 }
-                stage.script.sendTo(0, request, 0);
+                fixture.balancer.sendTo(0, request, 0);
                 held.countDown();
-                awaitUnread(stage.upstreams.get(0), LOOKED_AT_MS);
+                awaitUnread(fixture.upstreams.get(0), LOOKED_AT_MS);
             };
-            caller.write(Stage.get("2", "10"));
+            caller.write(NodeFixture.get("2", "10"));
             upstream.read();
             held.await();
             // The kernel tells of the second caller first, as that came first.
-            other.write(Stage.get("3", "10"));
-            awaitUnread(stage.node.address().getPort(), true);
-            upstream.write(Stage.ok("second"));
-            assertEquals("request", Script.next(told));
-            assertEquals("outcome", Script.next(told));
-            assertEquals("request", Script.next(told));
+            other.write(NodeFixture.get("3", "10"));
+            awaitUnread(fixture.node.address().getPort(), true);
+            upstream.write(NodeFixture.ok("second"));
+            assertEquals("request", ScriptedBalancer.next(told));
+            assertEquals("outcome", ScriptedBalancer.next(told));
+            assertEquals("request", ScriptedBalancer.next(told));
             assertEquals("second", caller.read().body());
             assertEquals(503, other.read().status());
         }
@@ -108,22 +108,22 @@
      */
     @Test
     void aConnectionThatHasComeUpIsNoFailedConnectHoweverLateThatIsSeen() throws Exception {
-        try (Stage stage = new Stage(2).start()) {
-            Peer caller = stage.caller();
-            Peer upstream = keptConnection(stage, caller);
+        try (NodeFixture fixture = new NodeFixture(2).start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = keptConnection(fixture, caller);
             // The second attempt begins, and the loop is busy, within a look at the sockets.
-            stage.script.onOpen = (to, outcome) -> {
-                to.send(outcome.requestId(), stage.script.upstreams.get(1).id(), TIMEOUT_MS);
+            fixture.balancer.onOpenOutcome = (to, outcome) -> {
+                to.send(outcome.requestId(), fixture.balancer.upstreams.get(1).id(), TIMEOUT_MS);
                 spin(2 * TIMEOUT_MS);
             };
-            caller.write(Stage.get("2", "10"));
+            caller.write(NodeFixture.get("2", "10"));
             upstream.read();
             upstream.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Result.ERROR, stage.script.result());
-            Peer other = stage.upstreams.get(1).accept();
+            assertEquals(Result.ERROR, fixture.balancer.nextResult());
+            HttpPeer other = fixture.upstreams.get(1).accept();
             other.read();
-            other.write(Stage.ok("second"));
-            assertEquals(Result.OK, stage.script.result());
+            other.write(NodeFixture.ok("second"));
+            assertEquals(Result.OK, fixture.balancer.nextResult());
             assertEquals("second", caller.read().body());
         }
     }
@@ -134,25 +134,25 @@
      */
     @Test
     void theTimeThatAnUpstreamIsToldLeavesOutWhatARequestHasLainUnread() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer other = stage.caller();
-            for (Peer each : new Peer[] {caller, other}) {
-                each.write(Stage.HEALTH);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer other = fixture.caller();
+            for (HttpPeer each : new HttpPeer[] {caller, other}) {
+                each.write(NodeFixture.HEALTH);
                 each.read();
             }
             CountDownLatch held = new CountDownLatch(1);
-            stage.script.onRequest = request -> {
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.onRequest = next -> stage.script.sendTo(0, next, 0);
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.actions.refuse(request.id(), 0);
+                fixture.balancer.onRequest = next -> fixture.balancer.sendTo(0, next, 0);
                 held.countDown();
-                awaitUnread(stage.node.address().getPort(), true);
+                awaitUnread(fixture.node.address().getPort(), true);
                 spin(TIMEOUT_MS);
             };
-            caller.write(Stage.get("1", "10"));
+            caller.write(NodeFixture.get("1", "10"));
             held.await();
-            other.write(Stage.get("2", "3"));
-            double told = Double.parseDouble(stage.upstreams.get(0).accept().read().header("X-Remaining"));
+            other.write(NodeFixture.get("2", "3"));
+            double told = Double.parseDouble(fixture.upstreams.get(0).accept().read().header("X-Remaining"));
             assertTrue(told * 1_000 <= 3_000 - TIMEOUT_MS + TOLD_SLACK_MS, () -> "told of " + told + " s");
         }
     }
@@ -163,31 +163,31 @@
      */
     @Test
     void anAnswerThatHasComeIsNoTimeoutWhereTheTimerComesBeforeTheNextLook() throws Exception {
-        try (Stage stage = new Stage(2).start()) {
+        try (NodeFixture fixture = new NodeFixture(2).start()) {
             CountDownLatch held = new CountDownLatch(1);
             AtomicInteger sent = new AtomicInteger();
-            stage.script.onRequest = request -> {
+            fixture.balancer.onRequest = request -> {
                 int place = sent.getAndIncrement();
-                stage.script.sendTo(place, request, place == 0 ? 2 * TIMEOUT_MS : 0);
+                fixture.balancer.sendTo(place, request, place == 0 ? 2 * TIMEOUT_MS : 0);
             };
-            stage.script.onOutcome = outcome -> {
+            fixture.balancer.onOutcome = outcome -> {
                 if (held.getCount() > 0) {
                     held.countDown();
-                    awaitUnread(stage.upstreams.get(0), 3 * TIMEOUT_MS);
+                    awaitUnread(fixture.upstreams.get(0), 3 * TIMEOUT_MS);
                 }
             };
-            Peer[] callers = {stage.caller(), stage.caller()};
-            Peer[] upstreams = new Peer[2];
+            HttpPeer[] callers = {fixture.caller(), fixture.caller()};
+            HttpPeer[] upstreams = new HttpPeer[2];
             for (int i = 0; i < upstreams.length; i++) {
-                callers[i].write(Stage.get(Integer.toString(i), Integer.toString(PATIENCE_S)));
-                upstreams[i] = stage.upstreams.get(i).accept();
+                callers[i].write(NodeFixture.get(Integer.toString(i), Integer.toString(PATIENCE_S)));
+                upstreams[i] = fixture.upstreams.get(i).accept();
                 upstreams[i].read();
             }
-            upstreams[1].write(Stage.ok("second"));
+            upstreams[1].write(NodeFixture.ok("second"));
             held.await();
-            upstreams[0].write(Stage.ok("first"));
-            assertEquals(Result.OK, stage.script.result());
-            assertEquals(Result.OK, stage.script.result());
+            upstreams[0].write(NodeFixture.ok("first"));
+            assertEquals(Result.OK, fixture.balancer.nextResult());
+            assertEquals(Result.OK, fixture.balancer.nextResult());
             assertEquals("first", callers[0].read().body());
         }
     }
@@ -198,36 +198,36 @@
      */
     @Test
     void theModuleHearsOfAnswersThatHaveComeBeforeATimerOfAnotherRequest() throws Exception {
-        try (Stage stage = new Stage(2).start()) {
+        try (NodeFixture fixture = new NodeFixture(2).start()) {
             LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
             CountDownLatch held = new CountDownLatch(1);
             List<LoadBalancer.Request> requests = new CopyOnWriteArrayList<>();
-            stage.script.onRequest = request -> {
-                stage.script.sendTo(requests.size(), request, 0);
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.sendTo(requests.size(), request, 0);
                 requests.add(request);
             };
-            stage.script.onTimer = () -> told.add("timer");
-            stage.script.onOutcome = outcome -> {
+            fixture.balancer.onTimer = () -> told.add("timer");
+            fixture.balancer.onOutcome = outcome -> {
                 told.add("outcome " + outcome.requestId());
                 if (held.getCount() > 0) {
                     LoadBalancer.Request second = requests.get(1);
-                    stage.script.actions.setTimer(1, second.deadline() - PATIENCE_S * 1_000 + TIMEOUT_MS);
+                    fixture.balancer.actions.setTimer(1, second.deadline() - PATIENCE_S * 1_000 + TIMEOUT_MS);
                     held.countDown();
-                    awaitUnread(stage.upstreams.get(0), 2 * TIMEOUT_MS);
+                    awaitUnread(fixture.upstreams.get(0), 2 * TIMEOUT_MS);
                 }
             };
-            Peer[] upstreams = new Peer[2];
+            HttpPeer[] upstreams = new HttpPeer[2];
             for (int i = 0; i < upstreams.length; i++) {
-                stage.caller().write(Stage.get(Integer.toString(i), Integer.toString(PATIENCE_S)));
-                upstreams[i] = stage.upstreams.get(i).accept();
+                fixture.caller().write(NodeFixture.get(Integer.toString(i), Integer.toString(PATIENCE_S)));
+                upstreams[i] = fixture.upstreams.get(i).accept();
                 upstreams[i].read();
             }
-            upstreams[1].write(Stage.ok("second"));
+            upstreams[1].write(NodeFixture.ok("second"));
             held.await();
-            upstreams[0].write(Stage.ok("first"));
-            assertEquals("outcome " + requests.get(1).id(), Script.next(told));
-            assertEquals("outcome " + requests.get(0).id(), Script.next(told));
-            assertEquals("timer", Script.next(told));
+            upstreams[0].write(NodeFixture.ok("first"));
+            assertEquals("outcome " + requests.get(1).id(), ScriptedBalancer.next(told));
+            assertEquals("outcome " + requests.get(0).id(), ScriptedBalancer.next(told));
+            assertEquals("timer", ScriptedBalancer.next(told));
         }
     }
 
@@ -241,36 +241,36 @@
     /** An answer lies unread while the loop is busy: that is no time of its upstream's. */
     @Test
     void whatAnAnswerHasLainUnreadIsNoTimeOfItsUpstream() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = keptConnection(stage, caller);
-            stage.script.onRequest = request -> {
-                stage.script.sendTo(0, request, 0);
-                awaitUnread(stage.upstreams.get(0), TIMEOUT_MS);
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = keptConnection(fixture, caller);
+            fixture.balancer.onRequest = request -> {
+                fixture.balancer.sendTo(0, request, 0);
+                awaitUnread(fixture.upstreams.get(0), TIMEOUT_MS);
             };
-            caller.write(Stage.get("2", "10"));
+            caller.write(NodeFixture.get("2", "10"));
             upstream.read();
-            upstream.write(Stage.ok("second"));
-            double elapsed = Script.next(stage.script.outcomes).elapsed();
+            upstream.write(NodeFixture.ok("second"));
+            double elapsed = ScriptedBalancer.next(fixture.balancer.outcomes).elapsed();
             assertTrue(elapsed < TIMEOUT_MS / 2, () -> elapsed + " ms");
         }
     }
 
     /** Brings it about that a request is out before the call that sends it returns. */
-    private static Peer keptConnection(Stage stage, Peer caller) throws Exception {
-        caller.write(Stage.get("1", "10"));
-        Peer upstream = stage.upstreams.get(0).accept();
+    private static HttpPeer keptConnection(NodeFixture fixture, HttpPeer caller) throws Exception {
+        caller.write(NodeFixture.get("1", "10"));
+        HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
-        upstream.write(Stage.ok("first"));
+        upstream.write(NodeFixture.ok("first"));
         assertEquals("first", caller.read().body());
-        assertEquals(Result.OK, stage.script.result());
+        assertEquals(Result.OK, fixture.balancer.nextResult());
         // The script queues an outcome before it calls what a test may set next.
-        stage.settle();
+        fixture.awaitReads();
         return upstream;
     }
 
     /** Holds the loop until the kernel has bytes of an upstream that nobody has read, and a time is over. */
-    private static void awaitUnread(Listener upstream, double atLeastMs) {
+    private static void awaitUnread(TestServer upstream, double atLeastMs) {
         long start = System.nanoTime();
         String address = upstream.address();
         awaitUnread(Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)), false);
--- a/src/test/java/cranedeal/node/LateRequestTest.java
+++ b/src/test/java/cranedeal/node/LateRequestTest.java
@@ -21,28 +21,28 @@
 
     @Test
     void requestsAfterSigtermAreAnsweredWhereUpstreamsHang() throws Exception {
-        try (Stage stage = new Stage(); Served served = new Served(stage)) {
-            Peer.toServing(served.address, served.process);
-            List<Peer> callers = new ArrayList<>();
+        try (NodeFixture fixture = new NodeFixture(); NodeProcess node = new NodeProcess(fixture)) {
+            HttpPeer.connectWhenServing(node.address, node.process);
+            List<HttpPeer> callers = new ArrayList<>();
             for (int i = 0; i < CALLERS; i++) {
-                Peer caller = Peer.to(served.address);
-                caller.write(Stage.HEALTH);
+                HttpPeer caller = HttpPeer.connect(node.address);
+                caller.write(NodeFixture.HEALTH);
                 assertEquals(200, caller.read().status());
                 callers.add(caller);
             }
             // Nobody reads from the upstream's connections.
-            served.process.destroy();
+            node.process.destroy();
             for (int i = 0; i < CALLERS; i++) {
                 TimeUnit.MILLISECONDS.sleep(GAP_MS);
-                callers.get(i).write(Stage.get("late" + i, "10"));
+                callers.get(i).write(NodeFixture.get("late" + i, "10"));
             }
             for (int i = 0; i < CALLERS; i++) {
-                Peer.Message answer = callers.get(i).read();
+                HttpPeer.Message answer = callers.get(i).read();
                 assertNotNull(answer, "request " + i + " has no answer");
-                assertTrue(answer.status() >= 500, answer.first());
+                assertTrue(answer.status() >= 500, answer.firstLine());
                 assertNull(callers.get(i).read(), "its connection ends in order");
             }
-            served.endsByItself();
+            node.assertTerminated();
         }
     }
 }
--- a/src/test/java/cranedeal/node/ListBenchmark.java
+++ b/src/test/java/cranedeal/node/ListBenchmark.java
@@ -43,7 +43,7 @@
 
     /** A whole list. */
     static String list(int size) {
-        return Stage.roster(41, true, IntStream.range(0, size).mapToObj(i -> entry(i, "up", 0))
+        return NodeFixture.listJson(41, true, IntStream.range(0, size).mapToObj(i -> entry(i, "up", 0))
                 .toArray(String[]::new));
     }
 
@@ -79,8 +79,8 @@
             UpstreamList roster = parse(whole);
             LoadBalancer balancer = module(ChainSettings.of(0, 1, 0, 1), size);
             LoadBalancer other = module(ChainSettings.of(0, 1, 0, 1), size);
-            byte[] changed = bytes(Stage.roster(42, false, entry(1, "draining", 0)));
-            byte[] back = bytes(Stage.roster(43, false, entry(1, "up", 0)));
+            byte[] changed = bytes(NodeFixture.listJson(42, false, entry(1, "draining", 0)));
+            byte[] back = bytes(NodeFixture.listJson(43, false, entry(1, "up", 0)));
             boolean[] drains = {false};
             parseAll.put(size, () -> parse(whole));
             takeAll.put(size, () -> {
--- a/src/test/java/cranedeal/node/MessageFormsTest.java
+++ b/src/test/java/cranedeal/node/MessageFormsTest.java
@@ -21,7 +21,7 @@
     private static final String SPEND = "\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\n";
 
     /** Writes a message in one piece, byte by byte, or in pieces that a seed cuts. */
-    private static void write(Peer peer, String text, long seed) throws IOException {
+    private static void write(HttpPeer peer, String text, long seed) throws IOException {
         Random random = new Random(seed);
         int longest = seed == 0 ? text.length() : seed == 1 ? 1 : 20;
         for (int from = 0; from < text.length();) {
@@ -49,16 +49,16 @@
         "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 0" + LOOK_UP + "\r\n",
         "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nKeep-Alive: timeout=5" + LOOK_UP + "\r\n"})
     void aRequestMeansTheSameInEveryForm(String request) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = null;
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = null;
             for (long seed = 0; seed < 5; seed++) {
                 write(caller, request, seed);
-                upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
-                Peer.Message came = upstream.read();
-                assertEquals("GET /look-up/7?z=3 HTTP/1.1", came.first());
+                upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
+                HttpPeer.Message came = upstream.read();
+                assertEquals("GET /look-up/7?z=3 HTTP/1.1", came.firstLine());
                 assertEquals("1", came.header("X-Txn"));
-                upstream.write(Stage.ok("served" + seed));
+                upstream.write(NodeFixture.ok("served" + seed));
                 assertEquals("served" + seed, caller.read().body());
             }
         }
@@ -77,16 +77,16 @@
         "Transfer-Encoding: chunked" + SPEND
                 + "\r\n1\r\nh\r\n1\r\ne\r\n1\r\nl\r\n1\r\nl\r\n1\r\no\r\n6\r\n world\r\n0\r\n\r\n"})
     void aBodyMeansTheSameInEveryForm(String rest) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = null;
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = null;
             for (long seed = 0; seed < 5; seed++) {
                 write(caller, "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\n" + rest, seed);
-                upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
-                Peer.Message came = upstream.read();
+                upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
+                HttpPeer.Message came = upstream.read();
                 assertEquals("11", came.header("Content-Length"));
                 assertEquals("hello world", came.body());
-                upstream.write(Stage.ok("served" + seed));
+                upstream.write(NodeFixture.ok("served" + seed));
                 assertEquals("served" + seed, caller.read().body());
             }
         }
@@ -94,16 +94,17 @@
 
     @Test
     void whoeverWaitsToBeToldToGoOnIsToldSo() throws Exception {
-        try (Stage stage = new Stage().start()) {
+        try (NodeFixture fixture = new NodeFixture().start()) {
             for (String framing : new String[] {"Content-Length: 5", "Transfer-Encoding: chunked"}) {
-                Peer caller = stage.caller();
+                HttpPeer caller = fixture.caller();
                 caller.write("POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nexpect: 100-Continue\r\n"
                         + framing + SPEND + "\r\n");
                 assertEquals(100, caller.read().status());
                 caller.write(framing.startsWith("C") ? "hello" : "5\r\nhello\r\n0\r\n\r\n");
-                Peer upstream = stage.upstreams.get(0).accept();
+                HttpPeer upstream = fixture.upstreams.get(0).accept();
                 assertEquals("hello", upstream.read().body());
-                upstream.write(Stage.ok("served").replace("200 OK\r\n", "200 OK\r\nConnection: close\r\n"));
+                upstream.write(NodeFixture.ok("served").replace("200 OK\r\n",
+                        "200 OK\r\nConnection: close\r\n"));
                 assertEquals("served", caller.read().body());
             }
         }
@@ -111,28 +112,28 @@
 
     @Test
     void manyRequestsInOnePieceOrCutAnywhereAreAnsweredInTheirOrder() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.upstreams.get(0).each(peer -> {
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.upstreams.get(0).serveEach(peer -> {
                 try {
-                    for (Peer.Message request = peer.read(); request != null; request = peer.read()) {
-                        peer.write(Stage.ok(request.header("X-Txn") + request.body()));
+                    for (HttpPeer.Message request = peer.read(); request != null; request = peer.read()) {
+                        peer.write(NodeFixture.ok(request.header("X-Txn") + request.body()));
                     }
                 } catch (IOException e) {
                     // The node has closed it.
                 }
             });
             for (long seed = 0; seed < 12; seed++) {
-                Peer caller = stage.caller();
+                HttpPeer caller = fixture.caller();
                 List<String> expected = new ArrayList<>();
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 8; i++) {
                     String id = "s" + seed + "r" + i;
                     all.append(switch (i % 4) {
-                        case 0 -> Stage.get(id, "10");
-                        case 1 -> Stage.spend(id, "body");
+                        case 0 -> NodeFixture.get(id, "10");
+                        case 1 -> NodeFixture.spend(id, "body");
                         case 2 -> "POST /credit-spend HTTP/1.1\r\nhost: app.svc\r\ntransfer-encoding: chunked"
                                 + SPEND.replace("X-Txn: 1", "x-txn: " + id) + "\r\n4\r\nbody\r\n0\r\n\r\n";
-                        default -> Stage.order(id);
+                        default -> NodeFixture.order(id);
                     });
                     expected.add(id + (i % 4 == 1 || i % 4 == 2 ? "body" : ""));
                 }
@@ -161,18 +162,18 @@
         "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nConnection: Keep-Alive\r\nContent-Length: 6\r\n\r\n"
                 + "served"})
     void anAnswerMeansTheSameInEveryForm(String answer) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = null;
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = null;
             for (long seed = 0; seed < 5; seed++) {
-                caller.write(Stage.spend("r" + seed, "x"));
-                upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
+                caller.write(NodeFixture.spend("r" + seed, "x"));
+                upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
                 assertEquals("r" + seed, upstream.read().header("X-Txn"));
                 write(upstream, answer, seed);
-                Peer.Message message = caller.read();
+                HttpPeer.Message message = caller.read();
                 assertEquals(200, message.status());
                 assertEquals("served", message.body());
-                assertEquals(Result.OK, stage.script.result());
+                assertEquals(Result.OK, fixture.balancer.nextResult());
             }
         }
     }
@@ -184,15 +185,15 @@
         "HTTP/1.1 503 Busy\r\nX-Note: a,\r\n b\r\nX-Turned-Away: 1\r\nContent-Length: 2\r\n\r\nno",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\nX-Turned-Away: \t1 \r\nContent-Length: 0\r\n\r\n"})
     void whoTurnsARequestAwayIsUnderstoodInEveryForm(String answer) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = null;
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            HttpPeer upstream = null;
             for (long seed = 0; seed < 3; seed++) {
-                caller.write(Stage.spend("r" + seed, "x"));
-                upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
+                caller.write(NodeFixture.spend("r" + seed, "x"));
+                upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
                 assertEquals("r" + seed, upstream.read().header("X-Txn"));
                 write(upstream, answer, seed);
-                assertEquals(Result.FULL, stage.script.result());
+                assertEquals(Result.FULL, fixture.balancer.nextResult());
                 assertTrue(caller.read().status() >= 500);
             }
         }
--- a/src/test/java/cranedeal/node/Stage.java
+++ b/src/test/java/cranedeal/node/NodeFixture.java
@@ -9,64 +9,64 @@
 import java.util.function.Function;
 
 /** A node on loopback addresses between listeners that the test plays upstreams and discovery on. */
-final class Stage implements AutoCloseable {
+final class NodeFixture implements AutoCloseable {
 
     /** What the front asks. */
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-    final Script script = new Script();
-    final Listener discovery = new Listener();
-    final List<Listener> upstreams = new ArrayList<>();
-    private final List<Peer> callers = new ArrayList<>();
+    final ScriptedBalancer balancer = new ScriptedBalancer();
+    final TestServer discovery = new TestServer();
+    final List<TestServer> upstreams = new ArrayList<>();
+    private final List<HttpPeer> callers = new ArrayList<>();
     /** Settings that a test may change before it starts the node. */
     int sockets = 1_024;
     int connectTimeout = 3_000;
     int drainGrace = 2_000;
     /** For how long repeats of a keyed request are dropped. */
-    int memory = 4_000;
+    int dedupWindowMs = 4_000;
     /** Whether lists come on their own. */
-    boolean pushed;
+    boolean pushLists;
     /** Whether operators have a door. */
-    boolean door;
+    boolean adminEnabled;
     /** Where the node keeps what must outlast it; null for nowhere. */
     Path stateDir;
     /** What the processes of an upgrade share. */
-    Path folder;
+    Path upgradeDir;
     Node node;
 
-    Stage() throws IOException {
+    NodeFixture() throws IOException {
         this(1);
     }
 
-    Stage(int count) throws IOException {
+    NodeFixture(int count) throws IOException {
         for (int i = 0; i < count; i++) {
-            upstreams.add(new Listener());
+            upstreams.add(new TestServer());
         }
     }
 
     /** Starts the node with the scripted module. */
-    Stage start() throws Exception {
-        return start(script::with);
+    NodeFixture start() throws Exception {
+        return start(balancer::attach);
     }
 
-    Stage start(Function<LoadBalancer.Actions, LoadBalancer> module) throws Exception {
+    NodeFixture start(Function<LoadBalancer.Actions, LoadBalancer> module) throws Exception {
         Path file = Files.createTempFile("node", ".json");
         try {
             Files.writeString(file, config());
-            node = Node.start(NodeConfig.read(file.toString()), folder, module);
+            node = Node.start(NodeConfig.read(file.toString()), upgradeDir, module);
         } finally {
             Files.delete(file);
         }
         return this;
     }
 
-    static String entry(int number, String address, String state) {
+    static String listEntry(int number, String address, String state) {
         return """
                 {"id":"s-%08x","addr":"%s","zone":"dakar-a","kind":"front-mid","cell":%d,"state":"%s",
                  "weight":1.0,"started_ms":0}""".formatted(number, address, number, state);
     }
 
-    static String roster(long version, boolean full, String... entries) {
+    static String listJson(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full,
                 String.join(",", entries));
     }
@@ -74,7 +74,7 @@
     String config() {
         String[] entries = new String[upstreams.size()];
         for (int i = 0; i < entries.length; i++) {
-            entries[i] = entry(i, upstreams.get(i).address(), "up");
+            entries[i] = listEntry(i, upstreams.get(i).address(), "up");
         }
         return """
                 {"name":"n0",%s%s"listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -99,34 +99,35 @@
                  "goal":{"whole":0.55,"worstWindow":0.15,"worstClass":0.3,"worstTenant":0.0},
                  "prices":{"crossZone":0.22,"probe":0.01,"waste":0.2,"lateFail":0.03,"connection":0.0,
                   "handshake":0.0,"peer":0.0,"registryMode":0.0}}}
-                """.formatted(door ? "\"admin_addr\":\"127.0.0.1:0\"," : "",
+                """.formatted(adminEnabled ? "\"admin_addr\":\"127.0.0.1:0\"," : "",
                         stateDir == null ? "" : "\"state_dir\":\"" + stateDir + "\",", discovery.address(),
-                        sockets, roster(41, true, entries), pushed ? "automatic" : "subscribe", memory,
+                        sockets, listJson(41, true, entries), pushLists ? "automatic" : "subscribe",
+                        dedupWindowMs,
                         connectTimeout, drainGrace);
     }
 
     /** A new connection of a caller. */
-    Peer caller() throws IOException {
-        Peer caller = Peer.to(node.address());
+    HttpPeer caller() throws IOException {
+        HttpPeer caller = HttpPeer.connect(node.address());
         callers.add(caller);
         return caller;
     }
 
     /** Answers the node's first watch with a whole list, and returns the watch. */
-    Peer tell(String... entries) throws Exception {
-        Script.next(script.changes);
-        Peer watch = discovery.accept();
+    HttpPeer sendList(String... entries) throws Exception {
+        ScriptedBalancer.next(balancer.changes);
+        HttpPeer watch = discovery.accept();
         watch.read();
-        watch.write(ok(roster(42, true, entries)));
-        if (Script.next(script.changes) != LoadBalancer.Change.FULL) {
+        watch.write(ok(listJson(42, true, entries)));
+        if (ScriptedBalancer.next(balancer.changes) != LoadBalancer.Change.FULL) {
             throw new AssertionError("the list was not taken");
         }
         return watch;
     }
 
     /** Waits until the node has read all that callers have written to it so far. */
-    void settle() throws IOException {
-        Peer other = caller();
+    void awaitReads() throws IOException {
+        HttpPeer other = caller();
         other.write(HEALTH);
         other.read();
     }
@@ -140,7 +141,7 @@
 
     /** An operator's call; the status of its answer. */
     int order(String method, String path) throws IOException {
-        try (Peer operator = Peer.to(node.adminAddress())) {
+        try (HttpPeer operator = HttpPeer.connect(node.adminAddress())) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
         }
@@ -164,13 +165,13 @@
     }
 
     /** Serves a request and asserts that the caller has its answer: the node is well. */
-    void servesStill() throws Exception {
-        Peer caller = caller();
+    void assertServes() throws Exception {
+        HttpPeer caller = caller();
         caller.write(get("still", "10"));
-        Peer upstream = upstreams.get(0).accept();
+        HttpPeer upstream = upstreams.get(0).accept();
         upstream.read();
         upstream.write(ok("well"));
-        Peer.Message answer = caller.read();
+        HttpPeer.Message answer = caller.read();
         if (answer == null || answer.status() != 200 || !answer.body().equals("well")) {
             throw new AssertionError("not served: " + answer);
         }
@@ -178,13 +179,13 @@
 
     @Override
     public void close() throws IOException {
-        for (Peer caller : callers) {
+        for (HttpPeer caller : callers) {
             caller.close();
         }
         if (node != null) {
             node.shutdownNow();
         }
-        for (Listener upstream : upstreams) {
+        for (TestServer upstream : upstreams) {
             upstream.close();
         }
         discovery.close();
