--- a/src/test/java/cranedeal/node/NodeMetricsTest.java
+++ b/src/test/java/cranedeal/node/NodeMetricsTest.java
@@ -13,27 +13,27 @@
 @Timeout(60)
 class NodeMetricsTest {
 
-    private static Map<String, Long> read(Stage stage) {
-        return stage.node.stats().lines().map(line -> line.split("="))
+    private static Map<String, Long> read(NodeFixture fixture) {
+        return fixture.node.stats().lines().map(line -> line.split("="))
                 .collect(Collectors.toMap(pair -> pair[0], pair -> Long.parseLong(pair[1])));
     }
 
-    private static void assertFigure(long expected, Stage stage, String name) {
-        assertEquals(expected, read(stage).get("edge_proxy." + name), name);
+    private static void assertFigure(long expected, NodeFixture fixture, String name) {
+        assertEquals(expected, read(fixture).get("edge_proxy." + name), name);
     }
 
     /** Waits until the caller's event has reached the node. */
-    private static void await(long expected, Stage stage, String name) throws InterruptedException {
-        for (int i = 0; i < Peer.PATIENCE_MS && read(stage).get("edge_proxy." + name) != expected; i++) {
+    private static void await(long expected, NodeFixture fixture, String name) throws InterruptedException {
+        for (int i = 0; i < HttpPeer.TIMEOUT_MS && read(fixture).get("edge_proxy." + name) != expected; i++) {
             Thread.sleep(1);
         }
-        assertFigure(expected, stage, name);
+        assertFigure(expected, fixture, name);
     }
 
     @Test
     void allAreShownBeforeTheFirstRequest() throws Exception {
-        try (Stage stage = new Stage(3).start()) {
-            Map<String, Long> figures = read(stage);
+        try (NodeFixture fixture = new NodeFixture(3).start()) {
+            Map<String, Long> figures = read(fixture);
             for (String name : new String[] {"success", "overload", "error"}) {
                 assertEquals(0, figures.get("edge_proxy." + name + ".look-up"));
                 assertEquals(0, figures.get("edge_proxy." + name + ".credit-spend"));
@@ -61,64 +61,64 @@
 
     @Test
     void eachWayInWhichARequestEndsIsCountedForItsClass() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertFigure(1, stage, "concurrent");
-            await(1, stage, "dispatches");
-            upstream.write(Stage.ok("well"));
+            assertFigure(1, fixture, "concurrent");
+            await(1, fixture, "dispatches");
+            upstream.write(NodeFixture.ok("well"));
             assertEquals(200, caller.read().status());
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 0);
-            caller.write(Stage.get("2", "10"));
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
+            caller.write(NodeFixture.get("2", "10"));
             assertEquals(503, caller.read().status());
-            stage.script.onRequest = request -> stage.script.actions.fail(request.id());
-            caller.write(Stage.spend("3", "x"));
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.fail(request.id());
+            caller.write(NodeFixture.spend("3", "x"));
             assertEquals(502, caller.read().status());
-            assertFigure(1, stage, "success.look-up");
-            assertFigure(1, stage, "overload.look-up");
-            assertFigure(0, stage, "error.look-up");
-            assertFigure(1, stage, "error.credit-spend");
-            assertFigure(1, stage, "dispatches");
-            assertFigure(0, stage, "concurrent");
+            assertFigure(1, fixture, "success.look-up");
+            assertFigure(1, fixture, "overload.look-up");
+            assertFigure(0, fixture, "error.look-up");
+            assertFigure(1, fixture, "error.credit-spend");
+            assertFigure(1, fixture, "dispatches");
+            assertFigure(0, fixture, "concurrent");
         }
     }
 
     @Test
     void aRequestWhoseCallerLeavesIsNoLongerConcurrent() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            stage.upstreams.get(0).accept().read();
-            assertFigure(1, stage, "concurrent");
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            fixture.upstreams.get(0).accept().read();
+            assertFigure(1, fixture, "concurrent");
             caller.close();
-            Script.next(stage.script.gone);
-            await(0, stage, "concurrent");
+            ScriptedBalancer.next(fixture.balancer.gone);
+            await(0, fixture, "concurrent");
         }
     }
 
     @Test
     void whatIsNotWrittenWholeIsNoDispatch() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.upstreams.get(0).refuse();
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.upstreams.get(0).refuseConnections();
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
             assertEquals(502, caller.read().status());
-            assertFigure(0, stage, "dispatches");
+            assertFigure(0, fixture, "dispatches");
         }
     }
 
     @Test
     void targetsFollowTheList() throws Exception {
-        try (Stage stage = new Stage(2)) {
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            Peer discovery = stage.discovery.accept();
+        try (NodeFixture fixture = new NodeFixture(2)) {
+            fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
+            fixture.start();
+            HttpPeer discovery = fixture.discovery.accept();
             discovery.read();
-            discovery.write(Stage.ok(Stage.roster(42, false,
-                    Stage.entry(0, stage.upstreams.get(0).address(), "removed"))));
-            await(1, stage, "targets");
+            discovery.write(NodeFixture.ok(NodeFixture.listJson(42, false,
+                    NodeFixture.listEntry(0, fixture.upstreams.get(0).address(), "removed"))));
+            await(1, fixture, "targets");
         }
     }
 }
--- a/src/test/java/cranedeal/node/Served.java
+++ b/src/test/java/cranedeal/node/NodeProcess.java
@@ -12,35 +12,35 @@
 import java.util.concurrent.TimeUnit;
 
 /** The program as a process of its own, with a configuration that can be replaced. */
-final class Served implements AutoCloseable {
+final class NodeProcess implements AutoCloseable {
 
     /** Status of a process that SIGTERM has ended, by the shell's rule: 128 and the signal's number. */
     private static final int TERMINATED = 128 + 15;
 
-    final Stage stage;
+    final NodeFixture fixture;
     final InetSocketAddress address;
     final Process process;
     final Path file = Files.createTempFile("node", ".json");
     private final String config;
 
     /** Starts it with the configuration of a stage. */
-    Served(Stage stage) throws Exception {
-        this(stage, stage.discovery.address());
+    NodeProcess(NodeFixture fixture) throws Exception {
+        this(fixture, fixture.discovery.address());
     }
 
     /** The same, but for where discovery is. */
-    Served(Stage stage, String discovery) throws Exception {
-        this.stage = stage;
+    NodeProcess(NodeFixture fixture, String discovery) throws Exception {
+        this.fixture = fixture;
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        config = stage.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort());
-        Files.writeString(file, config.replace(stage.discovery.address(), discovery));
+        config = fixture.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort());
+        Files.writeString(file, config.replace(fixture.discovery.address(), discovery));
         process = DrainTest.start(file, "serve");
     }
 
-    void move(String discovery) throws Exception {
-        Files.writeString(file, config.replace(stage.discovery.address(), discovery));
+    void moveDiscovery(String discovery) throws Exception {
+        Files.writeString(file, config.replace(fixture.discovery.address(), discovery));
         signal("HUP");
     }
 
@@ -48,8 +48,8 @@
         new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
     }
 
-    void endsByItself() throws Exception {
-        assertTrue(process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+    void assertTerminated() throws Exception {
+        assertTrue(process.waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(TERMINATED, process.exitValue());
     }
 
--- a/src/test/java/cranedeal/node/OwnOverloadTest.java
+++ b/src/test/java/cranedeal/node/OwnOverloadTest.java
@@ -32,9 +32,9 @@
 
     private static Settings settings() throws Exception {
         Path file = Files.createTempFile("node", ".json");
-        try (Stage stage = new Stage()) {
+        try (NodeFixture fixture = new NodeFixture()) {
             // A call that has taken half of its aim, 100 ms, is a sign of overload.
-            Files.writeString(file, stage.config().replace(
+            Files.writeString(file, fixture.config().replace(
                     "\"aim\":1000.0,\"deadline\":2500.0,\"worth\":1.0,\"lateValue\":0.5",
                     "\"aim\":200.0,\"deadline\":2500.0,\"worth\":1.0,\"lateValue\":0.0"));
             return NodeConfig.read(file.toString()).settings();
--- a/src/test/java/cranedeal/node/PublishedConfigTest.java
+++ b/src/test/java/cranedeal/node/PublishedConfigTest.java
@@ -20,77 +20,77 @@
     @TempDir
     private Path folder;
 
-    private static JsonNode section(Stage stage, String from, String to) throws Exception {
-        JsonNode whole = NodeConfig.JSON.readTree(stage.config().replace(from, to));
+    private static JsonNode section(NodeFixture fixture, String from, String to) throws Exception {
+        JsonNode whole = NodeConfig.JSON.readTree(fixture.config().replace(from, to));
         ObjectNode section = NodeConfig.JSON.createObjectNode();
         section.putObject("settings").set("services", whole.path("settings").path("services"));
         return section;
     }
 
-    private static boolean shows(Stage stage, String line) {
-        return stage.node.stats().contains("edge_proxy." + line + "\n");
+    private static boolean shows(NodeFixture fixture, String line) {
+        return fixture.node.stats().contains("edge_proxy." + line + "\n");
     }
 
-    private Stage stage() throws Exception {
-        Stage stage = new Stage();
+    private NodeFixture fixture() throws Exception {
+        NodeFixture fixture = new NodeFixture();
         Path file = folder.resolve("config.json");
-        Files.writeString(file, stage.config());
-        stage.node = Node.start(NodeConfig.read(file.toString()), null, stage.script::with);
-        return stage;
+        Files.writeString(file, fixture.config());
+        fixture.node = Node.start(NodeConfig.read(file.toString()), null, fixture.balancer::attach);
+        return fixture;
     }
 
     @Test
     void aSectionIsInForceUntilItGoesAndAReloadKeepsIt() throws Exception {
-        try (Stage stage = stage()) {
-            stage.node.applyPublished(section(stage, "tile-order", "tile-view"));
-            assertTrue(shows(stage, "success.tile-view=0"), stage.node.stats());
+        try (NodeFixture fixture = fixture()) {
+            fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
+            assertTrue(shows(fixture, "success.tile-view=0"), fixture.node.stats());
             // The file changes, and what was published still goes before it.
             Path file = folder.resolve("config.json");
-            Files.writeString(file, stage.config().replace("look-up", "look-over").replace("credit-spend",
+            Files.writeString(file, fixture.config().replace("look-up", "look-over").replace("credit-spend",
                     "debit"));
-            stage.node.reload(file.toString());
-            assertTrue(shows(stage, "reload_success=1") && shows(stage, "success.tile-view=0")
-                    && shows(stage, "success.look-up=0") && !shows(stage, "success.debit=0"),
-                    stage.node.stats());
-            stage.node.applyPublished(null);
-            assertTrue(shows(stage, "success.look-over=0") && shows(stage, "success.debit=0"),
-                    stage.node.stats());
-            Files.writeString(file, stage.config());
-            stage.node.reload(file.toString());
-            stage.servesStill();
+            fixture.node.reload(file.toString());
+            assertTrue(shows(fixture, "reload_success=1") && shows(fixture, "success.tile-view=0")
+                    && shows(fixture, "success.look-up=0") && !shows(fixture, "success.debit=0"),
+                    fixture.node.stats());
+            fixture.node.applyPublished(null);
+            assertTrue(shows(fixture, "success.look-over=0") && shows(fixture, "success.debit=0"),
+                    fixture.node.stats());
+            Files.writeString(file, fixture.config());
+            fixture.node.reload(file.toString());
+            fixture.assertServes();
         }
     }
 
     @Test
     void aKeyThatOnlyASectionHasCanGoAgain() throws Exception {
-        try (Stage stage = stage()) {
+        try (NodeFixture fixture = fixture()) {
             ObjectNode more = NodeConfig.JSON.createObjectNode();
             more.putObject("settings").putObject("rules").put("maxShare", 0.5);
-            stage.node.applyPublished(more);
-            stage.node.applyPublished(NodeConfig.JSON.createObjectNode());
-            stage.node.applyPublished(null);
-            stage.servesStill();
+            fixture.node.applyPublished(more);
+            fixture.node.applyPublished(NodeConfig.JSON.createObjectNode());
+            fixture.node.applyPublished(null);
+            fixture.assertServes();
         }
     }
 
     @Test
     void aSectionThatIsWrongInAnyPartChangesNothing() throws Exception {
-        try (Stage stage = stage()) {
-            stage.node.applyPublished(section(stage, "tile-order", "tile-view"));
-            ObjectNode bad = (ObjectNode) section(stage, "tile-order", "tile-look");
+        try (NodeFixture fixture = fixture()) {
+            fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
+            ObjectNode bad = (ObjectNode) section(fixture, "tile-order", "tile-look");
             ((ObjectNode) bad.get("settings")).putObject("limits").put("attemptsCap", 0);
-            ConfigException e = assertThrows(ConfigException.class, () -> stage.node.applyPublished(bad));
+            ConfigException e = assertThrows(ConfigException.class, () -> fixture.node.applyPublished(bad));
             assertTrue(e.getMessage().contains("settings.limits.attemptsCap"), e.getMessage());
-            ObjectNode fewer = (ObjectNode) section(stage, "tile-order", "tile-look");
+            ObjectNode fewer = (ObjectNode) section(fixture, "tile-order", "tile-look");
             ((ArrayNode) fewer.at("/settings/services")).forEach(one -> ((ObjectNode) one).remove("worth"));
-            e = assertThrows(ConfigException.class, () -> stage.node.applyPublished(fewer));
+            e = assertThrows(ConfigException.class, () -> fixture.node.applyPublished(fewer));
             assertTrue(e.getMessage().contains("worth is missing"), e.getMessage());
             ObjectNode zones = NodeConfig.JSON.createObjectNode();
             zones.putObject("settings").putArray("zones").add("elsewhere");
-            assertThrows(ConfigException.class, () -> stage.node.applyPublished(zones));
-            assertTrue(shows(stage, "success.tile-view=0"), stage.node.stats());
-            stage.servesStill();
-            assertEquals(0, stage.node.stats().split("tile-look").length - 1);
+            assertThrows(ConfigException.class, () -> fixture.node.applyPublished(zones));
+            assertTrue(shows(fixture, "success.tile-view=0"), fixture.node.stats());
+            fixture.assertServes();
+            assertEquals(0, fixture.node.stats().split("tile-look").length - 1);
         }
     }
 }
--- a/src/test/java/cranedeal/node/ReconfigureTest.java
+++ b/src/test/java/cranedeal/node/ReconfigureTest.java
@@ -18,22 +18,22 @@
     @TempDir
     private Path folder;
 
-    private void reload(Stage stage, String text) throws Exception {
+    private void reload(NodeFixture fixture, String text) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, text);
-        stage.node.reload(file.toString());
+        fixture.node.reload(file.toString());
     }
 
-    private static String rename(Stage stage, String from, String to) {
-        return stage.config().replace("\"name\":\"" + from + "\"", "\"name\":\"" + to + "\"");
+    private static String rename(NodeFixture fixture, String from, String to) {
+        return fixture.config().replace("\"name\":\"" + from + "\"", "\"name\":\"" + to + "\"");
     }
 
-    private static void assertFigure(Stage stage, String line) {
-        assertTrue(stage.node.stats().contains("edge_proxy." + line + "\n"), stage.node.stats());
+    private static void assertFigure(NodeFixture fixture, String line) {
+        assertTrue(fixture.node.stats().contains("edge_proxy." + line + "\n"), fixture.node.stats());
     }
 
-    private static int status(Stage stage, String request) throws Exception {
-        Peer caller = stage.caller();
+    private static int status(NodeFixture fixture, String request) throws Exception {
+        HttpPeer caller = fixture.caller();
         caller.write(request);
         return caller.read().status();
     }
@@ -60,67 +60,67 @@
         "\"zones\":[\"dakar-a\"]|\"zones\":[\"dakar-b\"]",
         "\"settings\"|\"setting\""})
     void aBadFileChangesNothing(String from, String to) throws Exception {
-        try (Stage stage = new Stage().start(); Listener moved = new Listener()) {
-            String good = stage.config().replace(stage.discovery.address(), moved.address())
+        try (NodeFixture fixture = new NodeFixture().start(); TestServer moved = new TestServer()) {
+            String good = fixture.config().replace(fixture.discovery.address(), moved.address())
                     .replace("\"name\":\"tile-order\"", "\"name\":\"tile-view\"");
             String bad = good.replace(from, to == null ? "" : to);
             assertTrue(!bad.equals(good));
-            reload(stage, bad);
-            assertFigure(stage, "reload_failure=1");
-            assertFigure(stage, "reload_success=0");
-            assertTrue(!stage.node.stats().contains("tile-view"));
-            stage.servesStill();
+            reload(fixture, bad);
+            assertFigure(fixture, "reload_failure=1");
+            assertFigure(fixture, "reload_success=0");
+            assertTrue(!fixture.node.stats().contains("tile-view"));
+            fixture.assertServes();
         }
     }
 
     @Test
     void aFileThatIsEmptyOrCutShortChangesNothing() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            String good = stage.config();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            String good = fixture.config();
             int tried = 0;
             for (int length = 0; length < good.strip().length(); length += 97) {
-                reload(stage, good.substring(0, length));
+                reload(fixture, good.substring(0, length));
                 tried++;
             }
-            reload(stage, good + good);
-            assertFigure(stage, "reload_failure=" + (tried + 1));
-            stage.servesStill();
+            reload(fixture, good + good);
+            assertFigure(fixture, "reload_failure=" + (tried + 1));
+            fixture.assertServes();
         }
     }
 
     @Test
     void classesComeAndGoAndWhatIsUnderWayEndsByItsOwn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            reload(stage, rename(stage, "credit-spend", "debit"));
-            assertFigure(stage, "reload_success=1");
-            assertFigure(stage, "success.debit=0");
-            upstream.write(Stage.ok("served"));
+            reload(fixture, rename(fixture, "credit-spend", "debit"));
+            assertFigure(fixture, "reload_success=1");
+            assertFigure(fixture, "success.debit=0");
+            upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
-            assertFigure(stage, "success.credit-spend=1");
-            assertEquals(400, status(stage, Stage.spend("2", "x")));
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 0);
-            assertEquals(503, status(stage, Stage.spend("3", "x").replace("credit-spend", "debit")));
-            reload(stage, stage.config());
-            assertFigure(stage, "success.credit-spend=1");
-            assertFigure(stage, "overload.debit=1");
+            assertFigure(fixture, "success.credit-spend=1");
+            assertEquals(400, status(fixture, NodeFixture.spend("2", "x")));
+            fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
+            assertEquals(503, status(fixture, NodeFixture.spend("3", "x").replace("credit-spend", "debit")));
+            reload(fixture, fixture.config());
+            assertFigure(fixture, "success.credit-spend=1");
+            assertFigure(fixture, "overload.debit=1");
         }
     }
 
     @Test
     void aStricterEffectAndFewerAttemptsBindWhatComesNext() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.upstreams.get(0).refuse();
-            stage.script.sendUntilNotSent(0);
-            reload(stage, stage.config().replace("\"attemptsCap\":4", "\"attemptsCap\":2")
+        try (NodeFixture fixture = new NodeFixture().start()) {
+            fixture.upstreams.get(0).refuseConnections();
+            fixture.balancer.sendUntilNotSent(0);
+            reload(fixture, fixture.config().replace("\"attemptsCap\":4", "\"attemptsCap\":2")
                     .replace("\"idempotency\":\"idempotent\"", "\"idempotency\":\"at_most_once\""));
-            assertFigure(stage, "reload_success=1");
-            assertEquals(400, status(stage, Stage.get("1", "10")));
-            assertEquals(503, status(stage, Stage.spend("2", "x")));
-            assertEquals(3, stage.script.outcomes.size());
+            assertFigure(fixture, "reload_success=1");
+            assertEquals(400, status(fixture, NodeFixture.get("1", "10")));
+            assertEquals(503, status(fixture, NodeFixture.spend("2", "x")));
+            assertEquals(3, fixture.balancer.outcomes.size());
         }
     }
 }
--- a/src/test/java/cranedeal/node/Rehearsal.java
+++ b/src/test/java/cranedeal/node/Rehearsal.java
@@ -22,22 +22,25 @@
     public static void main(String[] command) throws Exception {
         Path file = Files.createTempFile("rehearsal", ".json");
         Process process = null;
-        try (Stage stage = new Stage(2)) {
-            for (Listener upstream : stage.upstreams) {
-                upstream.each(peer -> answer(peer, Stage.ok("served")));
+        try (NodeFixture fixture = new NodeFixture(2)) {
+            for (TestServer upstream : fixture.upstreams) {
+                upstream.serveEach(peer -> answer(peer, NodeFixture.ok("served")));
             }
-            stage.discovery.each(peer -> answer(peer, Stage.ok(Stage.roster(42, false))));
+            fixture.discovery.serveEach(peer ->
+                    answer(peer, NodeFixture.ok(NodeFixture.listJson(42, false))));
             int port;
             try (ServerSocket free = new ServerSocket(0)) {
                 port = free.getLocalPort();
             }
-            Files.writeString(file, stage.config().replace("127.0.0.1:0", "127.0.0.1:" + port));
+            Files.writeString(file, fixture.config().replace("127.0.0.1:0", "127.0.0.1:" + port));
             ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
             builder.environment().put("PROXY_CONFIG", file.toString());
             process = builder.start();
-            try (Peer caller = Peer.toServing(new InetSocketAddress("127.0.0.1", port), process)) {
+            try (HttpPeer caller = HttpPeer.connectWhenServing(new InetSocketAddress("127.0.0.1", port),
+                    process)) {
                 for (int i = 0; i < REQUESTS; i++) {
-                    caller.write(i % 2 == 0 ? Stage.get("r" + i, "2") : Stage.spend("r" + i, "body"));
+                    caller.write(i % 2 == 0 ? NodeFixture.get("r" + i, "2")
+                            : NodeFixture.spend("r" + i, "body"));
                     caller.read();
                 }
             }
@@ -52,7 +55,7 @@
     }
 
     /** Answers whatever comes with the same text. */
-    private static void answer(Peer peer, String answer) {
+    private static void answer(HttpPeer peer, String answer) {
         try (peer) {
             while (peer.read() != null) {
                 TimeUnit.MILLISECONDS.sleep(1);
--- a/src/test/java/cranedeal/node/ReloadBenchmark.java
+++ b/src/test/java/cranedeal/node/ReloadBenchmark.java
@@ -29,8 +29,8 @@
     private Path folder;
 
     /** A configuration with that many upstreams and classes. */
-    private Path file(Stage stage, int upstreams, int classes) throws Exception {
-        String text = stage.config();
+    private Path file(NodeFixture fixture, int upstreams, int classes) throws Exception {
+        String text = fixture.config();
         int from = text.indexOf("\"services\":[");
         int to = text.indexOf("\"limits\":{\"attemptsCap\"");
         String services = IntStream.range(0, classes).mapToObj(i -> """
@@ -38,7 +38,7 @@
                  "idempotency":"idempotent","streamed":false}""".formatted(i))
                 .collect(Collectors.joining(",\n"));
         text = text.substring(0, from) + "\"services\":[" + services + "],\n" + text.substring(to);
-        text = text.replace(Stage.roster(41, true), ListBenchmark.list(upstreams))
+        text = text.replace(NodeFixture.listJson(41, true), ListBenchmark.list(upstreams))
                 .replace("[\"dakar-a\"]", names(ListBenchmark.ZONES))
                 .replace("[\"front-mid\"]", names(ListBenchmark.KINDS));
         Path file = folder.resolve("config-" + upstreams + "-" + classes + ".json");
@@ -60,12 +60,12 @@
         Map<Integer, ThreadCost.Code> takeByUpstreams = new LinkedHashMap<>();
         Map<Integer, ThreadCost.Code> readByClasses = new LinkedHashMap<>();
         Map<Integer, ThreadCost.Code> takeByClasses = new LinkedHashMap<>();
-        try (Stage stage = new Stage(0)) {
+        try (NodeFixture fixture = new NodeFixture(0)) {
             for (int size : ListBenchmark.SIZES) {
-                add(file(stage, size, FEW_CLASSES), size, size, readByUpstreams, takeByUpstreams);
+                add(file(fixture, size, FEW_CLASSES), size, size, readByUpstreams, takeByUpstreams);
             }
             for (int classes : CLASSES) {
-                add(file(stage, FEW_UPSTREAMS, classes), FEW_UPSTREAMS, classes, readByClasses,
+                add(file(fixture, FEW_UPSTREAMS, classes), FEW_UPSTREAMS, classes, readByClasses,
                         takeByClasses);
             }
         }
--- a/src/test/java/cranedeal/node/Script.java
+++ b/src/test/java/cranedeal/node/ScriptedBalancer.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** A module that does what the test says, and remembers what its host told it. */
-final class Script implements LoadBalancer {
+final class ScriptedBalancer implements LoadBalancer {
 
     Actions actions;
     volatile List<Upstream> upstreams = List.of();
@@ -18,7 +18,7 @@
     volatile Consumer<Request> onRequest = request -> sendTo(0, request, 0);
     volatile Consumer<Outcome> onOutcome = outcome -> { };
     /** What to do with an outcome that leaves its request open; by default it fails. */
-    volatile BiConsumer<Actions, Outcome> onOpen = (to, outcome) -> to.fail(outcome.requestId());
+    volatile BiConsumer<Actions, Outcome> onOpenOutcome = (to, outcome) -> to.fail(outcome.requestId());
     volatile Runnable onTimer = () -> { };
     volatile Runnable onStart = () -> { };
     final LinkedBlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -29,7 +29,7 @@
     final Set<Long> banned = ConcurrentHashMap.newKeySet();
     final LinkedBlockingQueue<String> probes = new LinkedBlockingQueue<>();
 
-    LoadBalancer with(Actions given) {
+    LoadBalancer attach(Actions given) {
         actions = given;
         return this;
     }
@@ -41,7 +41,7 @@
 
     /** Sends to an upstream by its place until the host sends no more, and then refuses. */
     void sendUntilNotSent(int place) {
-        onOpen = (to, outcome) -> {
+        onOpenOutcome = (to, outcome) -> {
             if (outcome.result() == Result.NOT_SENT) {
                 to.refuse(outcome.requestId(), 0);
             } else {
@@ -51,14 +51,14 @@
     }
 
     static <T> T next(LinkedBlockingQueue<T> queue) throws InterruptedException {
-        T item = queue.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        T item = queue.poll(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (item == null) {
             throw new AssertionError("nothing came");
         }
         return item;
     }
 
-    Result result() throws InterruptedException {
+    Result nextResult() throws InterruptedException {
         return next(outcomes).result();
     }
 
@@ -94,7 +94,7 @@
         outcomes.add(outcome);
         onOutcome.accept(outcome);
         if (!outcome.requestClosed()) {
-            onOpen.accept(actions, outcome);
+            onOpenOutcome.accept(actions, outcome);
         }
     }
 
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -23,15 +23,15 @@
     @TempDir
     private Path folder;
 
-    private Stage stage() throws Exception {
-        Stage stage = new Stage(2);
-        stage.door = true;
-        stage.stateDir = folder.resolve("state");
-        return stage;
+    private NodeFixture fixture() throws Exception {
+        NodeFixture fixture = new NodeFixture(2);
+        fixture.adminEnabled = true;
+        fixture.stateDir = folder.resolve("state");
+        return fixture;
     }
 
-    private static String stats(Stage stage) throws Exception {
-        try (Peer operator = Peer.to(stage.node.adminAddress())) {
+    private static String stats(NodeFixture fixture) throws Exception {
+        try (HttpPeer operator = HttpPeer.connect(fixture.node.adminAddress())) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body();
         }
@@ -48,11 +48,11 @@
                 "127.0.0.1:9302", "fleet.seeds[0]", "\"seeds\"", "fleet.seedz", "}", "fleet.state_dir",
                 "{", "fleet.probe_period_ms");
         Path file = folder.resolve("config.json");
-        try (Stage stage = stage()) {
-            Files.writeString(file, stage.config().replaceFirst("\\{", "{" + good + ","));
+        try (NodeFixture fixture = fixture()) {
+            Files.writeString(file, fixture.config().replaceFirst("\\{", "{" + good + ","));
             assertEquals("clinics", NodeConfig.read(file.toString()).fleet().name());
             for (Map.Entry<String, String> change : wrong.entrySet()) {
-                Files.writeString(file, stage.config().replaceFirst("\\{", "{"
+                Files.writeString(file, fixture.config().replaceFirst("\\{", "{"
                         + good.replace(change.getKey(), change.getValue()) + ","));
                 ConfigException e = assertThrows(ConfigException.class,
                         () -> NodeConfig.read(file.toString()));
@@ -67,20 +67,20 @@
 
     @Test
     void bansAndADrainHoldAfterTheNodeWasKilled() throws Exception {
-        try (Stage stage = stage().start()) {
-            assertEquals(200, stage.order("PUT", "/ops/upstreams/down/" + id(0)));
-            assertEquals(200, stage.order("PUT", "/ops/upstreams/down/" + id(1)));
-            assertEquals(200, stage.order("PUT", "/ops/upstreams/up/" + id(1)));
-            assertEquals(404, stage.order("PUT", "/ops/upstreams/down/never-listed"));
-            assertEquals(200, stage.order("PUT", "/ops/drain/start"));
+        try (NodeFixture fixture = fixture().start()) {
+            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(1)));
+            assertEquals(200, fixture.order("PUT", "/ops/upstreams/up/" + id(1)));
+            assertEquals(404, fixture.order("PUT", "/ops/upstreams/down/never-listed"));
+            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
         }
-        try (Stage stage = stage().start()) {
-            assertEquals(503, stage.order("GET", "/ops/readiness"));
-            assertEquals(200, stage.order("PUT", "/ops/drain/stop"));
-            assertEquals(200, stage.order("GET", "/ops/readiness"));
-            assertTrue(stage.script.banned.contains(UpstreamList.numericId(id(0))), "the module is told");
-            assertEquals(1, stage.script.banned.size());
-            assertTrue(stats(stage).contains("orders_unknown=0"));
+        try (NodeFixture fixture = fixture().start()) {
+            assertEquals(503, fixture.order("GET", "/ops/readiness"));
+            assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
+            assertEquals(200, fixture.order("GET", "/ops/readiness"));
+            assertTrue(fixture.balancer.banned.contains(UpstreamList.numericId(id(0))), "the module is told");
+            assertEquals(1, fixture.balancer.banned.size());
+            assertTrue(stats(fixture).contains("orders_unknown=0"));
         }
     }
 
@@ -113,35 +113,35 @@
 
     @Test
     void aFolderThatCannotBeMadeStopsNobodyAndKeepsNoOrder() throws Exception {
-        try (Stage stage = stage()) {
-            stage.stateDir = Path.of("/proc/self/no-such-folder");
-            stage.start();
-            stage.servesStill();
-            assertEquals(500, stage.order("PUT", "/ops/upstreams/down/" + id(0)));
-            assertTrue(stage.script.banned.isEmpty());
+        try (NodeFixture fixture = fixture()) {
+            fixture.stateDir = Path.of("/proc/self/no-such-folder");
+            fixture.start();
+            fixture.assertServes();
+            assertEquals(500, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertTrue(fixture.balancer.banned.isEmpty());
         }
     }
 
     @Test
     void aDamagedFolderStopsNobodyIsSaidAndTakesNoOrderUntilItIsRepaired() throws Exception {
         Path state = folder.resolve("state");
-        try (Stage stage = stage().start()) {
+        try (NodeFixture fixture = fixture().start()) {
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, stage.order("PUT", "/ops/upstreams/down/" + id(i % 2)));
+                assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(i % 2)));
             }
         }
         String journal = new FolderDisk(state).fileNames().get(0);
         byte[] bytes = Files.readAllBytes(state.resolve(journal));
         bytes[40] ^= 1;
         Files.write(state.resolve(journal), bytes);
-        try (Stage stage = stage().start()) {
-            stage.servesStill();
-            assertTrue(stats(stage).contains("orders_unknown=1"));
-            assertEquals(500, stage.order("PUT", "/ops/upstreams/down/" + id(0)));
-            assertTrue(stage.script.banned.isEmpty(), "nothing was changed");
+        try (NodeFixture fixture = fixture().start()) {
+            fixture.assertServes();
+            assertTrue(stats(fixture).contains("orders_unknown=1"));
+            assertEquals(500, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertTrue(fixture.balancer.banned.isEmpty(), "nothing was changed");
             Repair.repair(state, StoreLimits.DEFAULT, state.resolve("before"));
-            assertEquals(200, stage.order("PUT", "/ops/upstreams/down/" + id(0)));
-            assertTrue(stats(stage).contains("orders_unknown=0"));
+            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertTrue(stats(fixture).contains("orders_unknown=0"));
         }
     }
 }
--- a/src/test/java/cranedeal/node/Listener.java
+++ b/src/test/java/cranedeal/node/TestServer.java
@@ -10,20 +10,20 @@
 import java.util.function.Consumer;
 
 /** Listens on a port of its own and hands each connection to the test, which plays the server. */
-final class Listener implements AutoCloseable {
+final class TestServer implements AutoCloseable {
 
     private final ServerSocket server;
     private final Thread accepting;
     /** Holds the port once nobody listens there any more. */
     private final Socket holder = new Socket();
-    private final LinkedBlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<HttpPeer> accepted = new LinkedBlockingQueue<>();
 
-    Listener() throws IOException {
+    TestServer() throws IOException {
         this(0);
     }
 
     /** With a receive buffer of a size, 0 for the system's choice. */
-    Listener(int receiveBuffer) throws IOException {
+    TestServer(int receiveBuffer) throws IOException {
         server = new ServerSocket();
         if (receiveBuffer > 0) {
             server.setReceiveBufferSize(receiveBuffer);
@@ -32,7 +32,7 @@
         accepting = new Thread(() -> {
             try {
                 while (true) {
-                    accepted.add(new Peer(server.accept()));
+                    accepted.add(new HttpPeer(server.accept()));
                 }
             } catch (IOException e) {
                 // The test is over.
@@ -47,8 +47,8 @@
     }
 
     /** The next connection; fails the test if none comes. */
-    Peer accept() throws InterruptedException {
-        Peer peer = accepted.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    HttpPeer accept() throws InterruptedException {
+        HttpPeer peer = accepted.poll(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (peer == null) {
             throw new AssertionError("no connection came");
         }
@@ -56,7 +56,7 @@
     }
 
     /** From now on refuses connections; the port stays taken, so that nobody else can listen there. */
-    void refuse() throws IOException, InterruptedException {
+    void refuseConnections() throws IOException, InterruptedException {
         int port = server.getLocalPort();
         server.close();
         // The kernel closes it only once nobody waits there, and lets connections come up until then.
@@ -67,11 +67,11 @@
     }
 
     /** From now on hands each connection to {@code server} on a thread of its own, until the test is over. */
-    void each(Consumer<Peer> server) {
+    void serveEach(Consumer<HttpPeer> server) {
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
-                    Peer peer = accept();
+                    HttpPeer peer = accept();
                     Thread worker = new Thread(() -> server.accept(peer));
                     worker.setDaemon(true);
                     worker.start();
@@ -85,7 +85,7 @@
     }
 
     /** How many connections have come that the test has not looked at. */
-    int waiting() {
+    int pendingConnections() {
         return accepted.size();
     }
 
--- a/src/test/java/cranedeal/node/UpgradeTest.java
+++ b/src/test/java/cranedeal/node/UpgradeTest.java
@@ -27,21 +27,21 @@
 
     @TempDir
     private Path folder;
-    private Stage stage;
+    private NodeFixture fixture;
     private InetSocketAddress address;
     private final List<Process> processes = new ArrayList<>();
 
     @BeforeEach
-    void stage() throws Exception {
-        stage = new Stage();
-        stage.door = true;
+    void startFixture() throws Exception {
+        fixture = new NodeFixture();
+        fixture.adminEnabled = true;
         address = free();
     }
 
     @AfterEach
     void end() throws Exception {
         processes.forEach(Process::destroyForcibly);
-        stage.close();
+        fixture.close();
     }
 
     private static InetSocketAddress free() throws IOException {
@@ -54,7 +54,7 @@
     private InetSocketAddress start() throws Exception {
         InetSocketAddress door = free();
         Path file = Files.createTempFile(folder, "node", ".json");
-        Files.writeString(file, stage.config()
+        Files.writeString(file, fixture.config()
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + address.getPort() + "\"")
                 .replace("\"admin_addr\":\"127.0.0.1:0\"",
                         "\"admin_addr\":\"127.0.0.1:" + door.getPort() + "\""));
@@ -69,7 +69,7 @@
 
     /** An operator's call; 0 if nobody is there. */
     private static int order(InetSocketAddress door, String method, String path) throws IOException {
-        try (Peer operator = Peer.to(door)) {
+        try (HttpPeer operator = HttpPeer.connect(door)) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
         } catch (java.net.ConnectException e) {
@@ -79,7 +79,7 @@
 
     /** How many upstreams get nothing, by the figures of a process. */
     private static String disabled(InetSocketAddress door) throws IOException {
-        try (Peer operator = Peer.to(door)) {
+        try (HttpPeer operator = HttpPeer.connect(door)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body().lines().filter(line ->
                     line.contains("targets_disabled")).findFirst()
@@ -93,7 +93,7 @@
 
     @Test
     void ordersInTheStateFolderOutlastEveryProcess() throws Exception {
-        stage.stateDir = folder.resolve("state");
+        fixture.stateDir = folder.resolve("state");
         InetSocketAddress first = start();
         assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
@@ -126,13 +126,13 @@
 
     @Test
     void whatWasLearntOutlastsAnUpgradeAndAKillAndIsNotGuessedFromAFileThatIsDamaged() throws Exception {
-        stage.stateDir = folder.resolve("state");
+        fixture.stateDir = folder.resolve("state");
         start();
-        Path learnt = stage.stateDir.resolve("learnt");
-        Peer client = caller();
+        Path learnt = fixture.stateDir.resolve("learnt");
+        HttpPeer client = caller();
         for (int i = 0; !Files.exists(learnt); i++) {
-            client.write(Stage.get("r" + i, "20"));
-            Peer upstream = stage.upstreams.get(0).accept();
+            client.write(NodeFixture.get("r" + i, "20"));
+            HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
             assertEquals(200, client.read().status());
@@ -174,9 +174,9 @@
         processes.leave();
     }
 
-    private Peer caller() throws IOException {
-        Peer caller = Peer.to(address);
-        caller.write(Stage.HEALTH);
+    private HttpPeer caller() throws IOException {
+        HttpPeer caller = HttpPeer.connect(address);
+        caller.write(NodeFixture.HEALTH);
         assertEquals(200, caller.read().status());
         return caller;
     }
@@ -184,10 +184,10 @@
     @Test
     void theFollowerTakesOverWhileCallersGoOn() throws Exception {
         start();
-        Peer used = caller();
-        Peer idle = caller();
-        used.write(Stage.get("1", "20"));
-        Peer upstream = stage.upstreams.get(0).accept();
+        HttpPeer used = caller();
+        HttpPeer idle = caller();
+        used.write(NodeFixture.get("1", "20"));
+        HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
         start();
         Process old = processes.get(0);
@@ -201,14 +201,14 @@
                 reset++;
             }
             if (upstream != null) {
-                upstream.write(Stage.ok("taken"));
+                upstream.write(NodeFixture.ok("taken"));
                 assertEquals("taken", used.read().body());
                 upstream = null;
             }
         }
         assertTrue(reset <= 1, reset + " reset");
-        assertTrue(idle.ended());
-        assertTrue(used.ended());
+        assertTrue(idle.awaitClose());
+        assertTrue(used.awaitClose());
         assertTrue(processes.get(1).isAlive());
     }
 
@@ -216,11 +216,11 @@
     void aSecondProcessWithoutTheFolderIsTurnedDown() throws Exception {
         start();
         Path file = Files.createTempFile(folder, "node", ".json");
-        Files.writeString(file, stage.config().replace("\"listen\":\"127.0.0.1:0\"",
+        Files.writeString(file, fixture.config().replace("\"listen\":\"127.0.0.1:0\"",
                 "\"listen\":\"127.0.0.1:" + address.getPort() + "\""));
         Process second = DrainTest.start(file, "serve");
         processes.add(second);
-        assertTrue(second.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(second.waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, second.exitValue());
         assertTrue(processes.get(0).isAlive());
     }
@@ -230,25 +230,25 @@
         start();
         start();
         Process died = processes.get(1).destroyForcibly();
-        assertTrue(died.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        Peer kept = caller();
+        assertTrue(died.waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        HttpPeer kept = caller();
         processes.get(0).destroy();
         // A drain without a follower goes on to take connections before it sends callers away.
-        Peer.Message answer = null;
+        HttpPeer.Message answer = null;
         int served = 0;
         while (answer == null || answer.header("Connection") == null) {
             caller().close();
-            kept.write(Stage.HEALTH);
+            kept.write(NodeFixture.HEALTH);
             answer = kept.read();
             served++;
         }
         assertTrue(served > 1, "served " + served);
         assertFalse(processes.get(0).waitFor(0, TimeUnit.MILLISECONDS));
-        assertTrue(processes.get(0).waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(processes.get(0).waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     private static String stats(InetSocketAddress door) throws IOException {
-        try (Peer operator = Peer.to(door)) {
+        try (HttpPeer operator = HttpPeer.connect(door)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body();
         }
--- a/src/test/java/cranedeal/node/WholeListTest.java
+++ b/src/test/java/cranedeal/node/WholeListTest.java
@@ -18,59 +18,59 @@
 @Timeout(120)
 class WholeListTest {
 
-    private static Stage watching(int upstreams) throws Exception {
-        Stage stage = new Stage(upstreams);
-        stage.connectTimeout = 15_000;
-        stage.script.onStart = () -> stage.script.actions.watch(true);
-        return stage.start();
+    private static NodeFixture watching(int upstreams) throws Exception {
+        NodeFixture fixture = new NodeFixture(upstreams);
+        fixture.connectTimeout = 15_000;
+        fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
+        return fixture.start();
     }
 
-    private static String entry(Stage stage, int place) {
-        return Stage.entry(place, stage.upstreams.get(place).address(), "up");
+    private static String entry(NodeFixture fixture, int place) {
+        return NodeFixture.listEntry(place, fixture.upstreams.get(place).address(), "up");
     }
 
     @Test
     void aConnectionToItThatComesUpLaterCarriesNothing() throws Exception {
-        try (Stage stage = watching(1); Backlog full = new Backlog()) {
+        try (NodeFixture fixture = watching(1); FullBacklog full = new FullBacklog()) {
             // Long after the test, so that nothing but the list forbids it.
-            String kept = Stage.entry(1, stage.upstreams.get(0).address(), "up");
-            Peer watch = stage.tell(kept, Stage.entry(9, full.address(), "up"));
-            stage.script.onRequest = request -> stage.script.sendTo(1, request, 0);
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            stage.settle();
+            String kept = NodeFixture.listEntry(1, fixture.upstreams.get(0).address(), "up");
+            HttpPeer watch = fixture.sendList(kept, NodeFixture.listEntry(9, full.address(), "up"));
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.spend("1", "x"));
+            fixture.awaitReads();
             watch.read();
-            watch.write(Stage.ok(Stage.roster(43, true, kept)));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            try (Peer late = full.acceptLast()) {
-                assertTrue(late.ended(), "the request was written to who is gone");
+            watch.write(NodeFixture.ok(NodeFixture.listJson(43, true, kept)));
+            assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
+            try (HttpPeer late = full.acceptNext()) {
+                assertTrue(late.awaitClose(), "the request was written to who is gone");
             }
-            assertEquals(Result.CONNECT_FAILED, stage.script.result());
+            assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
             assertEquals(502, caller.read().status());
         }
     }
 
     @Test
     void aKeptConnectionToItIsClosedAndCarriesNothing() throws Exception {
-        try (Stage stage = watching(2)) {
-            Peer watch = stage.tell(entry(stage, 0), entry(stage, 1));
-            stage.script.onRequest = request -> stage.script.sendTo(1, request, 0);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer gone = stage.upstreams.get(1).accept();
+        try (NodeFixture fixture = watching(2)) {
+            HttpPeer watch = fixture.sendList(entry(fixture, 0), entry(fixture, 1));
+            fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
+            HttpPeer caller = fixture.caller();
+            caller.write(NodeFixture.get("1", "10"));
+            HttpPeer gone = fixture.upstreams.get(1).accept();
             gone.read();
-            gone.write(Stage.ok("served"));
+            gone.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
             // One more is at work there, and may end.
-            caller.write(Stage.get("2", "10"));
+            caller.write(NodeFixture.get("2", "10"));
             gone.read();
             watch.read();
-            watch.write(Stage.ok(Stage.roster(43, true, entry(stage, 0))));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            gone.write(Stage.ok("its last"));
+            watch.write(NodeFixture.ok(NodeFixture.listJson(43, true, entry(fixture, 0))));
+            assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
+            gone.write(NodeFixture.ok("its last"));
             assertEquals("its last", caller.read().body());
-            assertTrue(gone.ended(), "kept although it can carry nothing more");
-            assertEquals(0, stage.upstreams.get(1).waiting());
+            assertTrue(gone.awaitClose(), "kept although it can carry nothing more");
+            assertEquals(0, fixture.upstreams.get(1).pendingConnections());
         }
     }
 
@@ -78,29 +78,29 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void theFirstAnswerToAWatchMayBeTheWholeList(boolean pushed) throws Exception {
-        try (Stage stage = new Stage(3)) {
-            stage.pushed = pushed;
-            stage.start(LatencyWeightedBalancer::new);
-            Peer watch = stage.discovery.accept();
+        try (NodeFixture fixture = new NodeFixture(3)) {
+            fixture.pushLists = pushed;
+            fixture.start(LatencyWeightedBalancer::new);
+            HttpPeer watch = fixture.discovery.accept();
             watch.read();
-            watch.write(Stage.ok(Stage.roster(60, true, entry(stage, 1))));
+            watch.write(NodeFixture.ok(NodeFixture.listJson(60, true, entry(fixture, 1))));
             // It goes on from there, so the list is taken in.
-            assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", watch.read().first());
-            Listener[] gone = {stage.upstreams.get(0), stage.upstreams.get(2)};
-            stage.upstreams.get(1).each(WholeListTest::serve);
+            assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", watch.read().firstLine());
+            TestServer[] gone = {fixture.upstreams.get(0), fixture.upstreams.get(2)};
+            fixture.upstreams.get(1).serveEach(WholeListTest::serve);
             for (int i = 0; i < 30; i++) {
-                Peer caller = stage.caller();
-                caller.write(Stage.get("r" + i, "10"));
+                HttpPeer caller = fixture.caller();
+                caller.write(NodeFixture.get("r" + i, "10"));
                 assertEquals("served", caller.read().body());
             }
-            assertEquals(0, gone[0].waiting() + gone[1].waiting());
+            assertEquals(0, gone[0].pendingConnections() + gone[1].pendingConnections());
         }
     }
 
-    private static void serve(Peer peer) {
+    private static void serve(HttpPeer peer) {
         try {
             while (peer.read() != null) {
-                peer.write(Stage.ok("served"));
+                peer.write(NodeFixture.ok("served"));
             }
         } catch (IOException e) {
             // The node has closed it.
@@ -119,9 +119,9 @@
     void aListMeansTheSameInEveryForm(String form) throws Exception {
         for (long seed = 0; seed < 4; seed++) {
             Random random = new Random(seed);
-            try (Stage stage = watching(2)) {
+            try (NodeFixture fixture = watching(2)) {
                 String list = NodeConfig.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(
-                        NodeConfig.JSON.readTree(Stage.roster(60, true, entry(stage, 1))))
+                        NodeConfig.JSON.readTree(NodeFixture.listJson(60, true, entry(fixture, 1))))
                         .replace("\n", random.nextBoolean() ? "\r\n\t" : "\n");
                 StringBuilder chunks = new StringBuilder();
                 for (int from = 0; from < list.length();) {
@@ -131,8 +131,8 @@
                             .append(list, from, to).append("\r\n");
                     from = to;
                 }
-                assertEquals(Change.CACHED, Script.next(stage.script.changes));
-                Peer watch = stage.discovery.accept();
+                assertEquals(Change.CACHED, ScriptedBalancer.next(fixture.balancer.changes));
+                HttpPeer watch = fixture.discovery.accept();
                 watch.read();
                 String answer = form.replace("SIZE", "" + list.length()).replace("CHUNKS", chunks)
                         .replace("LIST", list);
@@ -147,12 +147,12 @@
                 if (ends) {
                     watch.close();
                 }
-                assertEquals(Change.FULL, Script.next(stage.script.changes));
-                assertEquals(1, stage.script.upstreams.size());
-                assertEquals(UpstreamList.numericId("s-00000001"), stage.script.upstreams.get(0).id());
+                assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
+                assertEquals(1, fixture.balancer.upstreams.size());
+                assertEquals(UpstreamList.numericId("s-00000001"), fixture.balancer.upstreams.get(0).id());
                 // The next call goes on from there.
-                Peer next = ends ? stage.discovery.accept() : watch;
-                assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", next.read().first());
+                HttpPeer next = ends ? fixture.discovery.accept() : watch;
+                assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", next.read().firstLine());
             }
         }
     }
