--- a/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
+++ b/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
@@ -71,7 +71,7 @@
         Coordinator coordinator;
         try {
             Settings settings = new Settings(given.path("probe_period_ms").asDouble(USUAL_PERIOD_MS),
-                    Settings.USUAL.forgetMs(), Settings.USUAL.mostMembers(), true, true);
+                    Settings.DEFAULTS.forgetMs(), Settings.DEFAULTS.maxMembers(), true, true);
             String of = text(given, "fleet", fleet, null);
             Member.requireName(of);
             Member.requireName(own);
@@ -103,7 +103,7 @@
     }
 
     private CommandException wrong(String why) {
-        return new CommandException(Program.WRONG_USE, (file == null ? "" : file + ": ") + why);
+        return new CommandException(Program.USAGE_ERROR, (file == null ? "" : file + ": ") + why);
     }
 
     private JsonNode read() throws CommandException {
@@ -123,7 +123,7 @@
             }
             return given;
         } catch (IOException e) {
-            throw new CommandException(Program.WRONG_USE, "cannot read " + file + ": "
+            throw new CommandException(Program.USAGE_ERROR, "cannot read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
     }
--- a/src/main/java/cranedeal/fleet/config/Coordinator.java
+++ b/src/main/java/cranedeal/fleet/config/Coordinator.java
@@ -6,10 +6,10 @@
 import cranedeal.fleet.membership.Extension;
 import cranedeal.fleet.membership.FleetMember;
 import cranedeal.fleet.membership.Member;
-import cranedeal.fleet.membership.PeerBook;
+import cranedeal.fleet.membership.PeerStore;
 import cranedeal.fleet.membership.VersionNotice;
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.KeptValue;
+import cranedeal.fleet.store.DurableValue;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.Closeable;
@@ -74,8 +74,8 @@
         this.zone = zone;
         Files.createDirectories(folder.resolve("config"));
         store = new LogStore(new FolderDisk(folder.resolve("config")), LOG::warning);
-        KeptValue known = new KeptValue(folder.resolve("members"), LOG::warning);
-        member = new FleetMember(config, new PeerBook() {
+        DurableValue known = new DurableValue(folder.resolve("members"), LOG::warning);
+        member = new FleetMember(config, new PeerStore() {
 
             @Override
             public byte[] read() throws IOException {
@@ -84,7 +84,7 @@
 
             @Override
             public void write(byte[] bytes) throws IOException {
-                known.change(before -> bytes);
+                known.update(before -> bytes);
             }
         }, LIMITS);
         this.peers = peers.stream().distinct().collect(Collectors.toMap(ConfigCalls::text, peer -> peer));
@@ -210,18 +210,18 @@
     }
 
     @Override
-    public void begun() {
+    public void started() {
         advertise();
         onLog(() -> log.start(member.now()));
     }
 
     @Override
-    public void noticed(Member from, VersionNotice notice) {
+    public void noticeReceived(Member from, VersionNotice notice) {
         // What it has comes from the other coordinators alone.
     }
 
     @Override
-    public Map<String, Long> figures() {
+    public Map<String, Long> metrics() {
         Version version = current;
         Map<String, Long> figures = new HashMap<>();
         figures.put("fleet.config.epoch", version == null ? 0 : version.id().epoch());
--- a/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
+++ b/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
@@ -70,15 +70,16 @@
     @Override
     public Integer call() throws CommandException {
         if (members < 2 || members > MOST || times < 1 || times >= members || !(seconds > 0)) {
-            throw new CommandException(Program.WRONG_USE, "2 to " + MOST + " members, fewer kills than"
+            throw new CommandException(Program.USAGE_ERROR, "2 to " + MOST + " members, fewer kills than"
                     + " members, and a time above 0 are wanted");
         }
         Swarm swarm;
         try {
-            swarm = new Swarm(new Settings(periodMs, Settings.USUAL.forgetMs(), MOST, !plain, !ignorePauses),
+            swarm = new Swarm(new Settings(periodMs, Settings.DEFAULTS.forgetMs(), MOST, !plain,
+                    !ignorePauses),
                     Network.GOOD.losing(loss).slowing(slow, stoppedMs, runningMs), seed);
         } catch (IllegalArgumentException e) {
-            throw new CommandException(Program.WRONG_USE, e.getMessage());
+            throw new CommandException(Program.USAGE_ERROR, e.getMessage());
         }
         PrintWriter out = spec.commandLine().getOut();
         swarm.populate(members);
@@ -140,7 +141,7 @@
         int half = members / 2;
         swarm.cut((from, to) -> from < half == to < half);
         swarm.run(seconds * S);
-        int seen = swarm.core(0).present();
+        int seen = swarm.core(0).presentCount();
         swarm.cut((from, to) -> true);
         long bytes = swarm.bytes();
         long syncs = swarm.syncs();
--- a/src/main/java/cranedeal/node/Fleet.java
+++ b/src/main/java/cranedeal/node/Fleet.java
@@ -7,9 +7,9 @@
 import cranedeal.fleet.config.ConfigMember;
 import cranedeal.fleet.membership.FleetMember;
 import cranedeal.fleet.membership.Member;
-import cranedeal.fleet.membership.PeerBook;
+import cranedeal.fleet.membership.PeerStore;
 import cranedeal.fleet.membership.Settings;
-import cranedeal.fleet.store.KeptValue;
+import cranedeal.fleet.store.DurableValue;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.security.SecureRandom;
@@ -40,8 +40,8 @@
     static int run(Callable<Integer> serve, Callable<Integer> wire, String... args) {
         String serves = "Runs one balancer; PROXY_CONFIG names its configuration.";
         String hosts = "Hosts the decisions on the simulator's wire.";
-        return Program.run(Map.of("serve", new Program.Brought(serves, serve),
-                "wire", new Program.Brought(hosts, wire)), args);
+        return Program.run(Map.of("serve", new Program.SuppliedCommand(serves, serve),
+                "wire", new Program.SuppliedCommand(hosts, wire)), args);
     }
 
     /**
@@ -49,7 +49,7 @@
      *
      * @param old the folder where they were kept before, and are taken over from once; may be null
      */
-    static OrderBook ordersIn(Path folder, Path old) {
+    static OverrideStore overrideStore(Path folder, Path old) {
         return new KeptOrders(folder, old);
     }
 
@@ -59,10 +59,10 @@
     }
 
     /** Takes what the fleet has published for a balancer's service. */
-    interface Published {
+    interface PublishedConfigListener {
 
         /** Goes by it; null for nothing. Throws {@link ConfigException}, and then all is as before. */
-        void take(JsonNode section) throws ConfigException, InterruptedException;
+        void apply(JsonNode section) throws ConfigException, InterruptedException;
     }
 
     /**
@@ -70,17 +70,17 @@
      *
      * @param to told what the fleet publishes, if the configuration names a service
      */
-    static Presence member(NodeConfig config, Published to) {
+    static MembershipHandle join(NodeConfig config, PublishedConfigListener to) {
         FleetConfig given = config.fleet();
         Package program = Program.class.getPackage();
         String version = program.getImplementationVersion();
-        KeptValue peers = given.stateDir() == null ? null : new KeptValue(given.stateDir(),
+        DurableValue peers = given.stateDir() == null ? null : new DurableValue(given.stateDir(),
                 Node.LOG::warning);
         FleetMember member = new FleetMember(new FleetMember.Config(given.name(), config.name(),
                 given.listen(), given.advertise(), given.seeds(), "serve",
                 version == null ? "unpacked" : version,
-                new Settings(given.periodMs(), Settings.USUAL.forgetMs(), MOST_MEMBERS, true, true),
-                new SecureRandom().nextLong()), peers == null ? PeerBook.NONE : new PeerBook() {
+                new Settings(given.periodMs(), Settings.DEFAULTS.forgetMs(), MOST_MEMBERS, true, true),
+                new SecureRandom().nextLong()), peers == null ? PeerStore.NONE : new PeerStore() {
 
                     @Override
                     public byte[] read() throws IOException {
@@ -89,16 +89,17 @@
 
                     @Override
                     public void write(byte[] bytes) throws IOException {
-                        peers.change(before -> bytes);
+                        peers.update(before -> bytes);
                     }
                 });
         if (given.service() != null) {
-            new ConfigMember(member, ConfigFollower.Settings.usual(given.service(), given.zone()),
-                    given.stateDir() == null ? ConfigMember.Book.NONE : new KeptConfig(given.stateDir()),
+            new ConfigMember(member, ConfigFollower.Settings.defaults(given.service(), given.zone()),
+                    given.stateDir() == null ? ConfigMember.StateStore.NONE
+                    : new KeptConfig(given.stateDir()),
                     section -> take(section, to), new SecureRandom().nextLong());
         }
         member.start();
-        return new Presence() {
+        return new MembershipHandle() {
 
             @Override
             public void handOver() {
@@ -111,15 +112,16 @@
             }
 
             @Override
-            public Map<String, Long> figures() {
-                return member.figures();
+            public Map<String, Long> metrics() {
+                return member.metrics();
             }
         };
     }
 
-    private static void take(byte[] section, Published to) throws ConfigMember.RefusedException {
+    private static void take(byte[] section, PublishedConfigListener to)
+            throws ConfigMember.RefusedException {
         try {
-            to.take(section == null ? null : NodeConfig.JSON.readTree(section));
+            to.apply(section == null ? null : NodeConfig.JSON.readTree(section));
         } catch (ConfigException e) {
             Matcher named = KEY.matcher(e.getMessage());
             String key = !named.find() ? "" : named.group(1) != null ? "settings." + named.group(1)
@@ -134,12 +136,12 @@
     }
 
     /** The configuration that a member has, in a store. */
-    private static final class KeptConfig implements ConfigMember.Book {
+    private static final class KeptConfig implements ConfigMember.StateStore {
 
-        private final KeptValue kept;
+        private final DurableValue kept;
 
         KeptConfig(Path stateDir) {
-            kept = new KeptValue(stateDir.resolve("config"), Node.LOG::warning);
+            kept = new DurableValue(stateDir.resolve("config"), Node.LOG::warning);
         }
 
         @Override
@@ -149,36 +151,36 @@
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            kept.change(before -> bytes);
+            kept.update(before -> bytes);
         }
     }
 
     /** Orders in a store: each record has them whole, and the last one holds. */
-    private static final class KeptOrders implements OrderBook {
+    private static final class KeptOrders implements OverrideStore {
 
         private static final int FORM = 1;
 
-        private final KeptValue kept;
+        private final DurableValue kept;
         private final Path old;
 
         KeptOrders(Path folder, Path old) {
-            kept = new KeptValue(folder, Node.LOG::warning);
+            kept = new DurableValue(folder, Node.LOG::warning);
             this.old = old;
         }
 
         @Override
-        public Orders read() throws IOException {
+        public OperatorOverrides read() throws IOException {
             return orders(kept.read());
         }
 
         @Override
-        public Orders change(UnaryOperator<Orders> change) throws IOException {
-            return orders(kept.change(before -> bytes(change.apply(orders(before)))));
+        public OperatorOverrides change(UnaryOperator<OperatorOverrides> change) throws IOException {
+            return orders(kept.update(before -> bytes(change.apply(orders(before)))));
         }
 
-        private Orders orders(byte[] bytes) throws IOException {
+        private OperatorOverrides orders(byte[] bytes) throws IOException {
             if (bytes == null) {
-                return old == null ? Orders.NONE : Orders.read(old);
+                return old == null ? OperatorOverrides.NONE : OperatorOverrides.read(old);
             }
             JsonNode whole = NodeConfig.JSON.readTree(bytes);
             if (whole.path("form").asInt() > FORM) {
@@ -187,13 +189,14 @@
             }
             Set<String> out = new TreeSet<>();
             whole.path("out").forEach(id -> out.add(id.asText()));
-            return new Orders(out, whole.path("draining").asBoolean(), whole.path("reloads").asLong());
+            return new OperatorOverrides(out, whole.path("draining").asBoolean(),
+                    whole.path("reloads").asLong());
         }
 
-        private static byte[] bytes(Orders orders) throws IOException {
+        private static byte[] bytes(OperatorOverrides orders) throws IOException {
             ObjectNode whole = NodeConfig.JSON.createObjectNode().put("form", FORM)
                     .put("draining", orders.draining()).put("reloads", orders.reloads());
-            orders.out().forEach(whole.putArray("out")::add);
+            orders.disabledUpstreams().forEach(whole.putArray("out")::add);
             return NodeConfig.JSON.writeValueAsBytes(whole);
         }
     }
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -95,10 +95,10 @@
 
     private final EventLoop loop;
     private NodeConfig config;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final ByteBufAllocator memory;
     private final Node node;
-    private final Figures figures;
+    private final NodeMetrics figures;
     private final LoopMonitor monitor;
     /** The connections whose requests have been read and wait to be handled. */
     private final Arrivals<Connection> arrivals;
@@ -123,8 +123,8 @@
     private int silent;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
-    Frontend(EventLoop loop, NodeConfig config, Sockets sockets, ByteBufAllocator memory, Node node,
-            Figures figures, LoopMonitor monitor, Clock clock) {
+    Frontend(EventLoop loop, NodeConfig config, SocketBudget sockets, ByteBufAllocator memory, Node node,
+            NodeMetrics figures, LoopMonitor monitor, Clock clock) {
         this.loop = loop;
         this.config = config;
         this.sockets = sockets;
@@ -134,7 +134,7 @@
         this.monitor = monitor;
         arrivals = new Arrivals<>(clock::now, sockets::mayOpenUpstream, Connection::handleWaiting,
                 Connection::refuseLate);
-        sockets.evictCallersWith(new Sockets.IdlePool() {
+        sockets.evictCallersWith(new SocketBudget.IdlePool() {
             @Override
             public double idleSince() {
                 double since = resting.isEmpty() ? Double.NaN : resting.iterator().next().since;
@@ -147,11 +147,11 @@
                 return evictIdle();
             }
         });
-        retune(config);
+        settingsChanged(config);
     }
 
     /** From now on requests are read by these settings. */
-    final void retune(NodeConfig replaced) {
+    final void settingsChanged(NodeConfig replaced) {
         config = replaced;
         parser = new RequestParser(replaced);
     }
@@ -161,7 +161,7 @@
         socket = open();
         ServerBootstrap server = new ServerBootstrap().group(loop)
                 .channelFactory(() -> new CallerListener(socket, this::mayTake,
-                        () -> figures.closed(Figures.Closing.CALLER_NOT_TAKEN)))
+                        () -> figures.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN)))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTED_AT_ONCE))
@@ -206,7 +206,7 @@
             if (sockets.roomForCaller() || evictSilent()) {
                 ctx.fireChannelRead(accepted);
             } else {
-                figures.closed(Figures.Closing.CALLER_NOT_TAKEN);
+                figures.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN);
                 ((Channel) accepted).unsafe().closeForcibly();
             }
         }
@@ -217,7 +217,7 @@
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            figures.closed(Figures.Closing.ACCEPT_FAILED);
+            figures.connectionClosed(NodeMetrics.CloseReason.ACCEPT_FAILED);
             sockets.evictIdle();
             ctx.channel().config().setAutoRead(false);
             loop.schedule(() -> {
@@ -255,9 +255,9 @@
                 }
             }
         }
-        figures.loop(monitor.takeLongestBusy(), arrivals.takeLongestWait(), arrivals.size());
-        figures.work(node.work());
-        figures.descriptors(connections.size(), resting.size(), sockets.open(), sockets.limit());
+        figures.loopDelay(monitor.takeLongestBusy(), arrivals.takeLongestWait(), arrivals.size());
+        figures.decisionWork(node.work());
+        figures.descriptorUse(connections.size(), resting.size(), sockets.open(), sockets.limit());
         if (malformed + silent > 0 && now >= toldAt + TELL_EVERY_MS) {
             Node.LOG.info("turned down " + malformed + " bad requests and " + silent + " silent callers");
             toldAt = now;
@@ -271,14 +271,14 @@
     }
 
     /** From now on every answer asks its caller to leave, and the front has the given answer. */
-    void beginDrain(HttpResponseStatus healthMeanwhile) {
+    void startDrain(HttpResponseStatus healthMeanwhile) {
         draining = true;
         health = healthMeanwhile;
     }
 
     /** Leaves new callers to another process that listens at the same address, and sends away who is here. */
     void handOver() {
-        beginDrain(HttpResponseStatus.OK);
+        startDrain(HttpResponseStatus.OK);
         stopListening();
     }
 
@@ -315,7 +315,7 @@
     }
 
     /** Closes what is idle; whether nothing is left and nobody can come, so that the process may end. */
-    boolean endDrain() {
+    boolean closeIdle() {
         if (listening != null) {
             Channels.readNow(listening);
         }
@@ -341,8 +341,9 @@
     }
 
     /** At the end of a drain: nothing that comes from now on is taken, and who waits is refused. */
-    void endAll() {
-        List.copyOf(connections).forEach(connection -> connection.refuseWaiting(Figures.Refusal.ENDING));
+    void refuseQueuedAndCloseIdle() {
+        List.copyOf(connections).forEach(
+                connection -> connection.refuseWaiting(NodeMetrics.RefusalReason.ENDING));
         List.copyOf(connections).stream().filter(Connection::isIdle)
                 .forEach(connection -> connection.shutDown());
     }
@@ -357,7 +358,7 @@
             // A request may have come that nobody has read yet.
             connection.readNow();
             if (connection.isEvictable()) {
-                figures.closed(Figures.Closing.CALLER_FOR_ROOM);
+                figures.connectionClosed(NodeMetrics.CloseReason.CALLER_FOR_ROOM);
                 connection.shutDown();
                 leaving.addLast(connection);
                 if (leaving.size() > MOST_LEAVING) {
@@ -383,7 +384,7 @@
             // One that has begun to send has its time, like any.
             unserved.remove(connection);
             if (connection.isIdle() && !connection.served && !connection.partial()) {
-                figures.closed(Figures.Closing.SILENT_CALLER_FOR_ROOM);
+                figures.connectionClosed(NodeMetrics.CloseReason.SILENT_CALLER_FOR_ROOM);
                 silent++;
                 connection.channel.close();
                 return true;
@@ -462,7 +463,7 @@
 
         /** Ends what is at work with a body that does not come, or an answer that is not taken. */
         void checkTransfer(double now) {
-            if (current instanceof LargeRequest large && !large.upload.isWhole() && !closing
+            if (current instanceof StreamedRequest large && !large.upload.isWhole() && !closing
                     && channel.config().isAutoRead() && comesTooSlowly(now)) {
                 silent++;
                 large.upload.fail(ReadTimeoutException.INSTANCE);
@@ -504,7 +505,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (ended) {
-                if (request instanceof LargeRequest large) {
+                if (request instanceof StreamedRequest large) {
                     large.upload.discard();
                 }
                 return;
@@ -515,7 +516,7 @@
                     || !RequestParser.isGet(request) && !RequestParser.isPost(request)
                     || ahead.size() == MAX_AHEAD - 1 || !channel.isWritable();
             // Where the loop is late, that may be long ago.
-            double arrivedAt = node.now() - monitor.lateness();
+            double arrivedAt = node.now() - monitor.lag();
             Received received = new Received(request.retain(), arrivedAt);
             if (current == null) {
                 take(received);
@@ -535,7 +536,7 @@
             exchange = null;
             resting.remove(this);
             unserved.remove(this);
-            if (current instanceof LargeRequest) {
+            if (current instanceof StreamedRequest) {
                 // Its body goes on to come, and has to have its owner by then.
                 handle(current);
             } else {
@@ -553,13 +554,13 @@
             }
             waits = false;
             try {
-                if (isThere()) {
+                if (isConnected()) {
                     handle(current);
                 }
             } catch (RuntimeException e) {
                 Node.LOG.log(Level.SEVERE, "a request could not be handled", e);
                 if (current != null) {
-                    figures.failed(Figures.Failure.HANDLER_ERROR);
+                    figures.failed(NodeMetrics.FailureReason.HANDLER_ERROR);
                     write(HttpResponseStatus.INTERNAL_SERVER_ERROR, Unpooled.EMPTY_BUFFER, 0);
                 }
             }
@@ -568,14 +569,14 @@
         /** Its turn has come too late for it to be served. */
         void refuseLate() {
             if (isRefusable()) {
-                refuseWaiting(Figures.Refusal.PROCESSOR);
+                refuseWaiting(NodeMetrics.RefusalReason.PROCESSOR);
             } else {
                 handleWaiting();
             }
         }
 
         /** Refuses the request that waits for its turn, if there is one. */
-        void refuseWaiting(Figures.Refusal why) {
+        void refuseWaiting(NodeMetrics.RefusalReason why) {
             if (waits) {
                 waits = false;
                 refuseOverloaded(why);
@@ -588,11 +589,11 @@
         }
 
         /** Refuses the request at work before anything is done for it. */
-        private void refuseOverloaded(Figures.Refusal why) {
+        private void refuseOverloaded(NodeMetrics.RefusalReason why) {
             String name = RequestParser.className(current);
-            figures.refused(why);
+            figures.requestRefused(why);
             if (parser.knows(name)) {
-                figures.answered(name, HttpResponseStatus.SERVICE_UNAVAILABLE);
+                figures.requestAnswered(name, HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
             double longest = config.settings().limits().maxRetryAfter();
             boolean advised = config.settings().limits().retryAfter();
@@ -601,7 +602,7 @@
         }
 
         @Override
-        public boolean isThere() {
+        public boolean isConnected() {
             readNow();
             if (!channel.isActive()) {
                 // The loop hears of its end only later.
@@ -627,7 +628,7 @@
 
         private void handle(FullHttpRequest request) {
             if (!request.decoderResult().isSuccess()) {
-                reject(status(request.decoderResult().cause()), "malformed HTTP");
+                reject(errorStatus(request.decoderResult().cause()), "malformed HTTP");
                 return;
             }
             if (request.uri().equals(HEALTH_PATH)) {
@@ -636,7 +637,7 @@
             }
             try {
                 RequestParser.Template template = parser.parse(request, currentAt);
-                Exchange begun = node.request(template::withId, request.retain(), this);
+                Exchange begun = node.acceptRequest(template::withId, request.retain(), this);
                 // The answer may have come already, and with it the next request.
                 if (begun.isOpen()) {
                     exchange = begun;
@@ -657,7 +658,7 @@
         }
 
         @Override
-        public void begin(long length, Runnable writable) {
+        public void startStream(long length, Runnable writable) {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             framed = length >= 0 || current.protocolVersion().equals(HttpVersion.HTTP_1_1);
             if (length >= 0) {
@@ -691,7 +692,7 @@
         }
 
         @Override
-        public void end() {
+        public void endStream() {
             finish(LastHttpContent.EMPTY_LAST_CONTENT);
         }
 
@@ -739,7 +740,7 @@
             if (retryAfter > 0) {
                 response.headers().set("Retry-After", UpstreamClient.seconds(Math.ceil(retryAfter)));
             }
-            boolean early = current instanceof LargeRequest large && !large.upload.isWhole();
+            boolean early = current instanceof StreamedRequest large && !large.upload.isWhole();
             // The rest of its body is still to come, and may be long.
             ended |= early;
             if (isLast()) {
@@ -751,9 +752,9 @@
         /** Writes the end of an answer and goes on to the next request. */
         private void finish(HttpObject last) {
             FullHttpRequest request = current;
-            boolean early = request instanceof LargeRequest large && !large.upload.isWhole();
+            boolean early = request instanceof StreamedRequest large && !large.upload.isWhole();
             if (early) {
-                ((LargeRequest) request).upload.discard();
+                ((StreamedRequest) request).upload.discard();
             }
             // Whoever reads a large answer slowly is still to have its end.
             long unread = drained == null ? UNREAD_MS : (long) UpstreamClient.STALL_MS;
@@ -829,20 +830,20 @@
     /** Forgets a request that will have no answer. */
     private static void drop(FullHttpRequest request) {
         request.release();
-        if (request instanceof LargeRequest large) {
+        if (request instanceof StreamedRequest large) {
             large.upload.discard();
         }
     }
 
     /** How to tell a caller that its request can't be read. */
-    static HttpResponseStatus status(Throwable cause) {
+    static HttpResponseStatus errorStatus(Throwable cause) {
         return cause instanceof TooLongHttpContentException ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
                 : cause instanceof ReadTimeoutException ? HttpResponseStatus.REQUEST_TIMEOUT
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
     /** A caller was turned down whose body could not be read. */
-    void turnedDown() {
+    void countBadRequest() {
         malformed++;
     }
 }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -5,7 +5,7 @@
 import cranedeal.LoadBalancer;
 import cranedeal.LoadBalancer.Change;
 import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Reports;
+import cranedeal.LoadBalancer.ReportMode;
 import cranedeal.LoadBalancer.Request;
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.ServiceClass;
@@ -52,7 +52,7 @@
  * One balancer: owns the decision module, tells it what happens on the sockets and carries out what it asks
  * for. It decides nothing itself. All of it runs on one event loop thread, so nothing is locked.
  */
-final class Node implements LoadBalancer.Actions, Door.Operations {
+final class Node implements LoadBalancer.Actions, AdminEndpoint.Operations {
 
     static final Logger LOG = Logger.getLogger("sablehinge");
     /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
@@ -82,29 +82,29 @@
     private volatile NodeConfig config;
     private final EventLoop loop;
     /** The processes of an upgrade; null where there are none. */
-    private final Succession succession;
+    private final ProcessHandover succession;
     private final Clock clock;
     private final LoopMonitor monitor;
     private final LoadBalancer balancer;
     private final UpstreamClient upstreams;
     private final DiscoveryClient discovery;
     private final Frontend frontend;
-    private final Sockets sockets;
-    private final Figures figures = new Figures();
+    private final SocketBudget sockets;
+    private final NodeMetrics figures = new NodeMetrics();
     /** The operators' door; null if the configuration names none. */
-    private final Door door;
+    private final AdminEndpoint door;
     private volatile boolean serving;
     private volatile boolean draining;
     /** Where what operators want is kept on disk; null if the configuration names no folder for it. */
-    private final OrderBook book;
+    private final OverrideStore book;
     /** Keeps what the module learns for the next process; null if there is no folder for it. */
-    private final LearntKeeper keeper;
+    private final WarmStateSaver keeper;
     /** Its place among the members of a fleet; null if it is of none. */
-    private volatile Presence presence;
+    private volatile MembershipHandle presence;
     /** What the fleet has published for this balancer's service; null if nothing is in force. */
     private JsonNode published;
     /** What operators want. */
-    private Orders orders = Orders.NONE;
+    private OperatorOverrides orders = OperatorOverrides.NONE;
     /** Where the orders are kept, with {@link #succession}. */
     private final Path folder;
     /** Whether another process of this balancer lived at the last look. */
@@ -136,7 +136,7 @@
     private record Event(Exchange about, Runnable call) { }
 
     private Node(NodeConfig config, EventLoop loop, Clock clock, LoopMonitor monitor,
-            Succession succession, Path folder, OrderBook book,
+            ProcessHandover succession, Path folder, OverrideStore book,
             Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.config = config;
         this.loop = loop;
@@ -146,19 +146,20 @@
         this.folder = folder;
         this.book = book;
         keeper = config.stateDir() == null ? null
-                : new LearntKeeper(new LearntFile(config.stateDir()), clock);
+                : new WarmStateSaver(new WarmStateFile(config.stateDir()), clock);
         PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
                 CACHED, false);
-        sockets = new Sockets(config.sockets() - (config.admin() == null ? 0 : Door.DESCRIPTORS)
-                - (config.fleet() == null ? 0 : Presence.DESCRIPTORS));
+        sockets = new SocketBudget(config.maxDescriptors()
+                - (config.admin() == null ? 0 : AdminEndpoint.DESCRIPTORS)
+                - (config.fleet() == null ? 0 : MembershipHandle.DESCRIPTORS));
         balancer = module.apply(this);
-        upstreams = new UpstreamClient(loop, clock, monitor::lateness, config.settings(), sockets, figures,
+        upstreams = new UpstreamClient(loop, clock, monitor::lag, config.settings(), sockets, figures,
                 memory);
-        discovery = new DiscoveryClient(loop, clock::now, config.discoveryStart(), this::parseList, memory,
+        discovery = new DiscoveryClient(loop, clock::now, config.discoveryOptions(), this::parseList, memory,
                 new ListUpdates());
         frontend = new Frontend(loop, config, sockets, memory, this, figures, monitor, clock);
-        figures.show(config.classes());
-        door = config.admin() == null ? null : new Door(this, loop);
+        figures.registerClasses(config.classes());
+        door = config.admin() == null ? null : new AdminEndpoint(this, loop);
     }
 
     /**
@@ -176,45 +177,46 @@
         Clock clock = new Clock();
         LoopMonitor[] monitor = new LoopMonitor[1];
         EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
-                new DefaultThreadFactory("node", true), LoopMonitor.around(NioIoHandler.newFactory(),
+                new DefaultThreadFactory("node", true), LoopMonitor.wrap(NioIoHandler.newFactory(),
                         clock::now, made -> monitor[0] = made)).next();
-        Succession succession = folder == null || config.admin() == null ? null : join(folder);
-        OrderBook book = config.stateDir() == null ? null : Fleet.ordersIn(config.stateDir(), folder);
+        ProcessHandover succession = folder == null || config.admin() == null ? null : join(folder);
+        OverrideStore book = config.stateDir() == null ? null
+                : Fleet.overrideStore(config.stateDir(), folder);
         Node node = new Node(config, loop, clock, monitor[0], succession, folder, book,
                 module);
         if (node.door != null) {
             node.door.bind(config.admin());
         }
-        Orders kept = book == null ? Orders.NONE : node.kept();
-        LearntFile.Kept learnt = node.keeper == null ? null : node.keeper.read();
+        OperatorOverrides kept = book == null ? OperatorOverrides.NONE : node.kept();
+        WarmStateFile.Snapshot learnt = node.keeper == null ? null : node.keeper.read();
         loop.submit(() -> node.begin(kept, learnt)).sync();
         node.frontend.bind(succession != null);
         node.serving = true;
         if (succession != null) {
-            node.inSuccession(Succession::serve);
+            node.inSuccession(ProcessHandover::markServing);
         }
         if (config.fleet() != null) {
-            node.presence = Fleet.member(config, node::takePublished);
+            node.presence = Fleet.join(config, node::applyPublished);
         }
         return node;
     }
 
     /** What is kept from before; a disk that can't tell stops no balancer, but is no secret either. */
-    private Orders kept() {
+    private OperatorOverrides kept() {
         try {
-            Orders kept = book.read();
-            figures.ordersKnown(true);
+            OperatorOverrides kept = book.read();
+            figures.overridesKnown(true);
             return kept;
         } catch (IOException | RuntimeException e) {
             LOG.severe("serves without the orders of before: " + e.getMessage());
-            figures.ordersKnown(false);
-            return Orders.NONE;
+            figures.overridesKnown(false);
+            return OperatorOverrides.NONE;
         }
     }
 
-    private static Succession join(Path folder) {
+    private static ProcessHandover join(Path folder) {
         try {
-            return Succession.join(folder);
+            return ProcessHandover.join(folder);
         } catch (IOException e) {
             LOG.warning("no upgrade of this process is possible: " + e);
             return null;
@@ -223,7 +225,7 @@
 
     /** Something to ask or to tell the other process of this balancer. */
     private interface SuccessionCall {
-        void in(Succession succession) throws IOException;
+        void in(ProcessHandover succession) throws IOException;
     }
 
     private void inSuccession(SuccessionCall call) {
@@ -242,8 +244,9 @@
         }
     }
 
-    private void begin(Orders kept, LearntFile.Kept learnt) {
-        UpstreamList known = new UpstreamList(config.known().version(), true, config.known().members());
+    private void begin(OperatorOverrides kept, WarmStateFile.Snapshot learnt) {
+        UpstreamList known = new UpstreamList(config.knownUpstreams().version(), true,
+                config.knownUpstreams().members());
         upstreams.update(known);
         discovery.setPushed(!config.settings().subscribe());
         tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
@@ -265,12 +268,12 @@
         }
     }
 
-    private LoadBalancer.Learnt learnt() {
+    private LoadBalancer.WarmState learnt() {
         try {
-            return balancer.learnt(clock.now());
+            return balancer.warmState(clock.now());
         } catch (RuntimeException e) {
             broken(null, e);
-            return LoadBalancer.Learnt.NOTHING;
+            return LoadBalancer.WarmState.EMPTY;
         }
     }
 
@@ -286,10 +289,10 @@
     /** Looks whether another process of this balancer lives, and what operators have ordered there. */
     private void lookAround() {
         inSuccession(processes -> {
-            boolean other = processes.hasOther();
-            sockets.share(other);
+            boolean other = processes.hasOtherProcess();
+            sockets.setShared(other);
             if ((other || hadOther) && book == null) {
-                obey(Orders.read(folder), 0);
+                obey(OperatorOverrides.read(folder), 0);
             } else if (other || hadOther) {
                 door.loop().execute(this::obeyBook);
             }
@@ -305,46 +308,46 @@
             Upstream listed = member.upstream();
             double startedAt = startTimes.of(listed.id(), listed.startedAt(), now, unix);
             entries.add(startedAt == listed.startedAt() ? listed : new Upstream(listed.id(), listed.zone(),
-                    listed.kind(), listed.cell(), listed.state(), listed.weight(), startedAt));
+                    listed.machineType(), listed.cell(), listed.state(), listed.weight(), startedAt));
         }
         return entries;
     }
 
     @Override
-    public boolean isTaking() {
+    public boolean isReady() {
         return serving && !draining;
     }
 
     @Override
     public String stats() {
-        Presence member = presence;
-        return figures.text() + Figures.text(discovery.figures().values())
-                + (member == null ? "" : Figures.text(member.figures()));
+        MembershipHandle member = presence;
+        return figures.text() + NodeMetrics.text(discovery.figures().values())
+                + (member == null ? "" : NodeMetrics.text(member.metrics()));
     }
 
     /** Sends callers away as SIGTERM does, but goes on: {@link #stopDrain} undoes it. */
     @Override
     public CompletionStage<Boolean> startDrain() {
-        return order(given -> given.withDrain(true));
+        return order(given -> given.withDraining(true));
     }
 
     @Override
     public CompletionStage<Boolean> stopDrain() {
-        return order(given -> given.withDrain(false));
+        return order(given -> given.withDraining(false));
     }
 
     @Override
     public CompletionStage<Boolean> ban(String id, boolean banned) {
-        long upstream = UpstreamList.number(id);
+        long upstream = UpstreamList.numericId(id);
         if (!everListed.containsKey(upstream) && !upstreams.isListed(upstream)
-                && !orders.out().contains(id)) {
+                && !orders.disabledUpstreams().contains(id)) {
             return CompletableFuture.completedFuture(false);
         }
-        return order(given -> given.with(id, banned));
+        return order(given -> given.withUpstream(id, banned));
     }
 
     /** Changes what operators want, without a wait of this loop for a disk. */
-    private CompletionStage<Boolean> order(UnaryOperator<Orders> change) {
+    private CompletionStage<Boolean> order(UnaryOperator<OperatorOverrides> change) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         if (book == null) {
             try {
@@ -357,9 +360,9 @@
         }
         door.loop().execute(() -> {
             try {
-                Orders changed = book.change(change);
+                OperatorOverrides changed = book.change(change);
                 loop.execute(() -> {
-                    figures.ordersKnown(true);
+                    figures.overridesKnown(true);
                     obey(changed, 0);
                     done.complete(true);
                 });
@@ -373,7 +376,7 @@
     /** Obeys what is kept, which another process of this balancer may have changed. */
     private void obeyBook() {
         try {
-            Orders kept = book.read();
+            OperatorOverrides kept = book.read();
             loop.execute(() -> obey(kept, 0));
         } catch (IOException | RuntimeException e) {
             unknown("what was ordered at another process of this balancer", e);
@@ -381,15 +384,15 @@
     }
 
     /** Changes what operators want; if that can't be kept, nothing changes. */
-    private void order(UnaryOperator<Orders> change, int own) throws IOException {
+    private void order(UnaryOperator<OperatorOverrides> change, int own) throws IOException {
         if (succession == null) {
             obey(change.apply(orders), 0);
             return;
         }
-        Orders changed;
+        OperatorOverrides changed;
         FileLock lock = succession.lockShared();
         try {
-            changed = change.apply(Orders.read(folder));
+            changed = change.apply(OperatorOverrides.read(folder));
             changed.write(folder);
         } finally {
             lock.close();
@@ -398,14 +401,16 @@
     }
 
     /** Does what operators want; {@code own} of the reloads were this process's. */
-    private void obey(Orders given, long own) {
-        Orders before = orders;
+    private void obey(OperatorOverrides given, long own) {
+        OperatorOverrides before = orders;
         orders = given;
-        given.out().stream().filter(id -> !before.out().contains(id)).forEach(id -> use(id, false));
+        given.disabledUpstreams().stream().filter(id -> !before.disabledUpstreams().contains(id))
+                .forEach(id -> use(id, false));
         if (given.reloads() - own > before.reloads()) {
             follow();
         }
-        before.out().stream().filter(id -> !given.out().contains(id)).forEach(id -> use(id, true));
+        before.disabledUpstreams().stream().filter(id -> !given.disabledUpstreams().contains(id))
+                .forEach(id -> use(id, true));
         // What SIGTERM has begun, no order undoes.
         if (given.draining() && !ending) {
             beginHandDrain();
@@ -416,11 +421,11 @@
 
     private void use(String id, boolean used) {
         LOG.info(id + (used ? " is put back to use" : " is taken out of use") + " by hand");
-        long upstream = UpstreamList.number(id);
+        long upstream = UpstreamList.numericId(id);
         upstreams.ban(upstream, !used);
         tell(null, () -> {
-            balancer.upstreamBanned(clock.now(), upstream, !used);
-            figures.upstreams(upstreams.listed(), balancer.avoided());
+            balancer.upstreamDisabled(clock.now(), upstream, !used);
+            figures.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
         });
     }
 
@@ -428,8 +433,8 @@
         if (handDrain == null) {
             LOG.info("drains by hand");
             draining = true;
-            frontend.beginDrain(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            handDrain = loop.scheduleAtFixedRate(frontend::endDrain, LATE_CONNECTIONS_MS, DRAIN_CHECK_MS,
+            frontend.startDrain(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            handDrain = loop.scheduleAtFixedRate(frontend::closeIdle, LATE_CONNECTIONS_MS, DRAIN_CHECK_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -445,7 +450,7 @@
     }
 
     /** Where operators call; for tests. */
-    InetSocketAddress doorAddress() {
+    InetSocketAddress adminAddress() {
         return door.address();
     }
 
@@ -478,7 +483,7 @@
             Thread.sleep(DRAIN_CHECK_MS);
             succeeded = succeeded || handOver();
         }
-        loop.submit(() -> frontend.beginDrain(HttpResponseStatus.OK)).sync();
+        loop.submit(() -> frontend.startDrain(HttpResponseStatus.OK)).sync();
         // Those that come late come to the successor, where there is one.
         double idleFrom = succeeded ? sendAway : sendAway + LATE_CONNECTIONS_MS;
         while (clock.now() < idleFrom) {
@@ -489,10 +494,10 @@
         boolean done = awaitEnd(latest);
         // What SIGKILL found unanswered would be lost; a failure is an answer.
         loop.submit(() -> {
-            frontend.endAll();
+            frontend.refuseQueuedAndCloseIdle();
             List.copyOf(exchanges.values()).stream().filter(Exchange::isOpen)
                     .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT,
-                            Figures.Failure.ENDING));
+                            NodeMetrics.FailureReason.ENDING));
         }).sync();
         if (!done) {
             awaitEnd(latest + LAST_WORDS_MS);
@@ -504,7 +509,7 @@
         boolean done = false;
         while (!done && clock.now() < latest) {
             Thread.sleep(DRAIN_CHECK_MS);
-            done = endDrain();
+            done = closeIdleCallers();
         }
         return done;
     }
@@ -533,12 +538,12 @@
      * Signals come on threads of their own; what was read later must be taken later.
      */
     void reload(String path) throws InterruptedException {
-        figures.reloaded(read(path));
+        figures.configReloaded(read(path));
         if (succession != null && book == null) {
-            loop.submit(() -> inSuccession(processes -> order(Orders::withReload, 1))).sync();
+            loop.submit(() -> inSuccession(processes -> order(OperatorOverrides::withReload, 1))).sync();
         } else if (succession != null) {
             try {
-                Orders changed = book.change(Orders::withReload);
+                OperatorOverrides changed = book.change(OperatorOverrides::withReload);
                 loop.submit(() -> obey(changed, 1)).sync();
             } catch (IOException | RuntimeException e) {
                 LOG.warning("the other process of this balancer, if there is one, does not hear of this: "
@@ -562,7 +567,7 @@
      * Lays what the fleet has published for this balancer's service over its own file, as from now on each
      * reload does; null for nothing. Throws {@link ConfigException}, and then all is as before.
      */
-    synchronized void takePublished(JsonNode section) throws ConfigException, InterruptedException {
+    synchronized void applyPublished(JsonNode section) throws ConfigException, InterruptedException {
         NodeConfig replaced = NodeConfig.read(config.path(), config, section);
         loop.submit(() -> retune(replaced)).sync();
         published = section;
@@ -582,31 +587,31 @@
 
     private void retune(NodeConfig replaced) {
         config = replaced;
-        figures.show(replaced.classes());
-        upstreams.retune(replaced.settings());
-        frontend.retune(replaced);
+        figures.registerClasses(replaced.classes());
+        upstreams.settingsChanged(replaced.settings());
+        frontend.settingsChanged(replaced);
         // Before the module, which may begin to ask for itself.
         discovery.setPushed(!replaced.settings().subscribe());
-        tell(null, () -> balancer.retuned(clock.now(), replaced.settings()));
+        tell(null, () -> balancer.settingsChanged(clock.now(), replaced.settings()));
         discovery.moveTo(replaced.discovery());
         LOG.info("goes by a new configuration; discovery is at " + replaced.discovery());
     }
 
     /** Closes callers' connections that are idle; whether none is left. */
-    boolean endDrain() throws InterruptedException {
-        return loop.submit(frontend::endDrain).sync().getNow();
+    boolean closeIdleCallers() throws InterruptedException {
+        return loop.submit(frontend::closeIdle).sync().getNow();
     }
 
     /** Ends at once, whatever is under way; for tests. */
-    void kill() {
+    void shutdownNow() {
         if (door != null) {
-            door.kill();
+            door.shutdownNow();
         }
         if (presence != null) {
             presence.handOver();
         }
         if (succession != null) {
-            inSuccession(Succession::leave);
+            inSuccession(ProcessHandover::leave);
         }
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
@@ -642,12 +647,12 @@
     private void broken(Exchange about, Throwable cause) {
         LOG.log(Level.SEVERE, "the decision module failed", cause);
         if (about != null && about.isOpen()) {
-            fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR, Figures.Failure.DECISION_ERROR);
+            fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR, NodeMetrics.FailureReason.DECISION_ERROR);
         }
     }
 
     /** Fails a request over the module's head and tells it that the client waits no more. */
-    private void fail(Exchange exchange, HttpResponseStatus status, Figures.Failure why) {
+    private void fail(Exchange exchange, HttpResponseStatus status, NodeMetrics.FailureReason why) {
         figures.failed(why);
         exchange.answer(status, Unpooled.EMPTY_BUFFER, 0);
         leave(exchange);
@@ -667,7 +672,7 @@
             upstreams.update(list);
             list.members().forEach(member -> everListed.put(member.upstream().id(), true));
             tell(null, () -> listChanged(list.full() ? Change.FULL : Change.DELTA, entries));
-            figures.list(list.version(), clock.now() - arrivedAt);
+            figures.listInForce(list.version(), clock.now() - arrivedAt);
         }
 
         @Override
@@ -678,17 +683,18 @@
 
     private void listChanged(Change change, List<Upstream> entries) {
         balancer.upstreamsChanged(clock.now(), change, entries);
-        figures.upstreams(upstreams.listed(), balancer.avoided());
+        figures.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
     }
 
     /** Takes a request in; the node owns a reference to {@code message} from here on. */
-    Exchange request(Function<Long, Request> description, FullHttpRequest message, Exchange.Caller caller) {
+    Exchange acceptRequest(Function<Long, Request> description, FullHttpRequest message,
+            Exchange.Caller caller) {
         Request request = description.apply(++lastId);
         Exchange exchange = new Exchange(request.id(), config.classes().get(request.serviceClass()),
                 config.settings().classes().get(request.serviceClass()), message, request.deadline(), caller,
                 clock.now(), figures);
         exchanges.put(exchange.id, exchange);
-        exchange.arrivedAt = clock.now();
+        exchange.receivedAt = clock.now();
         if (exchange.upload == null) {
             watch(exchange);
             tell(exchange, () -> balancer.request(clock.now(), request));
@@ -700,31 +706,31 @@
 
     /** Takes in a request whose body comes on its own: its client's time counts from the last byte. */
     private void receive(Exchange exchange, Request request) {
-        double patience = request.deadline() - exchange.arrivedAt;
+        double patience = request.deadline() - exchange.receivedAt;
         watch(exchange);
         exchange.deadline = Double.POSITIVE_INFINITY;
-        exchange.arrivedAt = Double.NaN;
-        tell(exchange, () -> balancer.requestBegun(clock.now(), request));
-        exchange.upload.own(new Upload.Owner() {
+        exchange.receivedAt = Double.NaN;
+        tell(exchange, () -> balancer.requestStarted(clock.now(), request));
+        exchange.upload.setListener(new Upload.Listener() {
             @Override
-            public void arrived() {
+            public void onComplete() {
                 if (!exchange.isOpen()) {
                     return;
                 }
-                exchange.arrivedAt = clock.now();
+                exchange.receivedAt = clock.now();
                 exchange.deadline = clock.now() + patience;
-                exchange.overdue.cancel(false);
+                exchange.deadlineTimer.cancel(false);
                 watch(exchange);
                 exchange.attempts.stream().filter(Objects::nonNull)
-                        .forEach(attempt -> attempt.waitForAnswerUntil(exchange.deadline));
+                        .forEach(attempt -> attempt.setDeadline(exchange.deadline));
                 tell(exchange, () -> balancer.bodyArrived(clock.now(), exchange.id, exchange.deadline));
             }
 
             @Override
-            public void broken(Exception cause) {
+            public void onError(Exception cause) {
                 if (exchange.isOpen() && !exchange.isStreaming()) {
-                    frontend.turnedDown();
-                    exchange.reject(Frontend.status(cause), Unpooled.EMPTY_BUFFER);
+                    frontend.countBadRequest();
+                    exchange.reject(Frontend.errorStatus(cause), Unpooled.EMPTY_BUFFER);
                     leave(exchange);
                 }
             }
@@ -734,18 +740,19 @@
     /** Sees to it that a request has its answer, soon after its time is over at the latest. */
     private void watch(Exchange exchange) {
         double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
-        exchange.overdue = loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest),
+        exchange.deadlineTimer = loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest),
                 TimeUnit.NANOSECONDS);
     }
 
     /** The module has left a request without its answer; it must not stay so. */
     private void overdue(Exchange exchange) {
-        if (exchange.isOpen() && Double.isNaN(exchange.arrivedAt) && exchange.running > 0) {
+        if (exchange.isOpen() && Double.isNaN(exchange.receivedAt) && exchange.attemptsInFlight > 0) {
             // An attempt takes its body, and is watched for whether that moves on.
-            exchange.overdue = loop.schedule(() -> overdue(exchange), LARGE_CHECK_MS, TimeUnit.MILLISECONDS);
+            exchange.deadlineTimer = loop.schedule(() ->
+                    overdue(exchange), LARGE_CHECK_MS, TimeUnit.MILLISECONDS);
         } else if (exchange.isOpen()) {
             LOG.warning("a request was left without an answer");
-            fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, Figures.Failure.DEADLINE);
+            fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, NodeMetrics.FailureReason.DEADLINE);
         }
     }
 
@@ -772,15 +779,15 @@
 
     private void finished(Exchange exchange, int number, long upstream, double sentAt, Result result,
             FullHttpResponse response) {
-        exchange.running--;
+        exchange.attemptsInFlight--;
         exchange.lastResult = result;
-        double[] report = response == null || config.settings().reports() != Reports.PIGGYBACK ? null
+        double[] report = response == null || config.settings().reportMode() != ReportMode.PIGGYBACK ? null
                 : LoadReport.parse(response.headers().get("X-Pressure"), config.settings().reportFields());
         if (exchange.isStreaming()) {
             if (result == Result.OK) {
-                exchange.end();
+                exchange.endStream();
             } else {
-                figures.failed(Figures.Failure.BROKEN_ANSWER);
+                figures.failed(NodeMetrics.FailureReason.BROKEN_ANSWER);
                 exchange.answer(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
             }
         } else if (result == Result.OK) {
@@ -796,20 +803,20 @@
      * late its answer lies unread, and that is no work of the upstream's.
      */
     private double elapsed(Exchange exchange, int number, double sentAt) {
-        if (Double.isNaN(exchange.arrivedAt)) {
+        if (Double.isNaN(exchange.receivedAt)) {
             return 0;
         }
-        double since = clock.now() - Math.max(sentAt, exchange.arrivedAt);
-        return Math.max(0, since - exchange.heldUp(number) - monitor.lateness());
+        double since = clock.now() - Math.max(sentAt, exchange.receivedAt);
+        return Math.max(0, since - exchange.localDelay(number) - monitor.lag());
     }
 
     /** An answer too large to be held has begun; null if nobody waits for it. */
-    private Download begun(Exchange exchange, int number, double sentAt, UpstreamClient.Attempt attempt,
+    private ResponseSink begun(Exchange exchange, int number, double sentAt, UpstreamClient.Attempt attempt,
             long length) {
         if (!exchange.isOpen() || exchange.isStreaming()) {
             return null;
         }
-        Download download = exchange.begin(length, attempt::resume);
+        ResponseSink download = exchange.startStream(length, attempt::resume);
         tell(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number,
                 elapsed(exchange, number, sentAt)));
         return download;
@@ -817,7 +824,7 @@
 
     /** Forgets a request once nothing more can come of it. */
     private void settle(Exchange exchange) {
-        if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
+        if (!exchange.isOpen() && exchange.attemptsInFlight == 0 && exchanges.remove(exchange.id) != null) {
             exchange.request.release();
             if (exchange.upload != null) {
                 exchange.upload.discard();
@@ -830,8 +837,8 @@
     }
 
     /** What the module's decisions have cost so far. */
-    LoadBalancer.Work work() {
-        return balancer.work();
+    LoadBalancer.DecisionStats work() {
+        return balancer.stats();
     }
 
     // ---- What the module asks for ------------------------------------------------------------------
@@ -843,12 +850,12 @@
             return;
         }
         double now = clock.now();
-        int number = exchange.sends++;
-        exchange.running++;
+        int number = exchange.attemptsRequested++;
+        exchange.attemptsInFlight++;
         if (number > 0) {
-            figures.retried(exchange.lastResult);
+            figures.requestRetried(exchange.lastResult);
         }
-        if (!exchange.isAwaited(now) || now >= exchange.deadline
+        if (!exchange.isCallerWaiting(now) || now >= exchange.deadline
                 || number >= config.settings().limits().maxAttempts()
                 || exchange.upload != null && !exchange.upload.isRepeatable()) {
             exchange.attempts.add(null);
@@ -863,12 +870,12 @@
             }
 
             @Override
-            public boolean mayBegin() {
-                return exchange.mayBegin(number, clock.now());
+            public boolean maySend() {
+                return exchange.maySend(number, clock.now());
             }
 
             @Override
-            public Download begun(UpstreamClient.Attempt attempt, long length) {
+            public ResponseSink streamStarted(UpstreamClient.Attempt attempt, long length) {
                 return Node.this.begun(exchange, number, now, attempt, length);
             }
         };
@@ -882,7 +889,7 @@
 
     @Override
     public void fail(long requestId) {
-        figures.failed(Figures.Failure.UPSTREAMS);
+        figures.failed(NodeMetrics.FailureReason.UPSTREAMS);
         answer(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
@@ -903,14 +910,14 @@
     }
 
     @Override
-    public double heldUp(long requestId, int attempt) {
+    public double localDelay(long requestId, int attempt) {
         Exchange exchange = exchanges.get(requestId);
-        return exchange == null ? 0 : exchange.heldUp(attempt) + monitor.lateness();
+        return exchange == null ? 0 : exchange.localDelay(attempt) + monitor.lag();
     }
 
     @Override
-    public double spareTime(double now) {
-        return monitor.spare();
+    public double idleTime(double now) {
+        return monitor.idleTime();
     }
 
     private static void cancel(UpstreamClient.Attempt attempt) {
@@ -951,7 +958,7 @@
     public void setTimer(long token, double at) {
         Exchange about = subject;
         loop.schedule(() -> {
-            if (clock.now() > at + LoopMonitor.LATE_MS) {
+            if (clock.now() > at + LoopMonitor.LATE_THRESHOLD_MS) {
                 // The loop is late: the sockets have their turn first, and with them what ends the wait.
                 loop.schedule(() -> ring(about, token), 1, TimeUnit.NANOSECONDS);
             } else {
@@ -966,7 +973,7 @@
 
     /** Balancers of this deployment have no way to talk to each other. */
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         LOG.warning("the module wants to talk to its peers, which it can't here");
     }
 
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -79,7 +79,7 @@
         void finished(Result result, FullHttpResponse response);
 
         /** Whether it may still be begun, asked as its connection is up: that may have taken long. */
-        default boolean mayBegin() {
+        default boolean maySend() {
             return true;
         }
 
@@ -87,7 +87,7 @@
          * A served answer has begun that is too large to be held; its length is negative if not known.
          * Returns who takes it, null for nobody.
          */
-        default Download begun(Attempt attempt, long length) {
+        default ResponseSink streamStarted(Attempt attempt, long length) {
             return null;
         }
     }
@@ -96,8 +96,8 @@
     private final Clock clock;
     private final DoubleSupplier lateness;
     private Settings settings;
-    private final Sockets sockets;
-    private final Figures figures;
+    private final SocketBudget sockets;
+    private final NodeMetrics figures;
     private final Bootstrap bootstrap;
     /** All connections that stand idle, the longest idle first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
@@ -118,8 +118,9 @@
     private double toldAt = Double.NEGATIVE_INFINITY;
 
     /** {@code lateness} tells how long what is read now has lain unread, in ms. */
-    UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier lateness, Settings settings, Sockets sockets,
-            Figures figures, ByteBufAllocator memory) {
+    UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier lateness, Settings settings,
+            SocketBudget sockets,
+            NodeMetrics figures, ByteBufAllocator memory) {
         this.loop = loop;
         this.clock = clock;
         this.lateness = lateness;
@@ -135,8 +136,8 @@
                                 new ResponseAggregator(MAX_BODY), new Connection(channel, decoder));
                     }
                 });
-        retune(settings);
-        sockets.evictUpstreamsWith(new Sockets.IdlePool() {
+        settingsChanged(settings);
+        sockets.evictUpstreamsWith(new SocketBudget.IdlePool() {
             @Override
             public double idleSince() {
                 return idle.isEmpty() ? Double.NaN : idle.iterator().next().idleSince;
@@ -151,7 +152,7 @@
     }
 
     /** From now on goes by these settings; what is under way keeps its times. */
-    final void retune(Settings replaced) {
+    final void settingsChanged(Settings replaced) {
         settings = replaced;
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, settings.limits().connectTimeout()));
@@ -279,7 +280,7 @@
         List.copyOf(moving).stream().filter(attempt -> attempt.isStalled(still)).forEach(Attempt::expire);
         double oldest = clock.now() - longestIdle();
         while (!idle.isEmpty() && idle.iterator().next().idleSince < oldest) {
-            figures.closed(Figures.Closing.UPSTREAM_IDLE);
+            figures.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_IDLE);
             evictIdle();
         }
         // Whoever left long ago and holds nothing need not be remembered.
@@ -294,12 +295,12 @@
     }
 
     /** How many upstreams the list has. */
-    int listed() {
+    int listedCount() {
         return listed;
     }
 
     /** How many upstreams it knows; for tests. */
-    int known() {
+    int targetCount() {
         return targets.size();
     }
 
@@ -363,7 +364,7 @@
         private boolean written;
         private boolean over;
         /** Who takes the answer, once a large one has begun; and when something last moved. */
-        private Download download;
+        private ResponseSink download;
         private double movedAt;
 
         private Attempt(FullHttpRequest request, boolean probe, double latest, Listener listener) {
@@ -371,11 +372,11 @@
             this.probe = probe;
             this.latest = latest;
             this.listener = listener;
-            upload = request instanceof LargeRequest large ? large.upload : null;
+            upload = request instanceof StreamedRequest large ? large.upload : null;
         }
 
         /** Sets how long to wait at the most, as a body has come. */
-        void waitForAnswerUntil(double given) {
+        void setDeadline(double given) {
             latest = given;
             waitUntil(given);
         }
@@ -400,7 +401,7 @@
                 begin(kept);
             } else if (!sockets.roomForUpstream()) {
                 // This process's own want says nothing of the upstream.
-                figures.failed(Figures.ConnectFailure.NO_DESCRIPTOR);
+                figures.failed(NodeMetrics.ConnectFailure.NO_DESCRIPTOR);
                 end(Result.NOT_SENT, null);
             } else {
                 connect(to);
@@ -410,13 +411,13 @@
         private void connect(Target to) {
             ChannelFuture connect = Channels.connect(bootstrap, to.member.address());
             if (connect == null) {
-                figures.failed(Figures.ConnectFailure.NO_SOCKET);
+                figures.failed(NodeMetrics.ConnectFailure.NO_SOCKET);
                 end(Result.NOT_SENT, null);
                 return;
             }
             channel = connect.channel();
             sockets.count(channel);
-            figures.connected();
+            figures.connectionStarted();
             connect.addListener(up -> {
                 if (over) {
                     channel.close();
@@ -424,7 +425,7 @@
                     putOff(lateness.getAsDouble());
                     begin(channel.pipeline().get(Connection.class));
                 } else {
-                    figures.failed(Figures.ConnectFailure.NOT_UP);
+                    figures.failed(NodeMetrics.ConnectFailure.NOT_UP);
                     end(Result.CONNECT_FAILED, null);
                 }
             });
@@ -440,7 +441,7 @@
         }
 
         /** How long this process has held it up before its request went out, in ms. */
-        double heldUp() {
+        double localDelay() {
             return heldUp;
         }
 
@@ -453,7 +454,7 @@
                     || now >= target.drainingSince + settings.rules().drainGrace();
             boolean restarted = !target.isStill(meant);
             boolean late = drained || restarted || now >= until || upload != null && !upload.isRepeatable()
-                    || !listener.mayBegin();
+                    || !listener.maySend();
             if (over) {
                 // Whoever was asked has called it off, and its connection is closed.
                 return;
@@ -501,7 +502,7 @@
             if (!written) {
                 broke();
             } else if (!probe) {
-                figures.dispatched();
+                figures.attemptSent();
             }
         }
 
@@ -553,7 +554,7 @@
 
         /** A large answer has begun. */
         private boolean begun(HttpResponse head) {
-            download = listener.begun(this, HttpUtil.getContentLength(head, -1L));
+            download = listener.streamStarted(this, HttpUtil.getContentLength(head, -1L));
             if (download == null || over) {
                 return false;
             }
@@ -717,7 +718,7 @@
             target.idle.addLast(this);
             idle.add(this);
             if (idle.size() > sockets.mostIdleUpstreams()) {
-                figures.closed(Figures.Closing.UPSTREAM_FOR_ROOM);
+                figures.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_FOR_ROOM);
                 evictIdle();
             }
         }
--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -153,7 +153,7 @@
             threads.shutdownNow();
         }
         SlopeReport report = new SlopeReport("discovery", COMMAND, "upstream")
-                .with("watch_ms", DiscoveryClient.LONGEST_WAIT_MS).with("release_ms", RELEASE_MS)
+                .with("watch_ms", DiscoveryClient.MAX_WAIT_MS).with("release_ms", RELEASE_MS)
                 .with("zones", ZONES).with("not_in_it", "TCP and IP headers");
         Map<Integer, List<Double>> points = new LinkedHashMap<>();
         add(report, "whole-list", "bytes", runs, (size, seen) -> seen.whole().bytes());
@@ -196,7 +196,7 @@
         try (ServerSocket free = new ServerSocket(0)) {
             at = new InetSocketAddress(here, free.getLocalPort());
         }
-        try (Stage stage = new Stage(0)) {
+        try (NodeFixture fixture = new NodeFixture(0)) {
             server = new DiscoveryServer(loops.next(), new LabClock(), 0, Map.of(here, 0),
                     Map.of(0, "n0"), (from, to) -> new InetSocketAddress("127.1." + to / 250 + "."
                     + (1 + to % 250), 8_081), event -> { });
@@ -207,7 +207,7 @@
             server.bind(at);
             try (Counter counter = new Counter(at)) {
                 Path file = folder.resolve("config-" + size + ".json");
-                Files.writeString(file, stage.config().replace(stage.discovery.address(),
+                Files.writeString(file, fixture.config().replace(fixture.discovery.address(),
                         "127.0.0.1:" + counter.listening.getLocalPort()));
                 return play(size, server, counter, NodeConfig.read(file.toString()),
                         loops.next());
@@ -224,7 +224,7 @@
             throws Exception {
         AtomicLong told = new AtomicLong();
         DiscoveryClient discovery = loop.submit(() -> new DiscoveryClient(loop, new Clock()::now,
-                config.discoveryStart(), config::parseList, UnpooledByteBufAllocator.DEFAULT,
+                config.discoveryOptions(), config::parseList, UnpooledByteBufAllocator.DEFAULT,
                 new DiscoveryClient.Listener() {
                     @Override
                     public void changed(UpstreamList list) {
--- a/src/test/java/cranedeal/node/ReloadBenchmark.java
+++ b/src/test/java/cranedeal/node/ReloadBenchmark.java
@@ -29,8 +29,8 @@
     private Path folder;
 
     /** A configuration with that many upstreams and classes. */
-    private Path file(Stage stage, int upstreams, int classes) throws Exception {
-        String text = stage.config();
+    private Path file(NodeFixture fixture, int upstreams, int classes) throws Exception {
+        String text = fixture.config();
         int from = text.indexOf("\"services\":[");
         int to = text.indexOf("\"limits\":{\"attemptsCap\"");
         String services = IntStream.range(0, classes).mapToObj(i -> """
@@ -38,13 +38,13 @@
                  "idempotency":"idempotent","streamed":false}""".formatted(i))
                 .collect(Collectors.joining(",\n"));
         text = text.substring(0, from) + "\"services\":[" + services + "],\n" + text.substring(to);
-        text = text.replace(Stage.roster(41, true), ListBenchmark.list(upstreams))
+        text = text.replace(NodeFixture.listJson(41, true), ListBenchmark.list(upstreams))
                 .replace("[\"dakar-a\"]", names(ListBenchmark.ZONES))
                 .replace("[\"front-mid\"]", names(ListBenchmark.KINDS));
         Path file = folder.resolve("config-" + upstreams + "-" + classes + ".json");
         Files.writeString(file, text);
         NodeConfig read = NodeConfig.read(file.toString());
-        if (read.known().members().size() != upstreams || read.classes().size() != classes) {
+        if (read.knownUpstreams().members().size() != upstreams || read.classes().size() != classes) {
             throw new AssertionError("another configuration than was meant: " + read);
         }
         return file;
@@ -60,12 +60,12 @@
         Map<Integer, ThreadCost.Code> takeByUpstreams = new LinkedHashMap<>();
         Map<Integer, ThreadCost.Code> readByClasses = new LinkedHashMap<>();
         Map<Integer, ThreadCost.Code> takeByClasses = new LinkedHashMap<>();
-        try (Stage stage = new Stage(0)) {
+        try (NodeFixture fixture = new NodeFixture(0)) {
             for (int size : ListBenchmark.SIZES) {
-                add(file(stage, size, FEW_CLASSES), size, size, readByUpstreams, takeByUpstreams);
+                add(file(fixture, size, FEW_CLASSES), size, size, readByUpstreams, takeByUpstreams);
             }
             for (int classes : CLASSES) {
-                add(file(stage, FEW_UPSTREAMS, classes), FEW_UPSTREAMS, classes, readByClasses,
+                add(file(fixture, FEW_UPSTREAMS, classes), FEW_UPSTREAMS, classes, readByClasses,
                         takeByClasses);
             }
         }
@@ -87,7 +87,7 @@
         LoadBalancer balancer = ListBenchmark.module(inForce.settings(), upstreams);
         read.put(size, () -> NodeConfig.read(file.toString(), inForce, null));
         take.put(size, () -> {
-            balancer.retuned(1e6, inForce.settings());
+            balancer.settingsChanged(1e6, inForce.settings());
             return balancer;
         });
     }
