--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/cranedeal/node/Exchange.java
@@ -10,88 +10,94 @@
 import java.util.List;
 import java.util.concurrent.Future;
 
-/** A request from its arrival until it has its one answer and none of its attempts is out. */
+/** A caller's request, from its arrival until it is answered once and has no attempt in flight. */
 final class Exchange {
 
-    /** Who waits for the answer. It is told it whole, or in pieces between {@code begin} and an end. */
+    /**
+     * Receives the answer: either complete, or streamed in chunks between {@link #startStream} and
+     * {@link #endStream} or {@link #abort}.
+     */
     interface Caller extends ResponseSink {
 
-        /** Whether it still waits, by what its connection says at this moment; not from within its reads. */
+        /** Reads the caller's connection and returns true if it is still up; not to be called in a read. */
         boolean isConnected();
 
         /**
-         * Writes the answer; called once at most. The body is not to be kept; {@code retryAfter} in ms is
-         * when to come back, 0 for no advice.
+         * Writes a complete answer; called at most once.
+         *
+         * @param body must not be kept
+         * @param retryAfter ms after which to retry; 0 for no advice
          */
         void answer(HttpResponseStatus status, ByteBuf body, double retryAfter);
 
         /**
-         * Begins with the answer of a served request.
+         * Starts a streamed answer with status 200.
          *
          * @param length negative if it is not known
-         * @param drained run each time when pieces can be taken again
+         * @param onWritable run each time when more chunks can be written
          */
-        void startStream(long length, Runnable drained);
+        void startStream(long length, Runnable onWritable);
 
-        /** That was the whole answer. */
+        /** Ends a streamed answer that is complete. */
         void endStream();
 
-        /** The rest of the answer won't come, and the caller must be able to tell. */
+        /** Breaks a streamed answer off, in a way that the caller can tell from a complete one. */
         void abort();
     }
 
-    /** For how many ms it is taken for granted that a caller is still there. */
-    private static final double SURELY_THERE_MS = 1;
+    /** For how many ms after a check the caller is assumed to be still connected. */
+    private static final double CONNECTED_CHECK_INTERVAL_MS = 1;
 
     final long id;
-    /** Its class's name as the configuration has it, and the class by the settings of its arrival. */
+    /** Name of its service class, and the class as the settings had it when the request arrived. */
     private final String className;
     private final ServiceClass serviceClass;
-    private final NodeMetrics figures;
+    private final NodeMetrics metrics;
     final FullHttpRequest request;
-    /** The body where that comes on its own; null for others. */
+    /** The body if it is streamed; otherwise null. */
     final Upload upload;
     double deadline;
     final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
-    /** How many attempts were asked for, and how many of them are out; one not sent is null in the list. */
+    /** Attempts that the module has asked for, and those in flight; one not sent is null in the list. */
     int attemptsRequested;
     int attemptsInFlight;
-    /** How the latest attempt that is over has ended; cancelled if none has, as a copy is sent beside one. */
+    /** Result of the attempt that ended last; CANCELLED if none has ended, as with a hedged request. */
     Result lastResult = Result.CANCELLED;
     Future<?> deadlineTimer;
-    /** When its body was there; NaN while that is on its way. */
+    /** When its whole body had been received; NaN while it is arriving. */
     double receivedAt;
     private Caller caller;
-    /** When it was last known that the caller was there, in ms of the clock. */
-    private double seenAt;
-    private boolean begun;
+    /** When the caller was last known to be connected, in ms of the clock. */
+    private double connectedCheckedAt;
+    private boolean streamStarted;
 
     Exchange(long id, String className, ServiceClass serviceClass, FullHttpRequest request, double deadline,
-            Caller caller, double now, NodeMetrics figures) {
+            Caller caller, double now, NodeMetrics metrics) {
         this.id = id;
         this.className = className;
         this.serviceClass = serviceClass;
-        this.figures = figures;
+        this.metrics = metrics;
         this.request = request;
         upload = request instanceof StreamedRequest large ? large.upload : null;
         this.deadline = deadline;
         this.caller = caller;
-        seenAt = now;
-        figures.requestStarted();
+        connectedCheckedAt = now;
+        metrics.requestStarted();
     }
 
     boolean isOpen() {
         return caller != null;
     }
 
-    /** Whether its answer has begun to go out, and has not ended. */
+    /** Returns true while a streamed answer is being written. */
     boolean isStreaming() {
-        return begun && isOpen();
+        return streamStarted && isOpen();
     }
 
     /**
-     * Whether an attempt may go out now, some time after the module has asked for it: only while somebody
-     * waits, and where repeats are dropped for a while, only for that long after another may have run.
+     * Returns true if an attempt may be written now, some time after the module has asked for it: only while
+     * the caller waits, and for a class whose repeats upstreams deduplicate, only within the class's
+     * deduplication window after another attempt may have run.
      */
     boolean maySend(int number, double now) {
         if (!isCallerWaiting(now)) {
@@ -102,7 +108,7 @@
         }
         for (int i = 0; i < attempts.size(); i++) {
             UpstreamClient.Attempt other = attempts.get(i);
-            if (i != number && other != null && now >= other.mayHaveRunFrom() + serviceClass.dedupWindow()) {
+            if (i != number && other != null && now >= other.mayHaveRunSince() + serviceClass.dedupWindow()) {
                 return false;
             }
         }
@@ -110,69 +116,70 @@
     }
 
     /**
-     * Whether somebody waits for its answer, and has not left while this process was busy elsewhere. Who
-     * sends a body that comes on its own is not asked: its connection is being read, or reading is to wait.
+     * Returns true if the caller still waits for an answer, also checking that it has not disconnected while
+     * this process was busy. The connection of a streamed body is not checked: it is being read, or reading
+     * is paused.
      */
     boolean isCallerWaiting(double now) {
-        if (!isOpen() || upload != null || now <= seenAt + SURELY_THERE_MS) {
+        if (!isOpen() || upload != null || now <= connectedCheckedAt + CONNECTED_CHECK_INTERVAL_MS) {
             return isOpen();
         }
-        seenAt = now;
+        connectedCheckedAt = now;
         return caller.isConnected();
     }
 
-    /** How long this process held an attempt up before its request went out, in ms. */
+    /** Returns by how many ms this process delayed an attempt before its request was written. */
     double localDelay(int number) {
         UpstreamClient.Attempt attempt = number < attempts.size() ? attempts.get(number) : null;
         return attempt == null ? 0 : attempt.localDelay();
     }
 
-    /** Answers unless that is done already or nobody waits any more; breaks off an answer that has begun. */
+    /** Answers the caller if it still waits; if a streamed answer has started, breaks it off instead. */
     void answer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
-        Caller waiting = caller;
-        if (waiting == null) {
+        Caller waitingCaller = caller;
+        if (waitingCaller == null) {
             return;
         }
         close();
-        figures.requestAnswered(className, begun ? HttpResponseStatus.BAD_GATEWAY : status);
-        if (begun) {
-            waiting.abort();
+        metrics.requestAnswered(className, streamStarted ? HttpResponseStatus.BAD_GATEWAY : status);
+        if (streamStarted) {
+            waitingCaller.abort();
         } else {
-            waiting.answer(status, body, retryAfter);
+            waitingCaller.answer(status, body, retryAfter);
         }
     }
 
-    /** Turns down what has proved to be no request; it counts for no class. */
+    /** Rejects a request whose body turned out to be malformed; it counts for no class. */
     void reject(HttpResponseStatus status, ByteBuf body) {
-        Caller waiting = caller;
-        if (waiting != null && !begun) {
+        Caller waitingCaller = caller;
+        if (waitingCaller != null && !streamStarted) {
             close();
-            waiting.answer(status, body, 0);
+            waitingCaller.answer(status, body, 0);
         }
     }
 
-    /** Begins with an answer that comes in pieces, and returns who takes them. */
-    ResponseSink startStream(long length, Runnable drained) {
-        begun = true;
+    /** Starts a streamed answer and returns the sink for its chunks. */
+    ResponseSink startStream(long length, Runnable onWritable) {
+        streamStarted = true;
         if (deadlineTimer != null) {
             deadlineTimer.cancel(false);
         }
-        caller.startStream(length, drained);
+        caller.startStream(length, onWritable);
         return caller;
     }
 
-    /** The answer that has begun is whole. */
+    /** Ends a streamed answer that is complete. */
     void endStream() {
-        Caller waiting = caller;
+        Caller waitingCaller = caller;
         close();
-        figures.requestAnswered(className, HttpResponseStatus.OK);
-        waiting.endStream();
+        metrics.requestAnswered(className, HttpResponseStatus.OK);
+        waitingCaller.endStream();
     }
 
-    /** Nobody waits for an answer any more. */
+    /** Marks that the caller no longer waits for an answer. */
     void close() {
         if (caller != null) {
-            figures.requestEnded();
+            metrics.requestEnded();
         }
         caller = null;
         if (deadlineTimer != null) {
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -45,101 +45,103 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 
-/** Takes callers' requests, checks that they are well formed, and writes each one's answer. */
+/** Accepts callers' connections, reads and validates their HTTP requests, and writes the answers. */
 final class Frontend {
 
-    /** Callers that may wait to be accepted: two looks take them in, also where the processor is short. */
-    private static final int BACKLOG = 1_024;
-    /** How soon it accepts again after that has failed, in ms. */
-    private static final long ACCEPT_AGAIN_MS = 10;
-    /** Callers that are taken in at one look at the sockets; those with a connection wait meanwhile. */
-    private static final int ACCEPTED_AT_ONCE = 512;
-    /** How soon it is looked again whether requests that wait for a descriptor can be sent on, in ms. */
-    private static final long BLOCKED_MS = 1;
+    /** Length of the accept queue: two reads of the listening socket empty it even when CPU is scarce. */
+    private static final int ACCEPT_BACKLOG = 1_024;
+    /** How long to pause accepting after an accept has failed, in ms. */
+    private static final long ACCEPT_RETRY_MS = 10;
+    /** Callers accepted per read of the listening socket; established connections wait meanwhile. */
+    private static final int MAX_ACCEPTS_PER_READ = 512;
+    /** How soon to check again if requests that wait for a descriptor can be sent on, in ms. */
+    private static final long BLOCKED_RETRY_MS = 1;
     private static final String HEALTH_PATH = "/_health";
-    /** Requests that a connection may send ahead of their turn. */
-    private static final int MAX_AHEAD = 16;
-    /** The largest body that is taken. */
-    static final long MAX_LARGE = 32 << 20;
+    /** Pipelined requests per connection, including the current one. */
+    private static final int MAX_PIPELINED = 16;
+    /** The largest request body that is accepted, in bytes. */
+    static final long MAX_BODY_BYTES = 32 << 20;
     /**
-     * How long a connection may take for its first request, and a later request from its head to its end:
-     * callers may need 2 s for a head, and whoever sends no request is to be closed 3 s after it came.
+     * Time for the first request of a connection to arrive, and for a later request from its first byte to
+     * its end. Callers may need 2 s for a head, and a connection that sends no request must be closed within
+     * 3 s of being opened.
      */
-    private static final double PATIENCE_MS = 2_500;
-    /** The bytes of a body that buy a ms more: half as many as the slowest callers send. */
-    private static final double SLOWEST = 32;
-    /** How long a body may stand still once its patience is over. */
-    private static final double GAP_MS = 1_000;
-    /** How long a connection that has been served may stand idle. */
-    private static final double IDLE_MS = 10_000;
-    /** From when on a connection that has been served may be closed for another. */
-    private static final double MAY_CLOSE_MS = 2_000;
-    /** How long a connection is left alone in a drain for its first request to come. */
-    private static final double FRESH_MS = 250;
-    /** Two of these after its patience is over, a connection is surely closed. */
-    private static final long SWEEP_MS = 250;
-    /** How often it is told that callers were turned down, where any were. */
-    private static final double TELL_EVERY_MS = 10_000;
-    /** How long a caller that was answered for the last time may go on sending. */
+    private static final double REQUEST_TIMEOUT_MS = 2_500;
+    /** Body bytes that extend the request timeout by 1 ms: half the rate of the slowest callers. */
+    private static final double MIN_BYTES_PER_MS = 32;
+    /** How long a body may make no progress after the request timeout has passed. */
+    private static final double BODY_STALL_TIMEOUT_MS = 1_000;
+    /** How long a connection that has been served may stay idle. */
+    private static final double IDLE_TIMEOUT_MS = 10_000;
+    /** How long a served connection must have been idle before it may be evicted for another. */
+    private static final double MIN_IDLE_BEFORE_EVICTION_MS = 2_000;
+    /** How long a new connection is kept open during a drain, or before eviction, for its first request. */
+    private static final double FIRST_REQUEST_GRACE_MS = 250;
+    /** Interval between sweeps; a timed-out connection is closed within two of them. */
+    private static final long SWEEP_INTERVAL_MS = 250;
+    /** Minimum interval between log lines about rejected callers. */
+    private static final double LOG_INTERVAL_MS = 10_000;
+    /** How long a caller may go on sending after the last answer of its connection. */
     private static final long LINGER_MS = 500;
-    /** How long it may take to read that answer. */
-    private static final long UNREAD_MS = 5_000;
-    /** Resting connections that are looked at for one that may go. */
-    private static final int MOST_LOOKS = 16;
-    /** How many connections that had to make room may be on their way out and still hold a descriptor. */
-    private static final int MOST_LEAVING = 8;
-    /** When a caller that is refused for want of processor time ought to come again, in ms. */
-    private static final double RETURN_MS = 500;
-    /** What the kernel may hold of a large answer. */
-    private static final int SEND_BUFFER = 128 * 1_024;
+    /** How long a caller may take to read that answer. */
+    private static final long FLUSH_TIMEOUT_MS = 5_000;
+    /** How many connections to examine for one that can be evicted. */
+    private static final int MAX_EVICTION_CANDIDATES = 16;
+    /** How many evicted connections may still be closing gracefully, each holding a descriptor. */
+    private static final int MAX_CLOSING_EVICTED = 8;
+    /** Advised retry delay for a caller refused because this process is short of CPU, in ms. */
+    private static final double OVERLOAD_RETRY_AFTER_MS = 500;
+    /** Kernel send buffer for a streamed answer, in bytes. */
+    private static final int STREAM_SEND_BUFFER_BYTES = 128 * 1_024;
 
     private final EventLoop loop;
     private NodeConfig config;
-    private final SocketBudget sockets;
-    private final ByteBufAllocator memory;
+    private final SocketBudget socketBudget;
+    private final ByteBufAllocator allocator;
     private final Node node;
-    private final NodeMetrics figures;
+    private final NodeMetrics metrics;
     private final LoopMonitor monitor;
-    /** The connections whose requests have been read and wait to be handled. */
-    private final Arrivals<Connection> arrivals;
+    /** Connections whose current request has been read and waits to be handled. */
+    private final RequestQueue<Connection> requestQueue;
     private RequestParser parser;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Those of them that have been served and rest, the longest first. */
-    private final Set<Connection> resting = new LinkedHashSet<>();
-    /** Those of them that no whole request has come on, the oldest first. */
+    /** Served connections without a request in progress, the longest idle first. */
+    private final Set<Connection> idleConnections = new LinkedHashSet<>();
+    /** Connections that have not delivered a whole request yet, the oldest first. */
     private final Set<Connection> unserved = new LinkedHashSet<>();
-    /** Those that had to make room and are not closed yet, the earliest first. */
-    private final ArrayDeque<Connection> leaving = new ArrayDeque<>();
-    private Channel listening;
-    /** The socket of {@link #listening}. */
-    private ServerSocketChannel socket;
+    /** Evicted connections that are not closed yet, the earliest evicted first. */
+    private final ArrayDeque<Connection> closingEvicted = new ArrayDeque<>();
+    private Channel listenChannel;
+    /** The socket of {@link #listenChannel}. */
+    private ServerSocketChannel listenSocket;
     private boolean draining;
-    /** Whether nobody is accepted any more; the socket is closed soon after. */
-    private boolean deaf;
-    /** What the front hears when it asks how this balancer does. */
-    private HttpResponseStatus health = HttpResponseStatus.OK;
-    /** Callers turned down since it was last told: for what they sent, and for what they did not send. */
-    private int malformed;
-    private int silent;
-    private double toldAt = Double.NEGATIVE_INFINITY;
-
-    Frontend(EventLoop loop, NodeConfig config, SocketBudget sockets, ByteBufAllocator memory, Node node,
-            NodeMetrics figures, LoopMonitor monitor, Clock clock) {
+    /** True once accepting has stopped; the listening socket is closed soon after. */
+    private boolean acceptingStopped;
+    /** Status of the answers to the front's health checks. */
+    private HttpResponseStatus healthStatus = HttpResponseStatus.OK;
+    /** Malformed requests, and callers that timed out, since these counts were last logged. */
+    private int malformedRequests;
+    private int timedOutCallers;
+    private double loggedAt = Double.NEGATIVE_INFINITY;
+
+    Frontend(EventLoop loop, NodeConfig config, SocketBudget socketBudget, ByteBufAllocator allocator,
+            Node node, NodeMetrics metrics, LoopMonitor monitor, Clock clock) {
         this.loop = loop;
         this.config = config;
-        this.sockets = sockets;
-        this.memory = memory;
+        this.socketBudget = socketBudget;
+        this.allocator = allocator;
         this.node = node;
-        this.figures = figures;
+        this.metrics = metrics;
         this.monitor = monitor;
-        arrivals = new Arrivals<>(clock::now, sockets::mayOpenUpstream, Connection::handleWaiting,
-                Connection::refuseLate);
-        sockets.evictCallersWith(new SocketBudget.IdlePool() {
+        requestQueue = new RequestQueue<>(clock::now, socketBudget::canOpenUpstream, Connection::handleQueued,
+                Connection::refuseExpired);
+        socketBudget.setCallerPool(new SocketBudget.IdlePool() {
             @Override
             public double idleSince() {
-                double since = resting.isEmpty() ? Double.NaN : resting.iterator().next().since;
+                double oldest = idleConnections.isEmpty() ? Double.NaN
+                        : idleConnections.iterator().next().idleSince;
                 // NaN compares false.
-                return node.now() >= since + MAY_CLOSE_MS ? since : Double.NaN;
+                return node.now() >= oldest + MIN_IDLE_BEFORE_EVICTION_MS ? oldest : Double.NaN;
             }
 
             @Override
@@ -150,29 +152,34 @@
         settingsChanged(config);
     }
 
-    /** From now on requests are read by these settings. */
-    final void settingsChanged(NodeConfig replaced) {
-        config = replaced;
-        parser = new RequestParser(replaced);
+    /** Parses later requests with a new configuration. */
+    final void settingsChanged(NodeConfig newConfig) {
+        config = newConfig;
+        parser = new RequestParser(newConfig);
     }
 
-    /** Starts to listen; at an address that another process of this balancer has too if that is so. */
+    /**
+     * Starts to listen.
+     *
+     * @param shared true if another process of this balancer listens at the same address
+     */
     void bind(boolean shared) throws ConfigException, InterruptedException {
-        socket = open();
+        listenSocket = openSocket();
         ServerBootstrap server = new ServerBootstrap().group(loop)
-                .channelFactory(() -> new CallerListener(socket, this::mayTake,
-                        () -> figures.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN)))
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+                .channelFactory(() -> new CallerServerChannel(listenSocket, this::mayAccept,
+                        () -> metrics.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN)))
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTED_AT_ONCE))
-                .childOption(ChannelOption.ALLOCATOR, memory).childOption(ChannelOption.TCP_NODELAY, true)
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_READ))
+                .childOption(ChannelOption.ALLOCATOR, allocator).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        RequestAggregator whole = new RequestAggregator(UpstreamClient.MAX_BODY, MAX_LARGE);
+                        RequestAggregator aggregator = new RequestAggregator(UpstreamClient.MAX_BUFFERED_BODY,
+                                MAX_BODY_BYTES);
                         RequestDecoder decoder = new RequestDecoder();
-                        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), whole,
-                                new Connection(channel, decoder, whole));
+                        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), aggregator,
+                                new Connection(channel, decoder, aggregator));
                     }
                 });
         server.handler(new AcceptGate());
@@ -184,208 +191,216 @@
             throw new ConfigException("cannot listen on " + config.listen() + ": "
                     + bound.cause().getMessage());
         }
-        listening = bound.channel();
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        listenChannel = bound.channel();
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether there may be room for a caller besides so many that are on their way; closes nothing. */
-    private boolean mayTake(int others) {
-        return sockets.mayTakeCaller(others)
-                || !unserved.isEmpty() && unserved.iterator().next().since <= node.now() - FRESH_MS;
+    /** Returns true if there may be room for a caller besides {@code others} being accepted; closes none. */
+    private boolean mayAccept(int others) {
+        return socketBudget.mayAcceptCaller(others)
+                || !unserved.isEmpty()
+                && unserved.iterator().next().idleSince <= node.now() - FIRST_REQUEST_GRACE_MS;
     }
 
     /**
-     * Stands before whatever is accepted. Without room for it a caller is closed unread, which costs next to
-     * nothing: to close others that may be used again would have these come anew, and to leave it in the
-     * queue would have it wait without an answer.
+     * Admits accepted connections. A caller for whom there is no room is closed unread, which costs next to
+     * nothing. Closing connections that are still in use instead would make their callers reconnect, and
+     * leaving the caller in the accept queue would make it wait without an answer.
      */
     private final class AcceptGate extends ChannelInboundHandlerAdapter {
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-            if (sockets.roomForCaller() || evictSilent()) {
+            if (socketBudget.makeRoomForCaller() || evictSilent()) {
                 ctx.fireChannelRead(accepted);
             } else {
-                figures.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN);
+                metrics.connectionClosed(NodeMetrics.CloseReason.CALLER_NOT_TAKEN);
                 ((Channel) accepted).unsafe().closeForcibly();
             }
         }
 
         /**
-         * An accept has failed: that passes, whether the caller has left, or a descriptor or memory is short.
-         * By default Netty accepts nobody for a second then; here somebody makes room, and it goes on soon.
+         * Handles a failed accept. The cause is temporary: the caller has left, or descriptors or memory are
+         * short. Netty would stop accepting for a second; this evicts an idle connection and resumes sooner.
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            figures.connectionClosed(NodeMetrics.CloseReason.ACCEPT_FAILED);
-            sockets.evictIdle();
+            metrics.connectionClosed(NodeMetrics.CloseReason.ACCEPT_FAILED);
+            socketBudget.evictIdle();
             ctx.channel().config().setAutoRead(false);
             loop.schedule(() -> {
-                if (!deaf) {
+                if (!acceptingStopped) {
                     ctx.channel().config().setAutoRead(true);
                 }
-            }, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+            }, ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private static ServerSocketChannel open() throws ConfigException {
+    private static ServerSocketChannel openSocket() throws ConfigException {
         try {
             return ServerSocketChannel.open();
         } catch (IOException e) {
-            throw new ConfigException("no socket to listen on: " + e.getMessage());
+            throw new ConfigException("cannot open a socket to listen on: " + e.getMessage());
         }
     }
 
-    /** Closes what has no request and has had its time: whoever sends nothing must not hold a descriptor. */
+    /** Closes timed-out connections, so that silent callers do not hold descriptors, and reports metrics. */
     private void sweep() {
         double now = node.now();
         for (Connection connection : new ArrayList<>(connections)) {
             connection.checkTransfer(now);
-            if (connection.isOverdue(now)) {
-                // The request may have come and not been read yet, least of all where the processor is short.
+            if (connection.isTimedOut(now)) {
+                // When CPU is scarce, the request may have arrived without having been read yet.
                 connection.readNow();
-                if (connection.isOverdue(now)) {
-                    if (connection.served && !connection.partial()) {
+                if (connection.isTimedOut(now)) {
+                    if (connection.served && !connection.hasPartialRequest()) {
                         connection.shutDown();
                     } else {
-                        // Nothing is owed to whoever sent no whole request but that it is over in time.
-                        silent++;
+                        // A caller that sent no whole request needs no graceful close.
+                        timedOutCallers++;
                         connection.channel.close();
                     }
                 }
             }
         }
-        figures.loopDelay(monitor.takeLongestBusy(), arrivals.takeLongestWait(), arrivals.size());
-        figures.decisionWork(node.work());
-        figures.descriptorUse(connections.size(), resting.size(), sockets.open(), sockets.limit());
-        if (malformed + silent > 0 && now >= toldAt + TELL_EVERY_MS) {
-            Node.LOG.info("turned down " + malformed + " bad requests and " + silent + " silent callers");
-            toldAt = now;
-            malformed = 0;
-            silent = 0;
+        metrics.loopDelay(monitor.takeLongestBusy(), requestQueue.takeLongestWait(), requestQueue.size());
+        metrics.decisionWork(node.work());
+        metrics.descriptorUse(connections.size(), idleConnections.size(), socketBudget.open(),
+                socketBudget.limit());
+        if (malformedRequests + timedOutCallers > 0 && now >= loggedAt + LOG_INTERVAL_MS) {
+            Node.LOG.info("rejected " + malformedRequests + " malformed requests and closed "
+                    + timedOutCallers + " callers that timed out");
+            loggedAt = now;
+            malformedRequests = 0;
+            timedOutCallers = 0;
         }
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) listenChannel.localAddress();
     }
 
-    /** From now on every answer asks its caller to leave, and the front has the given answer. */
-    void startDrain(HttpResponseStatus healthMeanwhile) {
+    /** Starts a drain: answers carry {@code Connection: close}, and health checks get the given status. */
+    void startDrain(HttpResponseStatus newHealthStatus) {
         draining = true;
-        health = healthMeanwhile;
+        healthStatus = newHealthStatus;
     }
 
-    /** Leaves new callers to another process that listens at the same address, and sends away who is here. */
+    /** Drains and leaves new callers to another process that listens at the same address. */
     void handOver() {
         startDrain(HttpResponseStatus.OK);
         stopListening();
     }
 
-    /** Takes in who waits to be accepted, and nobody after that. */
+    /** Accepts the connections in the accept queue, and none after that. */
     void stopListening() {
-        if (deaf) {
+        if (acceptingStopped) {
             return;
         }
-        deaf = true;
-        // Only once no selector knows the socket does closing it take effect at once.
-        listening.deregister();
+        acceptingStopped = true;
+        // Closing the socket takes effect at once only when it is registered with no selector.
+        listenChannel.deregister();
         loop.schedule(this::closeListener, 1, TimeUnit.MILLISECONDS);
     }
 
-    /** Closing the socket resets who waits in its queue: nothing is done between the last look and that. */
+    /**
+     * Accepts what is left in the accept queue and closes the listening socket. Closing resets connections
+     * that are still queued, so nothing happens between the last accept and the close.
+     */
     private void closeListener() {
-        List<java.nio.channels.SocketChannel> last = new ArrayList<>();
-        try (ServerSocketChannel closed = socket) {
+        List<java.nio.channels.SocketChannel> accepted = new ArrayList<>();
+        try (ServerSocketChannel closed = listenSocket) {
             for (var caller = closed.accept(); caller != null; caller = closed.accept()) {
-                last.add(caller);
+                accepted.add(caller);
             }
         } catch (IOException e) {
-            // Out of descriptors, most likely: who is left in the queue has to come again.
-            Node.LOG.log(Level.WARNING, "the listening socket was closed in disorder", e);
+            // Most likely out of descriptors; callers left in the queue have to reconnect.
+            Node.LOG.log(Level.WARNING, "the listening socket closed before its accept queue was empty", e);
         }
-        last.forEach(caller -> listening.pipeline().fireChannelRead(new NioSocketChannel(listening, caller)));
-        listening.close();
+        accepted.forEach(caller -> listenChannel.pipeline().fireChannelRead(
+                new NioSocketChannel(listenChannel, caller)));
+        listenChannel.close();
     }
 
-    /** Callers may stay again. */
+    /** Ends a drain: callers may keep their connections again. */
     void stopDrain() {
         draining = false;
-        health = HttpResponseStatus.OK;
+        healthStatus = HttpResponseStatus.OK;
     }
 
-    /** Closes what is idle; whether nothing is left and nobody can come, so that the process may end. */
+    /** Closes idle connections; returns true if none is left and none can come, so the process may exit. */
     boolean closeIdle() {
-        if (listening != null) {
-            Channels.readNow(listening);
+        if (listenChannel != null) {
+            Channels.readNow(listenChannel);
         }
         for (Connection connection : new ArrayList<>(connections)) {
-            // A request that lies unread in the kernel would be lost with its connection.
+            // A request that is still unread in the kernel would be lost with its connection.
             connection.readNow();
-            // Nor must one be cut off whose request is on its way in; it has its time, like any.
-            if (connection.isIdle() && !connection.partial() && !connection.isFresh()) {
+            // A connection whose request is arriving keeps the usual timeouts.
+            if (connection.isIdle() && !connection.hasPartialRequest() && !connection.awaitsFirstRequest()) {
                 connection.shutDown();
             }
         }
-        return connections.isEmpty() && deaf && !socket.isOpen();
+        return connections.isEmpty() && acceptingStopped && !listenSocket.isOpen();
     }
 
-    /** Handles a slice of what waits, and goes on with the rest once the sockets have had their turn. */
+    /** Handles a slice of the queued requests, and schedules the rest for after the next socket poll. */
     private void handleSlice() {
-        switch (arrivals.handleSlice()) {
-            // What is executed rather than scheduled would run before the sockets are looked at.
+        switch (requestQueue.handleSlice()) {
+            // A task passed to execute() would run before the sockets are polled.
             case READY -> loop.schedule(this::handleSlice, 1, TimeUnit.NANOSECONDS);
-            case BLOCKED -> loop.schedule(this::handleSlice, BLOCKED_MS, TimeUnit.MILLISECONDS);
+            case BLOCKED -> loop.schedule(this::handleSlice, BLOCKED_RETRY_MS, TimeUnit.MILLISECONDS);
             default -> { }
         }
     }
 
-    /** At the end of a drain: nothing that comes from now on is taken, and who waits is refused. */
+    /** Ends a drain: refuses queued requests, and shuts down connections that have no request in progress. */
     void refuseQueuedAndCloseIdle() {
         List.copyOf(connections).forEach(
-                connection -> connection.refuseWaiting(NodeMetrics.RefusalReason.ENDING));
+                connection -> connection.refuseQueued(NodeMetrics.RefusalReason.ENDING));
         List.copyOf(connections).stream().filter(Connection::isIdle)
                 .forEach(connection -> connection.shutDown());
     }
 
-    /** Closes the caller's connection that has been idle for longest, as it may between requests. */
+    /** Closes the caller's connection that has been idle for longest; returns false if none may be closed. */
     private boolean evictIdle() {
-        for (int looks = Math.min(MOST_LOOKS, resting.size()); looks > 0 && !resting.isEmpty(); looks--) {
-            Connection connection = resting.iterator().next();
-            if (node.now() < connection.since + MAY_CLOSE_MS) {
+        for (int candidates = Math.min(MAX_EVICTION_CANDIDATES, idleConnections.size());
+                candidates > 0 && !idleConnections.isEmpty(); candidates--) {
+            Connection connection = idleConnections.iterator().next();
+            if (node.now() < connection.idleSince + MIN_IDLE_BEFORE_EVICTION_MS) {
                 return false;
             }
-            // A request may have come that nobody has read yet.
+            // A request may have arrived that has not been read yet.
             connection.readNow();
             if (connection.isEvictable()) {
-                figures.connectionClosed(NodeMetrics.CloseReason.CALLER_FOR_ROOM);
+                metrics.connectionClosed(NodeMetrics.CloseReason.CALLER_FOR_ROOM);
                 connection.shutDown();
-                leaving.addLast(connection);
-                if (leaving.size() > MOST_LEAVING) {
-                    leaving.pollFirst().channel.close();
+                closingEvicted.addLast(connection);
+                if (closingEvicted.size() > MAX_CLOSING_EVICTED) {
+                    closingEvicted.pollFirst().channel.close();
                 }
                 return true;
             }
-            // It is about to be served, or to end.
-            resting.remove(connection);
+            // It is about to be served or closed.
+            idleConnections.remove(connection);
         }
         return false;
     }
 
-    /** Closes the oldest connection on which nothing has come, once it has had some time. */
+    /** Closes the oldest connection that has sent nothing, if it is old enough; returns false if none is. */
     private boolean evictSilent() {
-        double latest = node.now() - FRESH_MS;
-        for (int looks = MOST_LOOKS; looks > 0 && !unserved.isEmpty(); looks--) {
+        double latestOpenedAt = node.now() - FIRST_REQUEST_GRACE_MS;
+        for (int candidates = MAX_EVICTION_CANDIDATES; candidates > 0 && !unserved.isEmpty(); candidates--) {
             Connection connection = unserved.iterator().next();
-            if (connection.since > latest) {
+            if (connection.idleSince > latestOpenedAt) {
                 return false;
             }
             connection.readNow();
-            // One that has begun to send has its time, like any.
+            // A connection whose request is arriving keeps the usual timeouts.
             unserved.remove(connection);
-            if (connection.isIdle() && !connection.served && !connection.partial()) {
-                figures.connectionClosed(NodeMetrics.CloseReason.SILENT_CALLER_FOR_ROOM);
-                silent++;
+            if (connection.isIdle() && !connection.served && !connection.hasPartialRequest()) {
+                metrics.connectionClosed(NodeMetrics.CloseReason.SILENT_CALLER_FOR_ROOM);
+                timedOutCallers++;
                 connection.channel.close();
                 return true;
             }
@@ -393,44 +408,44 @@
         return false;
     }
 
-    /** A request, and when it came, in ms of the clock. */
-    private record Received(FullHttpRequest request, double at) { }
+    /** A request and its arrival time, in ms of the clock. */
+    private record ReceivedRequest(FullHttpRequest request, double arrivedAt) { }
 
-    /** One caller's connection: one request at a time, those sent ahead wait for their turn. */
+    /** A caller's connection. It has one current request; pipelined ones wait for their turn. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest>
             implements Exchange.Caller {
 
         private final Channel channel;
-        private final ArrayDeque<Received> ahead = new ArrayDeque<>();
-        /** The request at work; the exchange is known once the node has it. */
+        private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
+        /** The current request; null if there is none. */
         private FullHttpRequest current;
-        /** When it came, in ms of the clock. */
-        private double currentAt;
+        /** Arrival time of the current request, in ms of the clock. */
+        private double currentArrivedAt;
         private Exchange exchange;
-        /** Whether the request at work waits among the {@link #arrivals}. */
-        private boolean waits;
+        /** True while the current request waits in the {@link #requestQueue}. */
+        private boolean queued;
         private final RequestDecoder decoder;
-        private final RequestAggregator whole;
-        /** Since when it has stood without a request; for a request that has begun to come, when that was. */
-        private double since = node.now();
-        private boolean coming;
+        private final RequestAggregator aggregator;
+        /** Start of the time without a request; once a request is arriving, the time of its first bytes. */
+        private double idleSince = node.now();
+        private boolean receivingRequest;
         private boolean served;
-        /** How much of a body had come at the last look, and when it, or an answer, last moved. */
-        private long moved;
-        private double movedAt = since;
-        /** Run when more of an answer can be taken that is passed on as it comes; null if there is none. */
-        private Runnable drained;
-        /** Whether nothing more is read as a request: where the last one ends may be in doubt. */
-        private boolean ended;
-        /** Whether the answer at hand, or the one before, is the last. */
+        /** Body bytes received by the last read, and when a body or an answer last made progress. */
+        private long lastReceivedBytes;
+        private double lastProgressAt = idleSince;
+        /** Run when more of a streamed answer can be written; null if no answer is being streamed. */
+        private Runnable onWritable;
+        /** True if nothing more is parsed as a request, such as when the end of the last one is ambiguous. */
+        private boolean parsingStopped;
+        /** True if the current answer, or the one before, is the last of the connection. */
         private boolean closing;
-        /** Whether an answer that has begun says where it ends. */
+        /** True if the streamed answer has a Content-Length or is chunked, rather than ended by the close. */
         private boolean framed;
 
-        Connection(Channel channel, RequestDecoder decoder, RequestAggregator whole) {
+        Connection(Channel channel, RequestDecoder decoder, RequestAggregator aggregator) {
             this.channel = channel;
             this.decoder = decoder;
-            this.whole = whole;
+            this.aggregator = aggregator;
         }
 
         boolean isIdle() {
@@ -438,42 +453,44 @@
         }
 
         boolean isEvictable() {
-            return isIdle() && served && !partial() && channel.isActive();
+            return isIdle() && served && !hasPartialRequest() && channel.isActive();
         }
 
-        /** Whether a request has come in part. */
-        boolean partial() {
-            return whole.isPartial() || decoder.isInHead();
+        /** Returns true if a request has arrived in part. */
+        boolean hasPartialRequest() {
+            return aggregator.isPartial() || decoder.isInHead();
         }
 
-        /** Whether its first request may be just behind it, such as the front's question. */
-        boolean isFresh() {
-            return !served && node.now() < since + FRESH_MS;
+        /** Returns true if the first request, such as the front's health check, may still be on its way. */
+        boolean awaitsFirstRequest() {
+            return !served && node.now() < idleSince + FIRST_REQUEST_GRACE_MS;
         }
 
-        boolean isOverdue(double now) {
-            return isIdle() && (partial() ? comesTooSlowly(now)
-                    : now > since + (served ? IDLE_MS : PATIENCE_MS));
+        boolean isTimedOut(double now) {
+            return isIdle() && (hasPartialRequest() ? isTooSlow(now)
+                    : now > idleSince + (served ? IDLE_TIMEOUT_MS : REQUEST_TIMEOUT_MS));
         }
 
-        private boolean comesTooSlowly(double now) {
-            return now > since + PATIENCE_MS
-                    && (now > since + PATIENCE_MS + whole.received() / SLOWEST || now > movedAt + GAP_MS);
+        private boolean isTooSlow(double now) {
+            return now > idleSince + REQUEST_TIMEOUT_MS
+                    && (now > idleSince + REQUEST_TIMEOUT_MS + aggregator.received() / MIN_BYTES_PER_MS
+                            || now > lastProgressAt + BODY_STALL_TIMEOUT_MS);
         }
 
-        /** Ends what is at work with a body that does not come, or an answer that is not taken. */
+        /** Aborts an upload whose body has stalled, or a streamed answer that the caller does not read. */
         void checkTransfer(double now) {
-            if (current instanceof StreamedRequest large && !large.upload.isWhole() && !closing
-                    && channel.config().isAutoRead() && comesTooSlowly(now)) {
-                silent++;
+            if (current instanceof StreamedRequest large && !large.upload.isComplete() && !closing
+                    && channel.config().isAutoRead() && isTooSlow(now)) {
+                timedOutCallers++;
                 large.upload.fail(ReadTimeoutException.INSTANCE);
-            } else if (drained != null && !channel.isWritable() && now > movedAt + UpstreamClient.STALL_MS) {
-                silent++;
+            } else if (onWritable != null && !channel.isWritable()
+                    && now > lastProgressAt + UpstreamClient.STALL_TIMEOUT_MS) {
+                timedOutCallers++;
                 channel.close();
             }
         }
 
-        /** Reads what the kernel holds, unless that is to wait. */
+        /** Reads what the kernel has buffered, unless reading is paused. */
         void readNow() {
             if (channel.config().isAutoRead()) {
                 Channels.readNow(channel);
@@ -482,21 +499,21 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            // The first request has its time from the start, however little of it comes.
-            if (served && partial() != coming) {
-                coming = !coming;
-                since = node.now();
+            // The timeout of the first request counts from the start of the connection.
+            if (served && hasPartialRequest() != receivingRequest) {
+                receivingRequest = !receivingRequest;
+                idleSince = node.now();
             }
-            if (whole.received() != moved) {
-                moved = whole.received();
-                movedAt = node.now();
+            if (aggregator.received() != lastReceivedBytes) {
+                lastReceivedBytes = aggregator.received();
+                lastProgressAt = node.now();
             }
             ctx.fireChannelReadComplete();
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            sockets.countCaller(channel);
+            socketBudget.countCaller(channel);
             connections.add(this);
             unserved.add(this);
             ctx.fireChannelActive();
@@ -504,125 +521,125 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (ended) {
+            if (parsingStopped) {
                 if (request instanceof StreamedRequest large) {
                     large.upload.discard();
                 }
                 return;
             }
-            // An answer to another method may have no body, and is no place to go on from. Answers that pile
-            // up unread would take the memory of all.
-            ended = !request.decoderResult().isSuccess() || !HttpUtil.isKeepAlive(request)
+            // An answer to another method may have no body, which would leave the position of the next answer
+            // ambiguous. A caller that does not read its answers must not fill up memory.
+            parsingStopped = !request.decoderResult().isSuccess() || !HttpUtil.isKeepAlive(request)
                     || !RequestParser.isGet(request) && !RequestParser.isPost(request)
-                    || ahead.size() == MAX_AHEAD - 1 || !channel.isWritable();
-            // Where the loop is late, that may be long ago.
+                    || pipelined.size() == MAX_PIPELINED - 1 || !channel.isWritable();
+            // A late loop reads a request long after it has arrived.
             double arrivedAt = node.now() - monitor.lag();
-            Received received = new Received(request.retain(), arrivedAt);
+            ReceivedRequest received = new ReceivedRequest(request.retain(), arrivedAt);
             if (current == null) {
-                take(received);
+                startRequest(received);
             } else {
-                ahead.addLast(received);
+                pipelined.addLast(received);
             }
         }
 
         /**
-         * Handles a request once it is known that its caller has not left behind it. Where this process was
-         * late to read it, the end of its connection may have come with it, and would be seen only after it
-         * was sent on; so what the kernel holds is read first, and not from within a read.
+         * Makes a request the current one and queues it. If the process was late to read the request, the end
+         * of its connection may already be behind it and would be seen only after the request was sent on. So
+         * the request is handled later, after another read of the socket, which must not be nested in a read.
          */
-        private void take(Received received) {
+        private void startRequest(ReceivedRequest received) {
             current = received.request();
-            currentAt = received.at();
+            currentArrivedAt = received.arrivedAt();
             exchange = null;
-            resting.remove(this);
+            idleConnections.remove(this);
             unserved.remove(this);
             if (current instanceof StreamedRequest) {
-                // Its body goes on to come, and has to have its owner by then.
+                // The body keeps arriving and needs its listener now.
                 handle(current);
             } else {
-                waits = true;
-                if (arrivals.add(this)) {
+                queued = true;
+                if (requestQueue.add(this)) {
                     loop.execute(Frontend.this::handleSlice);
                 }
             }
         }
 
-        /** Its turn has come. Whatever goes wrong with it is its own, as others wait behind it. */
-        void handleWaiting() {
-            if (!waits) {
+        /** Handles the queued request. An exception fails only this request; others are queued behind it. */
+        void handleQueued() {
+            if (!queued) {
                 return;
             }
-            waits = false;
+            queued = false;
             try {
                 if (isConnected()) {
                     handle(current);
                 }
             } catch (RuntimeException e) {
-                Node.LOG.log(Level.SEVERE, "a request could not be handled", e);
+                Node.LOG.log(Level.SEVERE, "failed to handle a request", e);
                 if (current != null) {
-                    figures.failed(NodeMetrics.FailureReason.HANDLER_ERROR);
-                    write(HttpResponseStatus.INTERNAL_SERVER_ERROR, Unpooled.EMPTY_BUFFER, 0);
+                    metrics.failed(NodeMetrics.FailureReason.HANDLER_ERROR);
+                    writeAnswer(HttpResponseStatus.INTERNAL_SERVER_ERROR, Unpooled.EMPTY_BUFFER, 0);
                 }
             }
         }
 
-        /** Its turn has come too late for it to be served. */
-        void refuseLate() {
+        /** Refuses the queued request, which has waited too long, if a refusal is a valid answer to it. */
+        void refuseExpired() {
             if (isRefusable()) {
-                refuseWaiting(NodeMetrics.RefusalReason.PROCESSOR);
+                refuseQueued(NodeMetrics.RefusalReason.PROCESSOR);
             } else {
-                handleWaiting();
+                handleQueued();
             }
         }
 
-        /** Refuses the request that waits for its turn, if there is one. */
-        void refuseWaiting(NodeMetrics.RefusalReason why) {
-            if (waits) {
-                waits = false;
-                refuseOverloaded(why);
+        /** Refuses the queued request, if there is one. */
+        void refuseQueued(NodeMetrics.RefusalReason reason) {
+            if (queued) {
+                queued = false;
+                refuseOverloaded(reason);
             }
         }
 
-        /** Whether a refusal is a proper answer to the request at work. */
+        /** Returns true if a refusal is a valid answer to the queued request. */
         private boolean isRefusable() {
-            return waits && current.decoderResult().isSuccess() && !current.uri().equals(HEALTH_PATH);
+            return queued && current.decoderResult().isSuccess() && !current.uri().equals(HEALTH_PATH);
         }
 
-        /** Refuses the request at work before anything is done for it. */
-        private void refuseOverloaded(NodeMetrics.RefusalReason why) {
+        /** Refuses the current request before any work is done for it. */
+        private void refuseOverloaded(NodeMetrics.RefusalReason reason) {
             String name = RequestParser.className(current);
-            figures.requestRefused(why);
-            if (parser.knows(name)) {
-                figures.requestAnswered(name, HttpResponseStatus.SERVICE_UNAVAILABLE);
+            metrics.requestRefused(reason);
+            if (parser.hasClass(name)) {
+                metrics.requestAnswered(name, HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
-            double longest = config.settings().limits().maxRetryAfter();
-            boolean advised = config.settings().limits().retryAfter();
-            write(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER,
-                    advised ? Math.min(longest, RETURN_MS) : 0);
+            double maxRetryAfter = config.settings().limits().maxRetryAfter();
+            boolean adviseRetry = config.settings().limits().retryAfter();
+            writeAnswer(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER,
+                    adviseRetry ? Math.min(maxRetryAfter, OVERLOAD_RETRY_AFTER_MS) : 0);
         }
 
         @Override
         public boolean isConnected() {
             readNow();
             if (!channel.isActive()) {
-                // The loop hears of its end only later.
-                leave();
+                // The event loop reports the end of the connection only later.
+                dropRequests();
             }
             return channel.isActive();
         }
 
-        /** Ends what is under way for a caller that has left. */
-        private void leave() {
-            dropAhead();
-            Exchange left = exchange;
+        /** Drops the requests of a caller that has disconnected. */
+        private void dropRequests() {
+            dropPipelined();
+            Exchange abandoned = exchange;
             exchange = null;
-            waits = false;
+            queued = false;
             if (current != null) {
-                drop(current);
+                discard(current);
                 current = null;
             }
-            if (left != null) {
-                node.clientGone(left);
+            if (abandoned != null) {
+                node.clientGone(abandoned);
             }
         }
 
@@ -632,33 +649,33 @@
                 return;
             }
             if (request.uri().equals(HEALTH_PATH)) {
-                write(health, Unpooled.EMPTY_BUFFER, 0);
+                writeAnswer(healthStatus, Unpooled.EMPTY_BUFFER, 0);
                 return;
             }
             try {
-                RequestParser.Template template = parser.parse(request, currentAt);
-                Exchange begun = node.acceptRequest(template::withId, request.retain(), this);
-                // The answer may have come already, and with it the next request.
-                if (begun.isOpen()) {
-                    exchange = begun;
+                RequestParser.Template template = parser.parse(request, currentArrivedAt);
+                Exchange started = node.acceptRequest(template::withId, request.retain(), this);
+                // The request may already be answered, and the next one started.
+                if (started.isOpen()) {
+                    exchange = started;
                 }
             } catch (RequestParser.BadRequestException e) {
                 reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
             }
         }
 
-        private void reject(HttpResponseStatus status, String why) {
-            malformed++;
-            write(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
+        private void reject(HttpResponseStatus status, String reason) {
+            malformedRequests++;
+            writeAnswer(status, Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8), 0);
         }
 
         @Override
         public void answer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
-            write(status, body.retain(), retryAfter);
+            writeAnswer(status, body.retain(), retryAfter);
         }
 
         @Override
-        public void startStream(long length, Runnable writable) {
+        public void startStream(long length, Runnable whenWritable) {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             framed = length >= 0 || current.protocolVersion().equals(HttpVersion.HTTP_1_1);
             if (length >= 0) {
@@ -666,24 +683,24 @@
             } else if (framed) {
                 HttpUtil.setTransferEncodingChunked(response, true);
             } else {
-                // The end of the connection ends it, and nothing can come behind that.
-                dropAhead();
-                ended = true;
+                // The close of the connection marks the end of the answer, so no other answer can follow.
+                dropPipelined();
+                parsingStopped = true;
             }
-            if (isLast()) {
+            if (isLastAnswer()) {
                 response.headers().set("Connection", "close");
             }
-            drained = writable;
-            movedAt = node.now();
-            // What the kernel holds for a slow caller would hide for seconds whether it takes anything.
-            channel.config().setOption(ChannelOption.SO_SNDBUF, SEND_BUFFER);
+            onWritable = whenWritable;
+            lastProgressAt = node.now();
+            // A larger kernel buffer would hide for seconds that a slow caller reads nothing.
+            channel.config().setOption(ChannelOption.SO_SNDBUF, STREAM_SEND_BUFFER_BYTES);
             channel.config().setWriteBufferWaterMark(Upload.WATER_MARK);
             channel.write(response);
         }
 
         @Override
-        public void piece(ByteBuf piece) {
-            channel.writeAndFlush(new DefaultHttpContent(piece));
+        public void writeChunk(ByteBuf chunk) {
+            channel.writeAndFlush(new DefaultHttpContent(chunk));
         }
 
         @Override
@@ -693,133 +710,133 @@
 
         @Override
         public void endStream() {
-            finish(LastHttpContent.EMPTY_LAST_CONTENT);
+            finishAnswer(LastHttpContent.EMPTY_LAST_CONTENT);
         }
 
         @Override
         public void abort() {
             exchange = null;
             if (!framed) {
-                // Where only the end of the connection ends an answer, nothing but a reset tells.
+                // If the close marks the end of the answer, only a reset shows that it is incomplete.
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
                 channel.close();
                 return;
             }
-            drained = null;
-            dropAhead();
-            drop(current);
+            onWritable = null;
+            dropPipelined();
+            discard(current);
             current = null;
             shutDown();
         }
 
-        private void dropAhead() {
-            ahead.forEach(received -> drop(received.request()));
-            ahead.clear();
+        private void dropPipelined() {
+            pipelined.forEach(received -> discard(received.request()));
+            pipelined.clear();
         }
 
-        /** Whether the answer at hand is the connection's last; from then on nothing more is read. */
-        private boolean isLast() {
-            ended |= draining;
-            closing |= ended && ahead.isEmpty();
+        /** Returns true if the current answer is the last of the connection; stops reading if so. */
+        private boolean isLastAnswer() {
+            parsingStopped |= draining;
+            closing |= parsingStopped && pipelined.isEmpty();
             return closing;
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            movedAt = node.now();
-            if (drained != null && channel.isWritable()) {
-                drained.run();
+            lastProgressAt = node.now();
+            if (onWritable != null && channel.isWritable()) {
+                onWritable.run();
             }
             ctx.fireChannelWritabilityChanged();
         }
 
-        /** Writes an answer and goes on to the next request; takes the body over. */
-        private void write(HttpResponseStatus status, ByteBuf body, double retryAfter) {
+        /** Writes an answer and starts the next request; takes ownership of the body. */
+        private void writeAnswer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
             response.headers().set("Content-Length", body.readableBytes());
             if (retryAfter > 0) {
-                response.headers().set("Retry-After", UpstreamClient.seconds(Math.ceil(retryAfter)));
+                response.headers().set("Retry-After", UpstreamClient.formatSeconds(Math.ceil(retryAfter)));
             }
-            boolean early = current instanceof StreamedRequest large && !large.upload.isWhole();
-            // The rest of its body is still to come, and may be long.
-            ended |= early;
-            if (isLast()) {
+            boolean bodyIncomplete = current instanceof StreamedRequest large && !large.upload.isComplete();
+            // The rest of the request's body is still to come, and may be long.
+            parsingStopped |= bodyIncomplete;
+            if (isLastAnswer()) {
                 response.headers().set("Connection", "close");
             }
-            finish(response);
+            finishAnswer(response);
         }
 
-        /** Writes the end of an answer and goes on to the next request. */
-        private void finish(HttpObject last) {
+        /** Writes the last part of an answer and starts the next request. */
+        private void finishAnswer(HttpObject lastPart) {
             FullHttpRequest request = current;
-            boolean early = request instanceof StreamedRequest large && !large.upload.isWhole();
-            if (early) {
+            boolean bodyIncomplete = request instanceof StreamedRequest large && !large.upload.isComplete();
+            if (bodyIncomplete) {
                 ((StreamedRequest) request).upload.discard();
             }
-            // Whoever reads a large answer slowly is still to have its end.
-            long unread = drained == null ? UNREAD_MS : (long) UpstreamClient.STALL_MS;
-            drained = null;
+            // A caller that reads a streamed answer slowly must still get the end of it.
+            long flushTimeout = onWritable == null ? FLUSH_TIMEOUT_MS
+                    : (long) UpstreamClient.STALL_TIMEOUT_MS;
+            onWritable = null;
             channel.config().setWriteBufferWaterMark(WriteBufferWaterMark.DEFAULT);
             request.release();
             current = null;
             exchange = null;
             served = true;
-            since = node.now();
+            idleSince = node.now();
             unserved.remove(this);
-            resting.add(this);
-            channel.writeAndFlush(last);
+            idleConnections.add(this);
+            channel.writeAndFlush(lastPart);
             if (closing) {
-                shutDown(unread, early ? unread : LINGER_MS);
+                shutDown(flushTimeout, bodyIncomplete ? flushTimeout : LINGER_MS);
                 return;
             }
-            Received next = ahead.pollFirst();
+            ReceivedRequest next = pipelined.pollFirst();
             if (next != null) {
-                take(next);
+                startRequest(next);
             }
         }
 
-        /** Ends the connection in order, with the usual times. */
+        /** Closes the connection gracefully, with the default timeouts. */
         void shutDown() {
-            shutDown(UNREAD_MS, LINGER_MS);
+            shutDown(FLUSH_TIMEOUT_MS, LINGER_MS);
         }
 
         /**
-         * Ends the connection in order, as everything does that has no cause to break it off: what is
-         * written goes out, then the sending ends; what still comes is thrown away, and once the caller has
-         * ended too, or has had its time, the connection is closed. To close on bytes that still come in
-         * would reset it and could take an answer with it. A request among them was not read, and its caller
-         * sends it again.
+         * Closes the connection gracefully: flushes what is written, then ends the output. Input is
+         * discarded, and the connection is closed once the caller has ended it too or a timeout has passed.
+         * Closing while bytes still arrive would reset the connection, and an answer could be lost. A request
+         * among those bytes was not processed, and its caller sends it again.
          *
-         * @param unread ms that it may take to read what was written
+         * @param flushTimeout ms that the caller may take to read what was written
          * @param linger ms for which the caller may go on sending after that
          */
-        private void shutDown(long unread, long linger) {
-            resting.remove(this);
+        private void shutDown(long flushTimeout, long linger) {
+            idleConnections.remove(this);
             unserved.remove(this);
-            ended = true;
+            parsingStopped = true;
             closing = true;
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
                 ((SocketChannel) channel).shutdownOutput();
                 loop.schedule(() -> channel.close(), linger, TimeUnit.MILLISECONDS);
             });
-            loop.schedule(() -> channel.close(), unread, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> channel.close(), flushTimeout, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            resting.remove(this);
+            idleConnections.remove(this);
             unserved.remove(this);
-            leaving.remove(this);
-            drained = null;
-            leave();
+            closingEvicted.remove(this);
+            onWritable = null;
+            dropRequests();
             ctx.fireChannelInactive();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof PrematureChannelClosureException) {
-                malformed++;
+                malformedRequests++;
             } else if (!(cause instanceof IOException)) {
                 Node.LOG.log(Level.WARNING, "a caller's connection failed", cause);
             }
@@ -827,23 +844,23 @@
         }
     }
 
-    /** Forgets a request that will have no answer. */
-    private static void drop(FullHttpRequest request) {
+    /** Releases a request that will get no answer. */
+    private static void discard(FullHttpRequest request) {
         request.release();
         if (request instanceof StreamedRequest large) {
             large.upload.discard();
         }
     }
 
-    /** How to tell a caller that its request can't be read. */
+    /** Returns the status of the answer to a request that could not be decoded. */
     static HttpResponseStatus errorStatus(Throwable cause) {
         return cause instanceof TooLongHttpContentException ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
                 : cause instanceof ReadTimeoutException ? HttpResponseStatus.REQUEST_TIMEOUT
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
-    /** A caller was turned down whose body could not be read. */
+    /** Counts a request that was rejected because its body could not be decoded. */
     void countBadRequest() {
-        malformed++;
+        malformedRequests++;
     }
 }
--- a/src/main/java/cranedeal/node/RequestAggregator.java
+++ b/src/main/java/cranedeal/node/RequestAggregator.java
@@ -22,29 +22,33 @@
 import java.util.List;
 
 /**
- * Puts whole requests together; one that is too large for that goes on as a {@link StreamedRequest}. One
- * whose
- * head leaves in doubt where it ends, or that is larger than any may be, goes on as a request that failed to
- * decode, and whoever gets it must read no further: what follows may be the inside of its body.
+ * Aggregates requests; one that is too large to be buffered is passed on as a {@link StreamedRequest}. A
+ * request whose end is ambiguous, or that exceeds the largest size, is passed on as one that failed to
+ * decode; its receiver must not read any further, as what follows may be part of its body.
  */
 final class RequestAggregator extends HttpObjectAggregator {
 
-    private final int longest;
-    private final long largest;
-    /** Whether a request's head has come and its end has not. */
+    private final int maxBuffered;
+    private final long maxBody;
+    /** True while a request's head has arrived and its end has not. */
     private boolean partial;
-    /** How much of the body has come. */
+    /** Bytes of the body that have arrived. */
     private long received;
-    /** A request that may be large: its head, what is held of its body, and once it is, the rest. */
+    /** A request that may be large: its head, its buffered body, and once it is streamed, the upload. */
     private HttpRequest head;
-    private ByteBuf held;
+    private ByteBuf buffered;
     private Upload upload;
 
-    /** With the size of what is put together, and of what is taken at all. */
-    RequestAggregator(int longest, long largest) {
-        super(longest);
-        this.longest = longest;
-        this.largest = largest;
+    /**
+     * Creates an aggregator.
+     *
+     * @param maxBuffered largest body in bytes that is buffered rather than streamed
+     * @param maxBody largest body in bytes that is accepted
+     */
+    RequestAggregator(int maxBuffered, long maxBody) {
+        super(maxBuffered);
+        this.maxBuffered = maxBuffered;
+        this.maxBody = maxBody;
     }
 
     @Override
@@ -57,13 +61,13 @@
         if (part instanceof HttpRequest request) {
             received = 0;
             if (request.decoderResult().isSuccess()) {
-                Exception amiss = amiss(request);
-                if (amiss != null) {
-                    out.add(failed(request, amiss));
+                Exception fault = validate(request);
+                if (fault != null) {
+                    out.add(failedRequest(request, fault));
                     return;
                 }
-                if (HttpUtil.isTransferEncodingChunked(request) || length(request) > longest) {
-                    begin(ctx, request);
+                if (HttpUtil.isTransferEncodingChunked(request) || contentLength(request) > maxBuffered) {
+                    startBuffering(ctx, request);
                     return;
                 }
             }
@@ -73,60 +77,60 @@
             received += content.content().readableBytes();
         }
         if (head != null) {
-            gather(ctx, (HttpContent) part, out);
+            accumulate(ctx, (HttpContent) part, out);
         } else {
             super.decode(ctx, part, out);
         }
         partial &= !(part instanceof LastHttpContent);
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpRequest request) {
+    private void startBuffering(ChannelHandlerContext ctx, HttpRequest request) {
         partial = true;
         head = request;
-        // Copied together: small pieces would each hold on to the buffer that they were read into.
-        held = ctx.alloc().buffer();
+        // Copied, because each small chunk would retain the whole buffer that it was read into.
+        buffered = ctx.alloc().buffer();
         if (HttpUtil.is100ContinueExpected(request)) {
             ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
                     Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private void gather(ChannelHandlerContext ctx, HttpContent part, List<Object> out) {
-        if (part.decoderResult().isFailure() || received > largest) {
-            Exception cause = received > largest ? new TooLongHttpContentException("a body over the limit")
+    private void accumulate(ChannelHandlerContext ctx, HttpContent part, List<Object> out) {
+        if (part.decoderResult().isFailure() || received > maxBody) {
+            Exception cause = received > maxBody ? new TooLongHttpContentException("the body is too large")
                     : new IllegalArgumentException(part.decoderResult().cause());
             if (upload == null) {
-                out.add(failed(head, cause));
+                out.add(failedRequest(head, cause));
             } else {
                 upload.fail(cause);
             }
-            forget();
+            reset();
             return;
         }
         if (upload != null) {
             upload.add(part.content().retain());
         } else {
-            held.writeBytes(part.content());
-            if (received > longest) {
-                upload = new Upload(ctx.channel(), HttpUtil.getContentLength(head, -1L), held);
-                held = null;
+            buffered.writeBytes(part.content());
+            if (received > maxBuffered) {
+                upload = new Upload(ctx.channel(), HttpUtil.getContentLength(head, -1L), buffered);
+                buffered = null;
                 out.add(new StreamedRequest(head, upload));
             } else if (part instanceof LastHttpContent) {
-                out.add(whole());
+                out.add(toFullRequest());
             }
         }
         if (part instanceof LastHttpContent) {
             if (upload != null) {
                 upload.end();
             }
-            forget();
+            reset();
         }
     }
 
-    /** A chunked request that has turned out to be small. */
-    private HttpRequest whole() {
-        ByteBuf body = held;
-        held = null;
+    /** Returns a chunked request that has turned out to be small as a full request with a length. */
+    private HttpRequest toFullRequest() {
+        ByteBuf body = buffered;
+        buffered = null;
         HttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
                 body);
         request.headers().set(head.headers());
@@ -135,12 +139,12 @@
         return request;
     }
 
-    private void forget() {
-        if (held != null) {
-            held.release();
+    private void reset() {
+        if (buffered != null) {
+            buffered.release();
         }
         head = null;
-        held = null;
+        buffered = null;
         upload = null;
     }
 
@@ -148,56 +152,56 @@
         return partial;
     }
 
-    /** How much of the present request's body has come. */
+    /** Returns how many bytes of the current request's body have arrived. */
     long received() {
         return partial ? received : 0;
     }
 
-    private static long length(HttpRequest head) {
+    private static long contentLength(HttpRequest head) {
         return HttpUtil.getContentLength(head, 0L);
     }
 
-    private Exception amiss(HttpRequest request) {
+    private Exception validate(HttpRequest request) {
         HttpVersion version = request.protocolVersion();
         if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
-            return new IllegalArgumentException("version " + version);
+            return new IllegalArgumentException("unsupported HTTP version " + version);
         }
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1
                 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).strip());
         if (!codings.isEmpty() && (!chunked || version.equals(HttpVersion.HTTP_1_0))) {
-            return new IllegalArgumentException("a body with unknown coding");
+            return new IllegalArgumentException("unsupported Transfer-Encoding");
         }
-        // Netty would answer for itself what it can't fulfil, and then read the body as requests.
+        // Netty would itself answer an expectation that it cannot meet, and then parse the body as requests.
         List<String> expected = request.headers().getAll(HttpHeaderNames.EXPECT);
         if (!expected.isEmpty() && !HttpUtil.is100ContinueExpected(request)) {
-            return new IllegalArgumentException("an unknown expectation");
+            return new IllegalArgumentException("unsupported Expect header");
         }
-        if (length(request) > largest) {
-            return new TooLongHttpContentException("a body over the limit");
+        if (contentLength(request) > maxBody) {
+            return new TooLongHttpContentException("the body is too large");
         }
         return null;
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        ctx.fireChannelRead(failed((HttpRequest) oversized,
-                new TooLongHttpContentException("a body over the limit")));
+        ctx.fireChannelRead(failedRequest((HttpRequest) oversized,
+                new TooLongHttpContentException("the body is too large")));
     }
 
-    private static HttpRequest failed(HttpRequest head, Exception amiss) {
+    private static HttpRequest failedRequest(HttpRequest head, Exception cause) {
         HttpRequest failed = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(),
                 Unpooled.EMPTY_BUFFER);
-        failed.setDecoderResult(DecoderResult.failure(amiss));
+        failed.setDecoderResult(DecoderResult.failure(cause));
         return failed;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
         if (upload != null) {
-            upload.fail(new PrematureChannelClosureException("the caller left in the middle of a body"));
+            upload.fail(new PrematureChannelClosureException("the caller disconnected within a body"));
         }
-        forget();
+        reset();
         super.channelInactive(ctx);
     }
 }
--- a/src/main/java/cranedeal/node/RequestDecoder.java
+++ b/src/main/java/cranedeal/node/RequestDecoder.java
@@ -3,30 +3,30 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Reads requests, but none of which two parties could see the end at different places. */
+/** Decodes requests, and rejects those whose end two parties could see differently (request smuggling). */
 final class RequestDecoder extends HttpRequestDecoder {
 
-    private boolean lineRead;
+    private boolean inHead;
 
-    /** Whether a request's head has come in part. */
+    /** Returns true if a request's head has arrived in part. */
     boolean isInHead() {
-        return lineRead || actualReadableBytes() > 0;
+        return inHead || actualReadableBytes() > 0;
     }
 
     @Override
     protected HttpMessage createMessage(String[] line) throws Exception {
-        lineRead = true;
+        inHead = true;
         return super.createMessage(line);
     }
 
-    /** Netty asks once it has the whole head. */
+    /** Netty calls this once it has decoded the whole head. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        lineRead = false;
+        inHead = false;
         return super.isContentAlwaysEmpty(message);
     }
 
-    /** By default, Netty drops the length: a front that goes by it sees one request where there are two. */
+    /** By default, Netty drops Content-Length; a front that trusts it would see one request, not two. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both Transfer-Encoding and Content-Length");
--- a/src/main/java/cranedeal/node/RequestParser.java
+++ b/src/main/java/cranedeal/node/RequestParser.java
@@ -11,24 +11,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads callers' requests by the settings of one configuration: their class, tenant, key and deadline. */
+/** Parses callers' requests for one configuration: their class, tenant, key and deadline. */
 final class RequestParser {
 
-    /** The longest wait that a caller can ask for, in seconds. */
-    private static final double LONGEST_WAIT = 3_600;
+    /** Upper bound on the remaining time that a caller can ask for, in seconds. */
+    private static final double MAX_REMAINING_S = 3_600;
     private static final int MS_PER_S = 1_000;
 
     private final NodeConfig config;
-    private final Map<String, Integer> classes = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>();
 
     RequestParser(NodeConfig config) {
         this.config = config;
         for (int i = 0; i < config.classes().size(); i++) {
-            classes.put(config.classes().get(i), i);
+            classIndexes.put(config.classes().get(i), i);
         }
     }
 
-    /** A request that its caller has got wrong, and how to say so. */
+    /** Thrown for an invalid request; the message is sent to the caller. */
     static final class BadRequestException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -38,17 +38,17 @@
         }
     }
 
-    /** The class that a request names, whether the settings know it or not. */
+    /** Returns the name of the class that a request asks for, which the settings may not contain. */
     static String className(FullHttpRequest request) {
-        return request.headers().get("X-Lane", firstPart(request.uri()));
+        return request.headers().get("X-Lane", firstPathSegment(request.uri()));
     }
 
-    /** Whether the settings have a class so named. */
-    boolean knows(String className) {
-        return classes.containsKey(className);
+    /** Returns true if the settings contain a class of this name. */
+    boolean hasClass(String className) {
+        return classIndexes.containsKey(className);
     }
 
-    /** A request as the module wants it, but for its id. */
+    /** A request for the decision module, without its id. */
     record Template(int serviceClass, int tenant, long key, double deadline, double cost,
             boolean retry, boolean write) {
 
@@ -58,14 +58,14 @@
     }
 
     /**
-     * Reads a request, however its headers come.
+     * Parses a request.
      *
-     * @param now when it came, in ms of the clock: its deadline counts from then
-     * @throws BadRequestException if it is not one of this service's requests
+     * @param now when it arrived, in ms of the clock: its deadline counts from then
+     * @throws BadRequestException if it is not a valid request to this service
      */
     Template parse(FullHttpRequest request, double now) throws BadRequestException {
         HttpHeaders headers = request.headers();
-        Integer serviceClass = classes.get(className(request));
+        Integer serviceClass = classIndexes.get(className(request));
         if (serviceClass == null) {
             throw new BadRequestException("unknown class");
         }
@@ -85,13 +85,13 @@
         if (tenantIndex < 0) {
             throw new BadRequestException("unknown tenant");
         }
-        double remaining = number(headers, "X-Remaining");
+        double remaining = nonNegativeNumber(headers, "X-Remaining");
         if (Double.isNaN(remaining)) {
             throw new BadRequestException("X-Remaining is missing");
         }
-        double estimate = number(headers, "X-Estimate");
+        double estimate = nonNegativeNumber(headers, "X-Estimate");
         return new Template(serviceClass, tenantIndex, key(headers.get("Cookie")),
-                now + Math.min(LONGEST_WAIT, remaining) * MS_PER_S,
+                now + Math.min(MAX_REMAINING_S, remaining) * MS_PER_S,
                 Double.isNaN(estimate) ? 0 : estimate / MS_PER_S,
                 "1".equals(headers.get("X-Resent")), !get);
     }
@@ -104,13 +104,13 @@
         return request.method().equals(HttpMethod.POST);
     }
 
-    private static String firstPart(String uri) {
+    private static String firstPathSegment(String uri) {
         List<String> parts = List.of(uri.split("[/?]", 3));
         return parts.size() > 1 ? parts.get(1) : "";
     }
 
-    /** A header's number, not below 0; NaN where the header is absent. */
-    private static double number(HttpHeaders headers, String name) throws BadRequestException {
+    /** Returns the value of a header with a number of at least 0; NaN if the header is absent. */
+    private static double nonNegativeNumber(HttpHeaders headers, String name) throws BadRequestException {
         String text = headers.get(name);
         if (text == null) {
             return Double.NaN;
@@ -121,12 +121,12 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Reported below, like a value out of range.
+            // Reported below, like an out-of-range value.
         }
         throw new BadRequestException(name + " is no number of use");
     }
 
-    /** What the request is about, as the cookie {@code key} has it; 0 for none. */
+    /** Returns the key of a keyed request from the cookie {@code key}: a hex number or a hash; 0 for none. */
     private static long key(String cookies) {
         if (cookies == null) {
             return 0;
--- a/src/main/java/cranedeal/node/ResponseAggregator.java
+++ b/src/main/java/cranedeal/node/ResponseAggregator.java
@@ -16,99 +16,101 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Puts whole answers together; one that is too large for that goes on part by part, as it came. So does one
- * of unknown length that takes its time, since whoever waits for a large one is to have its start soon.
+ * Aggregates answers; one that is too large to be buffered is streamed. So is a slow one of unknown length,
+ * as the caller of a large answer should receive its start soon.
  */
 final class ResponseAggregator extends HttpObjectAggregator {
 
-    private static final long HOLD_MS = 200;
+    private static final long MAX_HOLD_MS = 200;
 
-    private final int longest;
-    /** An answer that may be large: its head until it has gone on, and what is held of its body. */
+    private final int maxBuffered;
+    /** An answer that may be large: its head, until that is passed on, and its buffered body. */
     private HttpResponse head;
-    private ByteBuf held;
-    private boolean passing;
-    private Future<?> patience;
+    private ByteBuf buffered;
+    private boolean streaming;
+    private Future<?> holdTimer;
 
-    ResponseAggregator(int longest) {
-        super(longest);
-        this.longest = longest;
+    ResponseAggregator(int maxBuffered) {
+        super(maxBuffered);
+        this.maxBuffered = maxBuffered;
     }
 
     @Override
     public boolean acceptInboundMessage(Object part) throws Exception {
-        return super.acceptInboundMessage(part) || (head != null || passing) && part instanceof HttpContent;
+        return super.acceptInboundMessage(part) || (head != null || streaming) && part instanceof HttpContent;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) throws Exception {
         if (part instanceof HttpResponse response && response.decoderResult().isSuccess()) {
             long length = HttpUtil.getContentLength(response, -1L);
-            if (length > longest) {
+            if (length > maxBuffered) {
                 out.add(response);
-                passing = true;
+                streaming = true;
                 return;
             } else if (length < 0) {
                 head = response;
-                // Copied together: small pieces would each hold on to the buffer that they were read into.
-                held = ctx.alloc().buffer();
-                patience = ctx.executor().schedule(() -> passOn(ctx), HOLD_MS, TimeUnit.MILLISECONDS);
+                // Copied, because each small chunk would retain the whole buffer that it was read into.
+                buffered = ctx.alloc().buffer();
+                holdTimer = ctx.executor().schedule(() -> startStreaming(ctx), MAX_HOLD_MS,
+                        TimeUnit.MILLISECONDS);
                 return;
             }
         }
-        if (passing) {
+        if (streaming) {
             out.add(((HttpContent) part).retain());
-            passing = !(part instanceof LastHttpContent);
+            streaming = !(part instanceof LastHttpContent);
         } else if (head != null) {
-            gather(ctx, (HttpContent) part, out);
+            accumulate(ctx, (HttpContent) part, out);
         } else {
             super.decode(ctx, part, out);
         }
     }
 
-    private void gather(ChannelHandlerContext ctx, HttpContent part, List<Object> out) {
-        held.writeBytes(part.content());
+    private void accumulate(ChannelHandlerContext ctx, HttpContent part, List<Object> out) {
+        buffered.writeBytes(part.content());
         if (part instanceof LastHttpContent) {
-            FullHttpResponse whole = new DefaultFullHttpResponse(head.protocolVersion(), head.status(), held);
+            FullHttpResponse whole = new DefaultFullHttpResponse(head.protocolVersion(), head.status(),
+                    buffered);
             whole.headers().set(head.headers());
             whole.setDecoderResult(part.decoderResult());
-            held = null;
-            forget();
+            buffered = null;
+            reset();
             out.add(whole);
-        } else if (held.readableBytes() > longest) {
-            passOn(ctx);
+        } else if (buffered.readableBytes() > maxBuffered) {
+            startStreaming(ctx);
         }
     }
 
-    /** Hands on what is held, and from now on what comes. */
-    private void passOn(ChannelHandlerContext ctx) {
+    /** Passes on what is buffered, and from now on each part as it arrives. */
+    private void startStreaming(ChannelHandlerContext ctx) {
         if (head == null) {
             return;
         }
-        HttpResponse begun = head;
-        ByteBuf start = held;
-        held = null;
-        forget();
-        passing = true;
-        ctx.fireChannelRead(begun);
+        HttpResponse streamedHead = head;
+        ByteBuf start = buffered;
+        buffered = null;
+        reset();
+        streaming = true;
+        ctx.fireChannelRead(streamedHead);
         ctx.fireChannelRead(new DefaultHttpContent(start));
     }
 
-    private void forget() {
-        if (patience != null) {
-            patience.cancel(false);
-            patience = null;
+    private void reset() {
+        if (holdTimer != null) {
+            holdTimer.cancel(false);
+            holdTimer = null;
         }
-        if (held != null) {
-            held.release();
-            held = null;
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
         }
         head = null;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-        forget();
+        reset();
         super.channelInactive(ctx);
     }
 }
--- a/src/main/java/cranedeal/node/ResponseDecoder.java
+++ b/src/main/java/cranedeal/node/ResponseDecoder.java
@@ -10,29 +10,29 @@
 import java.util.List;
 
 /**
- * Reads answers by the letter. Netty is lenient with servers and mends what it can; an answer so mended is
- * none that an upstream made, and whoever passes it on says that it was served.
+ * Decodes answers strictly. Netty is lenient with servers and repairs malformed answers; passing on a
+ * repaired answer would report as served what the upstream has not sent.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
     private static final int STATUS_DIGITS = 3;
 
-    /** Whether a request waits for its answer: what comes at any other time belongs to none. */
-    private boolean awaited;
+    /** True while a request waits for its answer; at any other time, bytes belong to no request. */
+    private boolean responseExpected;
     private boolean inHead;
 
-    void await(boolean answer) {
-        awaited = answer;
+    void setResponseExpected(boolean expected) {
+        responseExpected = expected;
     }
 
-    /** Whether something has come behind the answer that was read last. */
-    boolean hasSurplus() {
+    /** Returns true if bytes have arrived after the end of the last answer. */
+    boolean hasTrailingBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-        if (awaited) {
+        if (responseExpected) {
             super.channelRead(ctx, bytes);
         } else {
             ReferenceCountUtil.release(bytes);
@@ -46,19 +46,19 @@
         HttpVersion version = message.protocolVersion();
         if (line[1].length() != STATUS_DIGITS
                 || !version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
-            throw new IllegalArgumentException("no status line of HTTP/1");
+            throw new IllegalArgumentException("not an HTTP/1 status line");
         }
         inHead = true;
         return message;
     }
 
-    /** Netty wants a colon right behind each name only in the head of a request. */
+    /** Returns true within a head, as Netty rejects whitespace before a header's colon only in requests. */
     @Override
     protected boolean isDecodingRequest() {
         return inHead;
     }
 
-    /** Netty asks once it has the whole head. */
+    /** Netty calls this once it has decoded the whole head. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         inHead = false;
@@ -66,7 +66,7 @@
         boolean chunked = codings.size() == 1
                 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).strip());
         if (!codings.isEmpty() && (!chunked || message.protocolVersion().equals(HttpVersion.HTTP_1_0))) {
-            throw new IllegalArgumentException("a body with unknown coding");
+            throw new IllegalArgumentException("unsupported Transfer-Encoding");
         }
         return super.isContentAlwaysEmpty(message);
     }
--- a/src/main/java/cranedeal/node/ResponseSink.java
+++ b/src/main/java/cranedeal/node/ResponseSink.java
@@ -2,11 +2,11 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Takes an answer that is too large to be held, as it comes. */
+/** Receives the chunks of a streamed answer, one that is too large to be buffered. */
 interface ResponseSink {
 
-    /** Takes a piece over. */
-    void piece(ByteBuf piece);
+    /** Writes a chunk and takes ownership of it. */
+    void writeChunk(ByteBuf chunk);
 
     boolean isWritable();
 }
--- a/src/main/java/cranedeal/node/SocketBudget.java
+++ b/src/main/java/cranedeal/node/SocketBudget.java
@@ -3,18 +3,18 @@
 import io.netty.channel.Channel;
 
 /**
- * Counts the process's connections against the descriptors that it may hold. A caller that waits in the
- * backlog already counts as taken, so calls to upstreams leave room for callers, and an idle connection
- * gives way to whoever needs its descriptor: the one that has been idle for longest, whosever it is. With
- * many upstreams each has a connection that is hardly ever used again; callers' are, and who closes one may
- * cross a request on it.
+ * Limits the process's connections to the descriptors that it may hold. The kernel establishes callers'
+ * connections before they are accepted, so connections to upstreams leave some descriptors to callers. When
+ * a descriptor is needed, the connection that has been idle for longest is closed, whether it is a caller's
+ * or to an upstream. With many upstreams, most connections to them are hardly ever reused; callers'
+ * connections are reused, and a request may cross the close of one.
  */
 final class SocketBudget {
 
-    /** Connections that stand idle. */
+    /** Idle connections that can be closed to free descriptors. */
     interface IdlePool {
 
-        /** None at all. */
+        /** A pool without connections. */
         IdlePool EMPTY = new IdlePool() {
             @Override
             public double idleSince() {
@@ -27,27 +27,27 @@
             }
         };
 
-        /** Since when the longest idle one has been, in ms of the clock; NaN if there is none. */
+        /** Returns since when the longest idle connection has been idle, in ms; NaN if there is none. */
         double idleSince();
 
-        /** Closes the longest idle one that may be closed; false if there is none. */
+        /** Closes the longest idle connection that may be closed; returns false if there is none. */
         boolean evict();
     }
 
-    /** Descriptors of the virtual machine itself: jars, selectors, logs, the listening socket, discovery. */
-    private static final int OF_THE_PROCESS = 64;
-    /** The part of the rest that only callers may use. */
-    private static final int CALLERS_SHARE = 5;
-    /** The part that callers leave to connections to upstreams: as large as that of callers with requests. */
-    private static final int UPSTREAMS_SHARE = 3;
-    /** The part of the descriptors for connections to upstreams that stand idle, and the least of them. */
-    private static final int IDLE_SHARE = 3;
-    private static final int LEAST_IDLE = 128;
+    /** Descriptors that the process itself needs: jars, selectors, logs, the listening socket, discovery. */
+    private static final int RESERVED_DESCRIPTORS = 64;
+    /** One in so many of the other descriptors is reserved for callers. */
+    private static final int CALLER_ONLY_DIVISOR = 5;
+    /** One in so many is reserved for upstreams: as many as there can be callers with requests. */
+    private static final int UPSTREAM_ONLY_DIVISOR = 3;
+    /** One in so many may be used by idle connections to upstreams, and the minimum for these. */
+    private static final int IDLE_UPSTREAM_DIVISOR = 3;
+    private static final int MIN_IDLE_UPSTREAMS = 128;
 
     private final int descriptors;
     private int limit;
     private int open;
-    private int callersOpen;
+    private int openCallers;
     private IdlePool callers = IdlePool.EMPTY;
     private IdlePool upstreams = IdlePool.EMPTY;
 
@@ -56,36 +56,37 @@
         setShared(false);
     }
 
-    /** Keeps to half of the descriptors while another process of this balancer needs the rest. */
+    /** Limits this process to half of the descriptors while another process of this balancer runs. */
     final void setShared(boolean shared) {
-        limit = Math.max(CALLERS_SHARE, (shared ? descriptors / 2 : descriptors) - OF_THE_PROCESS);
+        limit = Math.max(CALLER_ONLY_DIVISOR,
+                (shared ? descriptors / 2 : descriptors) - RESERVED_DESCRIPTORS);
         boolean evicted = open > limit;
         while (evicted && open > limit) {
             evicted = upstreams.evict();
         }
     }
 
-    /** Names the idle connections of callers. */
-    void evictCallersWith(IdlePool pool) {
+    /** Sets the pool of callers' idle connections. */
+    void setCallerPool(IdlePool pool) {
         callers = pool;
     }
 
-    /** The same for connections to upstreams. */
-    void evictUpstreamsWith(IdlePool pool) {
+    /** Sets the pool of idle connections to upstreams. */
+    void setUpstreamPool(IdlePool pool) {
         upstreams = pool;
     }
 
-    /** Closes the connection that has been idle for longest; false if there is none. */
+    /** Closes the connection that has been idle for longest; returns false if there is none. */
     boolean evictIdle() {
-        // NaN compares false.
+        // Comparing with NaN yields false.
         boolean upstreamFirst = upstreams.idleSince() <= callers.idleSince();
         IdlePool first = upstreamFirst ? upstreams : callers;
         return first.evict() || (upstreamFirst ? callers : upstreams).evict();
     }
 
-    /** How many connections to upstreams may stand idle: the rest is for those that carry requests. */
-    int mostIdleUpstreams() {
-        return Math.max(LEAST_IDLE, limit / IDLE_SHARE);
+    /** Returns how many connections to upstreams may be idle; the rest is left to those in use. */
+    int maxIdleUpstreams() {
+        return Math.max(MIN_IDLE_UPSTREAMS, limit / IDLE_UPSTREAM_DIVISOR);
     }
 
     int open() {
@@ -96,34 +97,36 @@
         return limit;
     }
 
-    /** Whether {@link #roomForUpstream} would say yes; closes nothing. */
-    boolean mayOpenUpstream() {
-        return open < limit - limit / CALLERS_SHARE || !Double.isNaN(upstreams.idleSince())
+    /** Returns true if {@link #makeRoomForUpstream} would return true; closes nothing. */
+    boolean canOpenUpstream() {
+        return open < limit - limit / CALLER_ONLY_DIVISOR || !Double.isNaN(upstreams.idleSince())
                 || !Double.isNaN(callers.idleSince());
     }
 
-    /** Whether a connection to an upstream may be opened, after an idle one has gone for it if need be. */
-    boolean roomForUpstream() {
-        return open < limit - limit / CALLERS_SHARE || evictIdle();
+    /** Closes an idle connection if need be, and returns true if one to an upstream may be opened. */
+    boolean makeRoomForUpstream() {
+        return open < limit - limit / CALLER_ONLY_DIVISOR || evictIdle();
     }
 
     /**
-     * Whether another caller may stay, after an idle connection has gone for it if need be. Callers leave a
-     * part to calls to upstreams: without those nothing can be done for them.
+     * Closes an idle connection if need be, and returns true if another caller may be accepted. Callers leave
+     * some descriptors to upstreams, without which they could not be served.
      */
-    boolean roomForCaller() {
-        return callersOpen < limit - limit / UPSTREAMS_SHARE ? open < limit || evictIdle() : callers.evict();
+    boolean makeRoomForCaller() {
+        return openCallers < limit - limit / UPSTREAM_ONLY_DIVISOR ? open < limit || evictIdle()
+                : callers.evict();
     }
 
-    /** Whether {@link #roomForCaller} might say yes with so many callers more; closes nothing. */
-    boolean mayTakeCaller(int others) {
-        return callersOpen + others < limit - limit / UPSTREAMS_SHARE || !Double.isNaN(callers.idleSince());
+    /** Returns true if {@link #makeRoomForCaller} might return true after so many more; closes nothing. */
+    boolean mayAcceptCaller(int others) {
+        return openCallers + others < limit - limit / UPSTREAM_ONLY_DIVISOR
+                || !Double.isNaN(callers.idleSince());
     }
 
     /** Counts a caller's connection until it is closed. */
     void countCaller(Channel channel) {
-        callersOpen++;
-        channel.closeFuture().addListener(closed -> callersOpen--);
+        openCallers++;
+        channel.closeFuture().addListener(closed -> openCallers--);
         count(channel);
     }
 
--- a/src/main/java/cranedeal/node/StreamedRequest.java
+++ b/src/main/java/cranedeal/node/StreamedRequest.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 
-/** A request whose body comes on its own. */
+/** A request that is passed on before its body has arrived; the body follows as an {@link Upload}. */
 final class StreamedRequest extends DefaultFullHttpRequest {
 
     final Upload upload;
--- a/src/main/java/cranedeal/node/Upload.java
+++ b/src/main/java/cranedeal/node/Upload.java
@@ -5,89 +5,90 @@
 import io.netty.channel.WriteBufferWaterMark;
 
 /**
- * A request's body that is too large to be held. Its start is, until more of it has gone on: up to then
- * another attempt may have it. The caller's connection is read only while somebody takes what comes.
+ * A request's body that is streamed because it is too large to be buffered. Its start stays buffered until
+ * more of the body has been passed on; up to then another attempt can send it. The caller's connection is
+ * read only while an attempt accepts data.
  */
 final class Upload {
 
-    /** How much of a large transfer may wait for its socket; there can be hundreds at a time. */
+    /** Bytes of a streamed message that may wait to be written; there can be hundreds at a time. */
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 << 10, 32 << 10);
 
-    /** Where a body goes. */
+    /** Receives the body. */
     interface Sink {
 
-        /** Takes a piece over. */
-        void piece(ByteBuf piece);
+        /** Writes a chunk and takes ownership of it. */
+        void writeChunk(ByteBuf chunk);
 
-        /** That was the whole body. */
-        void end();
+        /** Ends the body, which is complete. */
+        void endBody();
 
         boolean isWritable();
     }
 
-    /** Who is told how it ends. */
+    /** Is notified of the end of the body. */
     interface Listener {
 
         void onComplete();
 
-        /** The rest of the body can't be read. */
+        /** Called if the rest of the body cannot be read. */
         void onError(Exception cause);
     }
 
-    private final Channel from;
-    /** Its length as the caller gave it; negative if that is not known. */
+    private final Channel callerChannel;
+    /** Length as the caller declared it; negative if it is not known. */
     final long length;
-    /** All of it that has come; null once a part is gone. */
-    private ByteBuf start;
+    /** All of the body that has arrived; null once part of it has been passed on without being kept. */
+    private ByteBuf buffered;
     private Sink sink;
-    private Listener owner;
-    private boolean whole;
+    private Listener listener;
+    private boolean complete;
     private Exception cause;
     private boolean discarded;
 
-    /** Takes over what has come already. */
-    Upload(Channel from, long length, ByteBuf start) {
-        this.from = from;
+    /** Takes ownership of {@code start}, the part of the body that has already arrived. */
+    Upload(Channel callerChannel, long length, ByteBuf start) {
+        this.callerChannel = callerChannel;
         this.length = length;
-        this.start = start;
+        this.buffered = start;
     }
 
-    /** Names who is told; at once if there is something to tell. */
-    void setListener(Listener given) {
-        owner = given;
+    /** Sets the listener, and notifies it at once if the body has already ended. */
+    void setListener(Listener newListener) {
+        listener = newListener;
         if (cause != null) {
-            owner.onError(cause);
-        } else if (whole) {
-            owner.onComplete();
+            listener.onError(cause);
+        } else if (complete) {
+            listener.onComplete();
         }
     }
 
-    /** Whether it has come to its end. */
-    boolean isWhole() {
-        return whole;
+    /** Returns true if the whole body has arrived. */
+    boolean isComplete() {
+        return complete;
     }
 
-    /** Whether another attempt can have it. */
+    /** Returns true if another attempt can send the body from its start. */
     boolean isRepeatable() {
-        return start != null && cause == null;
+        return buffered != null && cause == null;
     }
 
-    /** Another piece has come; takes it over. */
-    void add(ByteBuf piece) {
+    /** Adds a chunk that has arrived, and takes ownership of it. */
+    void add(ByteBuf chunk) {
         if (discarded || cause != null) {
-            piece.release();
+            chunk.release();
         } else if (sink == null) {
-            if (start == null) {
-                // The attempt that had the rest is over: nobody can use this any more.
-                piece.release();
+            if (buffered == null) {
+                // The attempt that sent the start has ended, so no attempt can use this chunk.
+                chunk.release();
                 return;
             }
-            start.writeBytes(piece);
-            piece.release();
+            buffered.writeBytes(chunk);
+            chunk.release();
             pause();
         } else {
-            drop();
-            sink.piece(piece);
+            releaseBuffered();
+            sink.writeChunk(chunk);
             if (!sink.isWritable()) {
                 pause();
             }
@@ -98,70 +99,70 @@
         if (discarded || cause != null) {
             return;
         }
-        whole = true;
+        complete = true;
         if (sink != null) {
-            sink.end();
+            sink.endBody();
         }
-        if (owner != null) {
-            owner.onComplete();
+        if (listener != null) {
+            listener.onComplete();
         }
     }
 
-    void fail(Exception why) {
-        if (discarded || whole || cause != null) {
+    void fail(Exception failure) {
+        if (discarded || complete || cause != null) {
             return;
         }
-        cause = why;
-        drop();
-        if (owner != null) {
-            owner.onError(why);
+        cause = failure;
+        releaseBuffered();
+        if (listener != null) {
+            listener.onError(failure);
         }
     }
 
-    /** Sends all of it to an attempt, which must be the only one. */
-    void feed(Sink to) {
-        sink = to;
-        to.piece(start.retainedDuplicate());
-        if (whole) {
-            to.end();
+    /** Sends the body to an attempt, which must be the only one attached. */
+    void attach(Sink newSink) {
+        sink = newSink;
+        newSink.writeChunk(buffered.retainedDuplicate());
+        if (complete) {
+            newSink.endBody();
         }
-        writable();
+        sinkWritable();
     }
 
-    /** The attempt takes no more; another may begin. */
-    void leave(Sink from) {
-        if (sink == from) {
+    /** Detaches an attempt that accepts no more, so that another can be attached. */
+    void detach(Sink oldSink) {
+        if (sink == oldSink) {
             sink = null;
-            if (!whole && !discarded) {
+            if (!complete && !discarded) {
                 pause();
             }
         }
     }
 
-    /** The attempt can take more again. */
-    void writable() {
+    /** Resumes reading once the attempt can accept more. */
+    void sinkWritable() {
         if (sink != null && sink.isWritable()) {
-            from.config().setAutoRead(true);
+            callerChannel.config().setAutoRead(true);
         }
     }
 
-    /** Nobody wants it any more; what still comes is thrown away. */
+    /** Discards the body, including what still arrives of it. */
     void discard() {
         discarded = true;
         sink = null;
-        owner = null;
-        drop();
-        from.config().setAutoRead(true);
+        listener = null;
+        releaseBuffered();
+        callerChannel.config().setAutoRead(true);
     }
 
     private void pause() {
-        from.config().setAutoRead(false);
+        callerChannel.config().setAutoRead(false);
     }
 
-    private void drop() {
-        if (start != null) {
-            start.release();
-            start = null;
+    private void releaseBuffered() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
         }
     }
 }
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -50,42 +50,44 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each ended. It
- * sends nothing twice: what breaks is an outcome.
+ * Sends attempts and probes to upstreams over pooled HTTP/1.1 connections, one at a time on each, and reports
+ * how each ended. It never retries: a broken connection is reported as the attempt's result.
  */
 final class UpstreamClient {
 
-    static final int MAX_BODY = 64 * 1024;
-    /** The part of an upstream's idle limit after which a connection is closed from this side. */
-    private static final double IDLE_SHARE = 0.7;
-    private static final long SWEEP_MS = 1_000;
-    /** How long a reset counts as a witness for another, and the limit that it teaches takes to double. */
-    private static final double WITNESS_MS = 30_000;
-    private static final double TELL_EVERY_MS = 10_000;
-    /** How long nothing may move of a large body or answer before its attempt is over. */
-    static final double STALL_MS = 10_000;
-    private static final int MILLI = 3;
-    /** What a caller says of its own connection is not for the next. */
+    static final int MAX_BUFFERED_BODY = 64 * 1024;
+    /** Fraction of an upstream's idle limit after which this side closes a connection. */
+    private static final double IDLE_LIMIT_FRACTION = 0.7;
+    private static final long SWEEP_INTERVAL_MS = 1_000;
+    /** Two resets this close together teach a lower idle limit, which then doubles each time this passes. */
+    private static final double RESET_WINDOW_MS = 30_000;
+    private static final double LOG_INTERVAL_MS = 10_000;
+    /** How long a streamed body or answer may make no progress before its attempt is ended. */
+    static final double STALL_TIMEOUT_MS = 10_000;
+    private static final int MILLI_SCALE = 3;
+    /** Headers that concern only the caller's own connection and are not forwarded. */
     private static final List<String> HOP_BY_HOP = List.of("Connection", "Keep-Alive", "Proxy-Connection",
             "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect");
 
-    /** Who waits for an attempt. */
+    /** Receives the events of an attempt. */
     interface Listener {
 
         /**
-         * Called once, when the attempt is over; the response, null if none came whole or in one piece, is
-         * not to be kept.
+         * Called once, when the attempt has ended. The response is null if none was received completely, or
+         * if it was streamed; it must not be kept.
          */
         void finished(Result result, FullHttpResponse response);
 
-        /** Whether it may still be begun, asked as its connection is up: that may have taken long. */
+        /** Returns false if the request must not be sent any more; connecting may have taken long. */
         default boolean maySend() {
             return true;
         }
 
         /**
-         * A served answer has begun that is too large to be held; its length is negative if not known.
-         * Returns who takes it, null for nobody.
+         * Called when a successful answer starts that is streamed because it is too large to be buffered.
+         *
+         * @param length negative if not known
+         * @return where the body goes; null to abort the attempt
          */
         default ResponseSink streamStarted(Attempt attempt, long length) {
             return null;
@@ -94,53 +96,56 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final DoubleSupplier lateness;
+    private final DoubleSupplier loopLateness;
     private Settings settings;
-    private final SocketBudget sockets;
-    private final NodeMetrics figures;
+    private final SocketBudget socketBudget;
+    private final NodeMetrics metrics;
     private final Bootstrap bootstrap;
-    /** All connections that stand idle, the longest idle first. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
-    private int listed;
+    /** All idle connections, the longest idle first. */
+    private final Set<Connection> idleConnections = new LinkedHashSet<>();
+    private int listedCount;
     private final Map<Long, Target> targets = new HashMap<>();
     private final Set<Long> banned = new HashSet<>();
-    /** The attempts that move a large body or answer. */
-    private final Set<Attempt> moving = new HashSet<>();
-    /** How long connections may have been idle for another use, as resets have taught; and when they did. */
-    private double taughtIdle = Double.POSITIVE_INFINITY;
-    private double taughtAt;
-    /** The last reset of a connection that was used again: whose, when, and how long it had been idle. */
-    private Target resetBy;
-    private double resetAt = Double.NEGATIVE_INFINITY;
-    private double resetIdle;
-    /** Answers that could not be read since that was last told. */
-    private int unreadable;
-    private double toldAt = Double.NEGATIVE_INFINITY;
-
-    /** {@code lateness} tells how long what is read now has lain unread, in ms. */
-    UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier lateness, Settings settings,
-            SocketBudget sockets,
-            NodeMetrics figures, ByteBufAllocator memory) {
+    /** The attempts that stream a body or an answer. */
+    private final Set<Attempt> streaming = new HashSet<>();
+    /** Limit on the idle time of reused connections, learned from resets, and when it was learned. */
+    private double learnedIdleLimit = Double.POSITIVE_INFINITY;
+    private double learnedAt;
+    /** The last reset of a reused connection: its upstream, when, and how long it had been idle before. */
+    private Target lastResetTarget;
+    private double lastResetAt = Double.NEGATIVE_INFINITY;
+    private double lastResetIdleMs;
+    /** Malformed responses since this count was last logged. */
+    private int malformedResponses;
+    private double loggedAt = Double.NEGATIVE_INFINITY;
+
+    /**
+     * Creates a client without upstreams.
+     *
+     * @param loopLateness returns for how many ms the data being read now may have waited unread
+     */
+    UpstreamClient(EventLoop loop, Clock clock, DoubleSupplier loopLateness, Settings settings,
+            SocketBudget socketBudget, NodeMetrics metrics, ByteBufAllocator allocator) {
         this.loop = loop;
         this.clock = clock;
-        this.lateness = lateness;
-        this.sockets = sockets;
-        this.figures = figures;
+        this.loopLateness = loopLateness;
+        this.socketBudget = socketBudget;
+        this.metrics = metrics;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.ALLOCATOR, allocator).option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         ResponseDecoder decoder = new ResponseDecoder();
                         channel.pipeline().addLast(new HttpRequestEncoder(), decoder,
-                                new ResponseAggregator(MAX_BODY), new Connection(channel, decoder));
+                                new ResponseAggregator(MAX_BUFFERED_BODY), new Connection(channel, decoder));
                     }
                 });
         settingsChanged(settings);
-        sockets.evictUpstreamsWith(new SocketBudget.IdlePool() {
+        socketBudget.setUpstreamPool(new SocketBudget.IdlePool() {
             @Override
             public double idleSince() {
-                return idle.isEmpty() ? Double.NaN : idle.iterator().next().idleSince;
+                return idleConnections.isEmpty() ? Double.NaN : idleConnections.iterator().next().idleSince;
             }
 
             @Override
@@ -148,85 +153,85 @@
                 return evictIdle();
             }
         });
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** From now on goes by these settings; what is under way keeps its times. */
-    final void settingsChanged(Settings replaced) {
-        settings = replaced;
+    /** Applies new settings to later attempts; those in flight keep their timeouts. */
+    final void settingsChanged(Settings newSettings) {
+        settings = newSettings;
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, settings.limits().connectTimeout()));
     }
 
-    /** An upstream, its idle connections, the longest idle first, and when it last was told to be ready. */
+    /** An upstream with its idle connections, the longest idle first. */
     private final class Target {
         Member member;
-        /** When this balancer was told that it wants nothing new; NaN while it does. */
+        /** When the upstream left the list, was drained or was banned; NaN while it takes new requests. */
         double drainingSince = Double.NaN;
-        /** Whether it is in the list, ready or not. */
+        /** True if it is in the list, whatever its state. */
         private boolean listed;
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
-        /** Whether it is the process that was listed before, where that listened. */
-        boolean isStill(Member before) {
-            return member.upstream().startedAt() == before.upstream().startedAt()
-                    && member.address().equals(before.address());
+        /** Returns true if this is still the same process at the same address. */
+        boolean isSameProcess(Member previous) {
+            return member.upstream().startedAt() == previous.upstream().startedAt()
+                    && member.address().equals(previous.address());
         }
 
         void closeIdle() {
-            // Closing may call back and take the connection out of the queue.
-            for (Connection c = idle.pollFirst(); c != null; c = idle.pollFirst()) {
-                UpstreamClient.this.idle.remove(c);
+            // close() may call back and remove the connection from the queue.
+            for (Connection c = idleConnections.pollFirst(); c != null; c = idleConnections.pollFirst()) {
+                UpstreamClient.this.idleConnections.remove(c);
                 c.channel.close();
             }
         }
 
-        void list(boolean now) {
-            UpstreamClient.this.listed += (now ? 1 : 0) - (listed ? 1 : 0);
-            listed = now;
+        void setListed(boolean nowListed) {
+            UpstreamClient.this.listedCount += (nowListed ? 1 : 0) - (listed ? 1 : 0);
+            listed = nowListed;
         }
     }
 
-    /** Takes in a list; what an upstream that left or drains still holds idle is of no more use. */
+    /** Applies a list of upstreams; closes idle connections to those that have left or are draining. */
     void update(UpstreamList list) {
         double now = clock.now();
-        Map<Long, Target> left = new HashMap<>(list.full() ? targets : Map.of());
+        Map<Long, Target> missing = new HashMap<>(list.full() ? targets : Map.of());
         for (Member member : list.members()) {
-            left.remove(member.upstream().id());
+            missing.remove(member.upstream().id());
             if (member.upstream().state() == State.REMOVED) {
-                strike(targets.get(member.upstream().id()), now);
+                unlist(targets.get(member.upstream().id()), now);
                 continue;
             }
             Target target = targets.computeIfAbsent(member.upstream().id(), id -> new Target());
-            Member before = target.member;
+            Member previous = target.member;
             target.member = member;
-            if (before != null && !target.isStill(before)) {
+            if (previous != null && !target.isSameProcess(previous)) {
                 target.closeIdle();
             }
-            target.list(true);
+            target.setListed(true);
             if (member.upstream().state() == State.READY && !banned.contains(member.upstream().id())) {
                 target.drainingSince = Double.NaN;
             } else {
                 startDraining(target, now);
             }
         }
-        left.values().forEach(target -> strike(target, now));
+        missing.values().forEach(target -> unlist(target, now));
     }
 
-    /** Operators have taken an upstream out of use, or have put it back: it drains for as long. */
-    void ban(long upstream, boolean out) {
+    /** Bans an upstream on behalf of operators, or lifts the ban; it drains while it is banned. */
+    void ban(long upstream, boolean disabled) {
         Target target = targets.get(upstream);
-        if (out && banned.add(upstream) && target != null) {
+        if (disabled && banned.add(upstream) && target != null) {
             startDraining(target, clock.now());
-        } else if (!out && banned.remove(upstream) && target != null && target.listed
+        } else if (!disabled && banned.remove(upstream) && target != null && target.listed
                 && target.member.upstream().state() == State.READY) {
             target.drainingSince = Double.NaN;
         }
     }
 
-    private static void strike(Target target, double now) {
+    private static void unlist(Target target, double now) {
         if (target != null) {
-            target.list(false);
+            target.setListed(false);
             startDraining(target, now);
         }
     }
@@ -239,28 +244,31 @@
     }
 
     /**
-     * Sends a request to an upstream and waits until the given time. Where this process itself holds the
-     * attempt up, that is no time of the upstream's, and it waits for so much longer, until {@code latest} at
-     * the most. {@code body} and {@code listener} are used until the listener has been called. A body that is
-     * still on its way has all its time.
+     * Sends a request to an upstream. Time by which this process itself delays the attempt does not count
+     * against the upstream and extends the timeout. The request and the listener are used until
+     * {@link Listener#finished} has been called. A body that is still arriving has no timeout.
+     *
+     * @param timeoutAt when the attempt times out, in ms of the clock
+     * @param latestTimeoutAt until when the timeout may be extended
      */
-    Attempt send(long upstream, FullHttpRequest request, double until, double latest, Listener listener) {
-        return send(upstream, request, false, until, latest, listener);
+    Attempt send(long upstream, FullHttpRequest request, double timeoutAt, double latestTimeoutAt,
+            Listener listener) {
+        return send(upstream, request, false, timeoutAt, latestTimeoutAt, listener);
     }
 
-    private Attempt send(long upstream, FullHttpRequest request, boolean probe, double until, double latest,
-            Listener listener) {
-        Attempt attempt = new Attempt(request, probe, latest, listener);
-        attempt.waitUntil(until);
+    private Attempt send(long upstream, FullHttpRequest request, boolean probe, double timeoutAt,
+            double latestTimeoutAt, Listener listener) {
+        Attempt attempt = new Attempt(request, probe, latestTimeoutAt, listener);
+        attempt.setTimeoutAt(timeoutAt);
         attempt.start(targets.get(upstream));
         return attempt;
     }
 
-    /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
-    void probe(long upstream, double until, Listener listener) {
+    /** Probes an upstream; the body of the answer holds its load report if upstreams report their load. */
+    void probe(long upstream, double timeoutAt, Listener listener) {
         String path = settings.reportFields().isEmpty() ? "/ping" : "/_load";
         send(upstream, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
-                Unpooled.EMPTY_BUFFER), true, until, until, listener);
+                Unpooled.EMPTY_BUFFER), true, timeoutAt, timeoutAt, listener);
     }
 
     void closeIdle(long upstream) {
@@ -271,21 +279,22 @@
     }
 
     private void sweep() {
-        if (unreadable > 0 && clock.now() >= toldAt + TELL_EVERY_MS) {
-            Node.LOG.warning(unreadable + " answers of upstreams could not be read");
-            toldAt = clock.now();
-            unreadable = 0;
-        }
-        double still = clock.now() - STALL_MS;
-        List.copyOf(moving).stream().filter(attempt -> attempt.isStalled(still)).forEach(Attempt::expire);
-        double oldest = clock.now() - longestIdle();
-        while (!idle.isEmpty() && idle.iterator().next().idleSince < oldest) {
-            figures.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_IDLE);
+        if (malformedResponses > 0 && clock.now() >= loggedAt + LOG_INTERVAL_MS) {
+            Node.LOG.warning(malformedResponses + " upstream responses were malformed");
+            loggedAt = clock.now();
+            malformedResponses = 0;
+        }
+        double stalledSince = clock.now() - STALL_TIMEOUT_MS;
+        List.copyOf(streaming).stream().filter(attempt -> attempt.isStalled(stalledSince))
+                .forEach(Attempt::expire);
+        double oldestAllowed = clock.now() - maxIdleMs();
+        while (!idleConnections.isEmpty() && idleConnections.iterator().next().idleSince < oldestAllowed) {
+            metrics.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_IDLE);
             evictIdle();
         }
-        // Whoever left long ago and holds nothing need not be remembered.
+        // Forget upstreams that left the list long ago and have no idle connections.
         double grace = settings.rules().drainGrace();
-        targets.values().removeIf(target -> !target.listed && target.idle.isEmpty()
+        targets.values().removeIf(target -> !target.listed && target.idleConnections.isEmpty()
                 && target.drainingSince < clock.now() - 2 * grace);
     }
 
@@ -294,231 +303,235 @@
         return target != null && target.listed;
     }
 
-    /** How many upstreams the list has. */
+    /** Returns the number of upstreams in the list. */
     int listedCount() {
-        return listed;
+        return listedCount;
     }
 
-    /** How many upstreams it knows; for tests. */
+    /** Returns the number of upstreams that are remembered, listed or not; for tests. */
     int targetCount() {
         return targets.size();
     }
 
     /**
-     * How long a connection may have been idle for another use. The settings say when upstreams close one at
-     * the latest; some do so far sooner, and what crosses that may have run.
+     * Returns how long a connection may have been idle and still be reused. The settings hold an upper bound
+     * for when upstreams close idle connections. Some close them far sooner, and a request that crosses the
+     * close may have run.
      */
-    private double longestIdle() {
-        double healed = taughtIdle * Math.pow(2, (clock.now() - taughtAt) / WITNESS_MS);
-        return Math.min(healed, IDLE_SHARE * settings.limits().connectionIdle());
+    private double maxIdleMs() {
+        double decayedLimit = learnedIdleLimit * Math.pow(2, (clock.now() - learnedAt) / RESET_WINDOW_MS);
+        return Math.min(decayedLimit, IDLE_LIMIT_FRACTION * settings.limits().connectionIdle());
     }
 
-    /** One upstream that resets connections may have crashed; if two do, it is their way with idle ones. */
-    private void wasReset(Target target, double idleFor) {
+    /**
+     * Lowers the idle limit when two upstreams reset reused connections at about the same time: they seem to
+     * close idle connections early. A single upstream that does so may have crashed.
+     */
+    private void recordReset(Target target, double idleMs) {
         double now = clock.now();
-        if (target != resetBy && now < resetAt + WITNESS_MS) {
-            taughtIdle = Math.min(longestIdle(), Math.max(idleFor, resetIdle) / 2);
-            taughtAt = now;
+        if (target != lastResetTarget && now < lastResetAt + RESET_WINDOW_MS) {
+            learnedIdleLimit = Math.min(maxIdleMs(), Math.max(idleMs, lastResetIdleMs) / 2);
+            learnedAt = now;
         }
-        resetBy = target;
-        resetAt = now;
-        resetIdle = idleFor;
+        lastResetTarget = target;
+        lastResetAt = now;
+        lastResetIdleMs = idleMs;
     }
 
-    /** Closes the connection that has been idle for longest; false if there is none. */
+    /** Closes the connection that has been idle for longest; returns false if there is none. */
     private boolean evictIdle() {
-        if (idle.isEmpty()) {
+        if (idleConnections.isEmpty()) {
             return false;
         }
-        Connection longest = idle.iterator().next();
-        idle.remove(longest);
-        longest.home.idle.remove(longest);
+        Connection longest = idleConnections.iterator().next();
+        idleConnections.remove(longest);
+        longest.upstream.idleConnections.remove(longest);
         longest.channel.close();
         return true;
     }
 
-    /** One request on its way to one upstream. */
+    /** One request sent to one upstream. */
     final class Attempt implements Upload.Sink {
 
         private final FullHttpRequest request;
         private final boolean probe;
-        /** The body if it comes on its own; null for others. */
+        /** The body if it is streamed; otherwise null. */
         private final Upload upload;
         private final Listener listener;
-        private double until;
-        /** Until when {@link #until} may be put off, and by how many ms this process has held it up. */
-        private double latest;
-        private double heldUp;
-        private Future<?> expiry;
-        /** Whether the sockets have been looked at since its time was over. */
-        private boolean lookedAgain;
+        private double timeoutAt;
+        /** Until when {@link #timeoutAt} may be extended, and for how many ms this process delayed it. */
+        private double latestTimeoutAt;
+        private double localDelay;
+        private Future<?> timeoutTimer;
+        /** True if the sockets have been polled once more since the timeout. */
+        private boolean polledAgain;
         private Target target;
-        /** The process that it was meant for. */
-        private Member meant;
+        /** The upstream's list entry when the attempt started, to detect that the process was replaced. */
+        private Member intendedMember;
         private Channel channel;
-        /** How long its connection had been idle; NaN for a new one. */
-        private double idleFor = Double.NaN;
-        /** When its first byte went out; NaN before. */
-        private double begunAt = Double.NaN;
+        /** How long the connection had been idle, in ms; NaN for a new one. */
+        private double connectionIdleMs = Double.NaN;
+        /** When its first byte was written; NaN before that. */
+        private double firstByteAt = Double.NaN;
         private boolean neverRan;
-        private boolean written;
-        private boolean over;
-        /** Who takes the answer, once a large one has begun; and when something last moved. */
-        private ResponseSink download;
-        private double movedAt;
+        private boolean fullyWritten;
+        private boolean ended;
+        /** Where a streamed answer goes, once it has started, and when data last moved. */
+        private ResponseSink responseSink;
+        private double lastProgressAt;
 
-        private Attempt(FullHttpRequest request, boolean probe, double latest, Listener listener) {
+        private Attempt(FullHttpRequest request, boolean probe, double latestTimeoutAt, Listener listener) {
             this.request = request;
             this.probe = probe;
-            this.latest = latest;
+            this.latestTimeoutAt = latestTimeoutAt;
             this.listener = listener;
             upload = request instanceof StreamedRequest large ? large.upload : null;
         }
 
-        /** Sets how long to wait at the most, as a body has come. */
-        void setDeadline(double given) {
-            latest = given;
-            waitUntil(given);
+        /** Sets when the attempt times out, now that its streamed body has arrived. */
+        void setDeadline(double deadline) {
+            latestTimeoutAt = deadline;
+            setTimeoutAt(deadline);
         }
 
-        /** Sets how long to wait; infinity for a body that is on its way. */
-        private void waitUntil(double given) {
-            until = given;
-            if (!over && download == null && until < Double.POSITIVE_INFINITY) {
-                expiry = loop.schedule(this::expire, clock.nanosUntil(until), TimeUnit.NANOSECONDS);
+        /** Sets when the attempt times out; infinity while its body is arriving. */
+        private void setTimeoutAt(double newTimeoutAt) {
+            timeoutAt = newTimeoutAt;
+            if (!ended && responseSink == null && timeoutAt < Double.POSITIVE_INFINITY) {
+                timeoutTimer = loop.schedule(this::expire, clock.nanosUntil(timeoutAt), TimeUnit.NANOSECONDS);
             }
         }
 
-        private void start(Target to) {
-            target = to;
-            if (to == null) {
+        private void start(Target upstream) {
+            target = upstream;
+            if (upstream == null) {
                 end(Result.CONNECT_FAILED, null);
                 return;
             }
-            meant = to.member;
-            Connection kept = takeIdle(to);
-            if (kept != null) {
-                begin(kept);
-            } else if (!sockets.roomForUpstream()) {
-                // This process's own want says nothing of the upstream.
-                figures.failed(NodeMetrics.ConnectFailure.NO_DESCRIPTOR);
+            intendedMember = upstream.member;
+            Connection pooled = takeIdle(upstream);
+            if (pooled != null) {
+                writeRequest(pooled);
+            } else if (!socketBudget.makeRoomForUpstream()) {
+                // A lack of descriptors here must not count as a failure of the upstream.
+                metrics.failed(NodeMetrics.ConnectFailure.NO_DESCRIPTOR);
                 end(Result.NOT_SENT, null);
             } else {
-                connect(to);
+                connect(upstream);
             }
         }
 
-        private void connect(Target to) {
-            ChannelFuture connect = Channels.connect(bootstrap, to.member.address());
+        private void connect(Target upstream) {
+            ChannelFuture connect = Channels.connect(bootstrap, upstream.member.address());
             if (connect == null) {
-                figures.failed(NodeMetrics.ConnectFailure.NO_SOCKET);
+                metrics.failed(NodeMetrics.ConnectFailure.NO_SOCKET);
                 end(Result.NOT_SENT, null);
                 return;
             }
             channel = connect.channel();
-            sockets.count(channel);
-            figures.connectionStarted();
-            connect.addListener(up -> {
-                if (over) {
+            socketBudget.count(channel);
+            metrics.connectionStarted();
+            connect.addListener(connected -> {
+                if (ended) {
                     channel.close();
-                } else if (up.isSuccess()) {
-                    putOff(lateness.getAsDouble());
-                    begin(channel.pipeline().get(Connection.class));
+                } else if (connected.isSuccess()) {
+                    extendTimeout(loopLateness.getAsDouble());
+                    writeRequest(channel.pipeline().get(Connection.class));
                 } else {
-                    figures.failed(NodeMetrics.ConnectFailure.NOT_UP);
+                    metrics.failed(NodeMetrics.ConnectFailure.NOT_UP);
                     end(Result.CONNECT_FAILED, null);
                 }
             });
         }
 
-        /** Waits for so many ms longer: its connection stood so long before this process saw that. */
-        private void putOff(double ms) {
-            heldUp += ms;
-            if (ms > 0 && until < latest) {
-                expiry.cancel(false);
-                waitUntil(Math.min(latest, until + ms));
+        /** Extends the timeout by the ms for which its connection was up before this process noticed. */
+        private void extendTimeout(double ms) {
+            localDelay += ms;
+            if (ms > 0 && timeoutAt < latestTimeoutAt) {
+                timeoutTimer.cancel(false);
+                setTimeoutAt(Math.min(latestTimeoutAt, timeoutAt + ms));
             }
         }
 
-        /** How long this process has held it up before its request went out, in ms. */
+        /** Returns by how many ms this process delayed the attempt before its request was written. */
         double localDelay() {
-            return heldUp;
+            return localDelay;
         }
 
-        /** Writes the request, unless it has waited too long for its connection. */
-        private void begin(Connection connection) {
+        /** Writes the request, unless connecting took so long that it must not be sent any more. */
+        private void writeRequest(Connection connection) {
             channel = connection.channel;
             double now = clock.now();
-            // NaN compares false: a ready upstream takes anything. One that is gone takes nothing more.
-            boolean drained = !target.listed
+            // Comparing with NaN yields false: a ready upstream takes requests. An unlisted one takes none.
+            boolean graceOver = !target.listed
                     || now >= target.drainingSince + settings.rules().drainGrace();
-            boolean restarted = !target.isStill(meant);
-            boolean late = drained || restarted || now >= until || upload != null && !upload.isRepeatable()
-                    || !listener.maySend();
-            if (over) {
-                // Whoever was asked has called it off, and its connection is closed.
+            boolean restarted = !target.isSameProcess(intendedMember);
+            boolean obsolete = graceOver || restarted || now >= timeoutAt
+                    || upload != null && !upload.isRepeatable() || !listener.maySend();
+            if (ended) {
+                // The listener has cancelled the attempt from maySend, which closed the connection.
                 return;
             }
-            if (late) {
+            if (obsolete) {
                 if (restarted) {
                     channel.close();
                 } else {
-                    connection.park(target);
+                    connection.returnToPool(target);
                 }
-                end(now >= until && heldUp > 0 ? Result.NOT_SENT : Result.CONNECT_FAILED, null);
+                end(now >= timeoutAt && localDelay > 0 ? Result.NOT_SENT : Result.CONNECT_FAILED, null);
                 return;
             }
-            begunAt = now;
-            idleFor = now - connection.idleSince;
-            connection.carry(this);
+            firstByteAt = now;
+            connectionIdleMs = now - connection.idleSince;
+            connection.assign(this);
             if (upload == null) {
                 FullHttpRequest copy = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(),
                         request.uri(), request.content().retainedDuplicate());
-                address(copy.headers(), now);
-                channel.writeAndFlush(copy).addListener(this::wroteAll);
+                setHeaders(copy.headers(), now);
+                channel.writeAndFlush(copy).addListener(this::onFullyWritten);
                 return;
             }
             HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
-            address(head.headers(), now);
+            setHeaders(head.headers(), now);
             HttpUtil.setTransferEncodingChunked(head, upload.length < 0);
-            move();
+            recordProgress();
             channel.config().setWriteBufferWaterMark(Upload.WATER_MARK);
             channel.write(head);
-            upload.feed(this);
+            upload.attach(this);
         }
 
-        private void address(HttpHeaders headers, double now) {
+        private void setHeaders(HttpHeaders headers, double now) {
             headers.set(request.headers());
             HOP_BY_HOP.forEach(headers::remove);
             headers.set("Host", target.member.address().getHostString());
-            if (until < Double.POSITIVE_INFINITY) {
-                // Rounded down: the upstream must not take this balancer to be more patient than it is.
-                headers.set("X-Remaining", seconds(until - now));
+            if (timeoutAt < Double.POSITIVE_INFINITY) {
+                // Rounded down, so that the upstream never sees more time than is left.
+                headers.set("X-Remaining", formatSeconds(timeoutAt - now));
             }
         }
 
-        private void wroteAll(io.netty.util.concurrent.Future<? super Void> write) {
-            written = write.isSuccess();
-            if (!written) {
-                broke();
+        private void onFullyWritten(io.netty.util.concurrent.Future<? super Void> write) {
+            fullyWritten = write.isSuccess();
+            if (!fullyWritten) {
+                connectionLost();
             } else if (!probe) {
-                figures.attemptSent();
+                metrics.attemptSent();
             }
         }
 
         @Override
-        public void piece(ByteBuf piece) {
-            channel.writeAndFlush(new DefaultHttpContent(piece)).addListener(write -> {
-                move();
+        public void writeChunk(ByteBuf chunk) {
+            channel.writeAndFlush(new DefaultHttpContent(chunk)).addListener(write -> {
+                recordProgress();
                 if (!write.isSuccess()) {
-                    broke();
+                    connectionLost();
                 }
             });
         }
 
         @Override
-        public void end() {
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(this::wroteAll);
+        public void endBody() {
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(this::onFullyWritten);
         }
 
         @Override
@@ -526,102 +539,103 @@
             return channel.isWritable();
         }
 
-        private void move() {
-            if (!over) {
-                movedAt = clock.now();
-                moving.add(this);
+        private void recordProgress() {
+            if (!ended) {
+                lastProgressAt = clock.now();
+                streaming.add(this);
             }
         }
 
-        /** Whether it is this side that waits, and has since before the given time. */
+        /** Returns true if this side has waited for the upstream since before the given time. */
         private boolean isStalled(double since) {
-            return movedAt < since && (download == null ? !written && !channel.isWritable()
-                    : download.isWritable());
+            return lastProgressAt < since && (responseSink == null ? !fullyWritten && !channel.isWritable()
+                    : responseSink.isWritable());
         }
 
-        /** Takes no more of its answer until {@link #resume}. */
+        /** Stops reading the answer until {@link #resume}. */
         private void pause() {
             channel.config().setAutoRead(false);
         }
 
-        /** Its answer can be taken on. */
+        /** Reads on, as the sink of the answer is writable again. */
         void resume() {
-            if (!over) {
-                move();
+            if (!ended) {
+                recordProgress();
                 channel.config().setAutoRead(true);
             }
         }
 
-        /** A large answer has begun. */
-        private boolean begun(HttpResponse head) {
-            download = listener.streamStarted(this, HttpUtil.getContentLength(head, -1L));
-            if (download == null || over) {
+        /** Starts a streamed answer; returns false if it is not wanted. */
+        private boolean startStream(HttpResponse head) {
+            responseSink = listener.streamStarted(this, HttpUtil.getContentLength(head, -1L));
+            if (responseSink == null || ended) {
                 return false;
             }
-            if (expiry != null) {
-                expiry.cancel(false);
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
-            move();
+            recordProgress();
             return true;
         }
 
-        private void answer(ByteBuf piece) {
-            move();
-            download.piece(piece);
-            if (!over && !download.isWritable()) {
+        private void streamChunk(ByteBuf chunk) {
+            recordProgress();
+            responseSink.writeChunk(chunk);
+            if (!ended && !responseSink.isWritable()) {
                 pause();
             }
         }
 
-        /** The connection is of no more use: what was not written whole can't have run. */
-        private void broke() {
-            if (!over && written && !Double.isNaN(idleFor)) {
-                wasReset(target, idleFor);
+        /** Ends the attempt because its connection broke; a request not fully written cannot have run. */
+        private void connectionLost() {
+            if (!ended && fullyWritten && !Double.isNaN(connectionIdleMs)) {
+                recordReset(target, connectionIdleMs);
             }
-            giveUp(written || download != null ? Result.RESET : Result.CONNECT_FAILED);
+            closeAndEnd(fullyWritten || responseSink != null ? Result.RESET : Result.CONNECT_FAILED);
         }
 
         /**
-         * Takes its answer if that has come and lies unread: a loop that is late handles timers that are due
-         * before it looks at its sockets again, and its own lateness is not the upstream's.
+         * Reads the answer if it has arrived. A loop that is late runs due timers before it polls its
+         * sockets, and must not charge its own lateness to the upstream.
          */
-        private void readNow() {
-            if (!over && written && download == null) {
+        private void readAnswerNow() {
+            if (!ended && fullyWritten && responseSink == null) {
                 Channels.readNow(channel);
             }
         }
 
         /**
-         * Its time is over. Timers that are due come before the sockets in a loop that is late, so its answer
-         * is read first, or its connection looked at, which may long be up.
+         * Ends the attempt because of its timeout. A loop that is late runs timers before it polls its
+         * sockets, so this first reads an answer that has arrived, or polls once more for the connection,
+         * which may have been up for long.
          */
         private void expire() {
-            readNow();
-            if (!over && !written && !lookedAgain) {
-                lookedAgain = true;
-                // What is executed rather than scheduled would run before the sockets are looked at.
-                expiry = loop.schedule(this::expire, 1, TimeUnit.NANOSECONDS);
+            readAnswerNow();
+            if (!ended && !fullyWritten && !polledAgain) {
+                polledAgain = true;
+                // A task passed to execute() would run before the sockets are polled.
+                timeoutTimer = loop.schedule(this::expire, 1, TimeUnit.NANOSECONDS);
                 return;
             }
-            giveUp(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
+            closeAndEnd(fullyWritten ? Result.TIMEOUT : Result.CONNECT_FAILED);
         }
 
-        /** From when it may have run, in ms of the clock; infinity if it can't have, so far or ever. */
-        double mayHaveRunFrom() {
-            return neverRan || Double.isNaN(begunAt) ? Double.POSITIVE_INFINITY : begunAt;
+        /** Returns since when the request may have run, in ms of the clock; infinity if it cannot have. */
+        double mayHaveRunSince() {
+            return neverRan || Double.isNaN(firstByteAt) ? Double.POSITIVE_INFINITY : firstByteAt;
         }
 
-        /** Stops waiting, and lets the upstream know by closing the connection. */
+        /** Cancels the attempt by closing its connection, which lets the upstream know. */
         void cancel() {
-            giveUp(Result.CANCELLED);
+            closeAndEnd(Result.CANCELLED);
         }
 
         /**
-         * Ends the attempt with its connection. That is closed first: what the module sends in answer to the
-         * outcome would otherwise overtake it, and be a second copy.
+         * Closes the connection and ends the attempt, in this order: a retry that the decision module sends
+         * in response to the outcome could otherwise overtake the close and run as a second copy.
          */
-        private void giveUp(Result result) {
-            if (close(result)) {
+        private void closeAndEnd(Result result) {
+            if (markEnded(result)) {
                 if (channel != null) {
                     channel.close();
                 }
@@ -630,30 +644,30 @@
         }
 
         private void end(Result result, FullHttpResponse response) {
-            if (close(result)) {
+            if (markEnded(result)) {
                 listener.finished(result, response);
             }
         }
 
-        /** It is over; false if it was so before. */
-        private boolean close(Result result) {
-            if (over) {
+        /** Marks the attempt as ended; returns false if it had ended before. */
+        private boolean markEnded(Result result) {
+            if (ended) {
                 return false;
             }
-            over = true;
+            ended = true;
             neverRan = result.neverRan();
-            if (expiry != null) {
-                expiry.cancel(false);
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
-            moving.remove(this);
+            streaming.remove(this);
             if (upload != null) {
-                upload.leave(this);
+                upload.detach(this);
             }
             return true;
         }
     }
 
-    private static Result result(HttpResponse response) {
+    private static Result resultOf(HttpResponse response) {
         int status = response.status().code();
         boolean turnedAway = (status == 503 || status == 504)
                 && "1".equals(response.headers().get("X-Turned-Away"));
@@ -661,12 +675,13 @@
     }
 
     private Connection takeIdle(Target target) {
-        double oldest = clock.now() - longestIdle();
-        for (Connection c = target.idle.pollLast(); c != null; c = target.idle.pollLast()) {
-            idle.remove(c);
-            // The upstream may have closed it, and what is written to it then would count as run.
+        double oldestAllowed = clock.now() - maxIdleMs();
+        for (Connection c = target.idleConnections.pollLast(); c != null;
+                c = target.idleConnections.pollLast()) {
+            idleConnections.remove(c);
+            // If the upstream has closed it, a request written to it would have to count as run.
             Channels.readNow(c.channel);
-            if (c.channel.isActive() && c.idleSince >= oldest) {
+            if (c.channel.isActive() && c.idleSince >= oldestAllowed) {
                 return c;
             }
             c.channel.close();
@@ -674,22 +689,22 @@
         return null;
     }
 
-    /** Whole ms as a decimal number of seconds. */
-    static String seconds(double millis) {
-        return BigDecimal.valueOf((long) millis, MILLI).toPlainString();
+    /** Formats whole ms as a decimal number of seconds. */
+    static String formatSeconds(double millis) {
+        return BigDecimal.valueOf((long) millis, MILLI_SCALE).toPlainString();
     }
 
-    /** A connection to an upstream; it belongs to one attempt at a time. */
+    /** A connection to an upstream; it serves one attempt at a time. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
 
         final Channel channel;
         private final ResponseDecoder decoder;
         double idleSince = Double.NaN;
-        private Attempt carried;
-        private Target home;
-        /** The answer that comes in pieces; null for none. */
-        private HttpResponse passing;
-        /** Whether the connection broke rather than ended. */
+        private Attempt currentAttempt;
+        private Target upstream;
+        /** Head of the answer being streamed; null if there is none. */
+        private HttpResponse streamedHead;
+        /** True if the connection broke rather than being closed in order. */
         private boolean broken;
 
         Connection(Channel channel, ResponseDecoder decoder) {
@@ -697,17 +712,17 @@
             this.decoder = decoder;
         }
 
-        void carry(Attempt attempt) {
-            carried = attempt;
-            decoder.await(true);
-            home = attempt.target;
+        void assign(Attempt attempt) {
+            currentAttempt = attempt;
+            decoder.setResponseExpected(true);
+            upstream = attempt.target;
         }
 
-        /** Keeps the connection for the next attempt. */
-        void park(Target target) {
-            carried = null;
-            decoder.await(false);
-            home = target;
+        /** Returns the connection to the pool for the next attempt. */
+        void returnToPool(Target target) {
+            currentAttempt = null;
+            decoder.setResponseExpected(false);
+            upstream = target;
             channel.config().setAutoRead(true);
             channel.config().setWriteBufferWaterMark(WriteBufferWaterMark.DEFAULT);
             if (!Double.isNaN(target.drainingSince)) {
@@ -715,10 +730,10 @@
                 return;
             }
             idleSince = clock.now();
-            target.idle.addLast(this);
-            idle.add(this);
-            if (idle.size() > sockets.mostIdleUpstreams()) {
-                figures.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_FOR_ROOM);
+            target.idleConnections.addLast(this);
+            idleConnections.add(this);
+            if (idleConnections.size() > socketBudget.maxIdleUpstreams()) {
+                metrics.connectionClosed(NodeMetrics.CloseReason.UPSTREAM_FOR_ROOM);
                 evictIdle();
             }
         }
@@ -726,115 +741,120 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part instanceof FullHttpResponse whole) {
-                answered(whole);
+                onFullResponse(whole);
             } else if (part instanceof HttpResponse head) {
-                begun(head);
-            } else if (part instanceof HttpContent content && passing != null) {
-                passOn(content);
+                onStreamedHead(head);
+            } else if (part instanceof HttpContent content && streamedHead != null) {
+                onStreamedContent(content);
             }
         }
 
-        /** An answer that is passed on as it comes: a served one. */
-        private void begun(HttpResponse head) {
-            Attempt attempt = carried;
-            boolean early = attempt != null && !attempt.written && head.status().code() == 200;
-            unreadable += early ? 1 : 0;
+        /** Handles the head of an answer that is streamed; only a successful one is passed on. */
+        private void onStreamedHead(HttpResponse head) {
+            Attempt attempt = currentAttempt;
+            boolean beforeRequestEnd = attempt != null && !attempt.fullyWritten
+                    && head.status().code() == 200;
+            malformedResponses += beforeRequestEnd ? 1 : 0;
             if (attempt == null) {
                 channel.close();
-            } else if (early || head.status().code() != 200) {
-                carried = null;
-                attempt.giveUp(early ? Result.ERROR : result(head));
-            } else if (attempt.begun(head)) {
-                passing = head;
+            } else if (beforeRequestEnd || head.status().code() != 200) {
+                currentAttempt = null;
+                attempt.closeAndEnd(beforeRequestEnd ? Result.ERROR : resultOf(head));
+            } else if (attempt.startStream(head)) {
+                streamedHead = head;
             } else {
-                carried = null;
-                attempt.giveUp(Result.ERROR);
+                currentAttempt = null;
+                attempt.closeAndEnd(Result.ERROR);
             }
         }
 
-        private void passOn(HttpContent content) {
-            Attempt attempt = carried;
-            if (attempt == null || attempt.over) {
+        private void onStreamedContent(HttpContent content) {
+            Attempt attempt = currentAttempt;
+            if (attempt == null || attempt.ended) {
                 channel.close();
                 return;
             }
             boolean last = content instanceof LastHttpContent;
             if (content.decoderResult().isFailure()) {
-                unreadable++;
-                carried = null;
-                attempt.giveUp(Result.ERROR);
+                malformedResponses++;
+                currentAttempt = null;
+                attempt.closeAndEnd(Result.ERROR);
                 return;
             }
             if (content.content().isReadable()) {
-                attempt.answer(content.content().retain());
+                attempt.streamChunk(content.content().retain());
             }
-            if (last && !isWhole(passing)) {
-                attempt.broke();
+            if (last && !isComplete(streamedHead)) {
+                attempt.connectionLost();
             } else if (last) {
-                boolean keep = HttpUtil.isKeepAlive(passing) && !decoder.hasSurplus();
-                carried = null;
-                passing = null;
+                boolean keep = HttpUtil.isKeepAlive(streamedHead) && !decoder.hasTrailingBytes();
+                currentAttempt = null;
+                streamedHead = null;
                 attempt.end(Result.OK, null);
                 keepOrClose(keep);
             }
         }
 
-        /** Whether an answer whose end has come is whole: one may end with its connection if it says so. */
-        private boolean isWhole(HttpResponse response) {
+        /**
+         * Returns true if an answer that has ended is complete. The close of the connection may mark its end
+         * only if its headers say so.
+         */
+        private boolean isComplete(HttpResponse response) {
             return channel.isActive() || !broken && !HttpUtil.isKeepAlive(response);
         }
 
         private void keepOrClose(boolean keep) {
             if (keep && channel.isActive()) {
-                park(home);
+                returnToPool(upstream);
             } else {
                 channel.close();
             }
         }
 
-        private void answered(FullHttpResponse response) {
+        private void onFullResponse(FullHttpResponse response) {
             if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL
                     && response.decoderResult().isSuccess()) {
                 return;
             }
-            Attempt attempt = carried;
-            carried = null;
+            Attempt attempt = currentAttempt;
+            currentAttempt = null;
             if (attempt == null) {
                 channel.close();
-            } else if (!isWhole(response)) {
-                // What the end of the connection completes is no answer: a crash would look like that too.
-                attempt.broke();
-            } else if (response.decoderResult().isSuccess() && !attempt.written && attempt.upload != null
+            } else if (!isComplete(response)) {
+                // An answer that only the close completes is not trusted: a crash would look the same.
+                attempt.connectionLost();
+            } else if (response.decoderResult().isSuccess() && !attempt.fullyWritten && attempt.upload != null
                     && response.status().code() != 200) {
-                // An upstream need not read all of what it turns away.
-                attempt.giveUp(result(response));
-            } else if (!response.decoderResult().isSuccess() || !attempt.written) {
-                // What comes before the request is out as a whole can be no answer to it.
-                unreadable++;
-                attempt.giveUp(Result.ERROR);
+                // An upstream may reject a request without reading all of its body.
+                attempt.closeAndEnd(resultOf(response));
+            } else if (!response.decoderResult().isSuccess() || !attempt.fullyWritten) {
+                // A response that precedes the end of the request cannot be the answer to it.
+                malformedResponses++;
+                attempt.closeAndEnd(Result.ERROR);
             } else {
-                boolean keep = !attempt.over && HttpUtil.isKeepAlive(response) && !decoder.hasSurplus();
-                attempt.end(result(response), response);
-                // Only now: the module's next send must not read from a connection that is being read.
+                boolean keep = !attempt.ended && HttpUtil.isKeepAlive(response)
+                        && !decoder.hasTrailingBytes();
+                attempt.end(resultOf(response), response);
+                // Pooled only now: the module's next send must not read from a connection being read.
                 keepOrClose(keep);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (idle.remove(this)) {
-                home.idle.remove(this);
+            if (idleConnections.remove(this)) {
+                upstream.idleConnections.remove(this);
             }
-            if (carried != null) {
-                carried.broke();
+            if (currentAttempt != null) {
+                currentAttempt.connectionLost();
             }
             ctx.fireChannelInactive();
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (carried != null && carried.upload != null) {
-                carried.upload.writable();
+            if (currentAttempt != null && currentAttempt.upload != null) {
+                currentAttempt.upload.sinkWritable();
             }
             ctx.fireChannelWritabilityChanged();
         }
@@ -843,12 +863,13 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             broken = cause instanceof IOException
                     || cause instanceof PrematureChannelClosureException;
-            if (carried != null && !broken) {
-                // An answer that is too large or no HTTP: the upstream has had the request.
-                unreadable++;
-                carried.giveUp(carried.written ? Result.ERROR : Result.CONNECT_FAILED);
+            if (currentAttempt != null && !broken) {
+                // The answer is too large or not HTTP; a fully written request has reached the upstream.
+                malformedResponses++;
+                currentAttempt.closeAndEnd(currentAttempt.fullyWritten ? Result.ERROR
+                        : Result.CONNECT_FAILED);
             }
-            // For a broken connection, the end of the channel tells the attempt.
+            // If the connection broke, channelInactive ends the attempt.
             channel.close();
         }
     }
--- a/src/main/java/cranedeal/node/channel/Channels.java
+++ b/src/main/java/cranedeal/node/channel/Channels.java
@@ -6,17 +6,17 @@
 import io.netty.channel.nio.AbstractNioChannel;
 import java.net.SocketAddress;
 
-/** What a node does with Netty's channels beyond what Netty offers. */
+/** Operations on Netty's channels that Netty does not offer itself. */
 public final class Channels {
 
     private Channels() {
     }
 
     /**
-     * Opens a connection. Where there is no socket to be had, Netty's future knows no channel and tells its
-     * listeners on a thread of its own; that is told here at once instead.
+     * Opens a connection. If no socket can be opened, Netty's future has no registered channel and notifies
+     * its listeners on another thread; this method returns null at once instead.
      *
-     * @return null if there is no socket to be had
+     * @return null if no socket could be opened
      */
     public static ChannelFuture connect(Bootstrap bootstrap, SocketAddress address) {
         ChannelFuture connect = bootstrap.connect(address);
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream, callers in
-     * the backlog. What it says about a connection is then as fresh as can be.
+     * Reads at once what the kernel has for a channel: bytes, the end of the stream, or connections in the
+     * accept queue. The state of the channel is then as current as possible.
      */
     public static void readNow(Channel channel) {
         if (channel.isOpen()) {
--- a/src/test/java/cranedeal/node/ArrivalsTest.java
+++ b/src/test/java/cranedeal/node/ArrivalsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.node.Arrivals.Left;
+import cranedeal.node.RequestQueue.SliceResult;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
     private final List<Integer> handled = new ArrayList<>();
     private final List<Integer> refused = new ArrayList<>();
     private boolean canSend = true;
-    private final Arrivals<Integer> arrivals = new Arrivals<>(() -> now, () -> canSend, request -> {
+    private final RequestQueue<Integer> arrivals = new RequestQueue<>(() -> now, () -> canSend, request -> {
         handled.add(request);
         now += COST_MS;
     }, refused::add);
@@ -33,7 +33,7 @@
     void whatComesIsHandledInOrder() {
         assertTrue(arrivals.add(1));
         assertFalse(arrivals.add(2));
-        assertEquals(Left.NOTHING, arrivals.handleSlice());
+        assertEquals(SliceResult.NOTHING, arrivals.handleSlice());
         assertEquals(List.of(1, 2), handled);
         assertTrue(arrivals.add(3), "the next one begins a slice of its own");
     }
@@ -41,10 +41,10 @@
     @Test
     void aSliceLastsAsLongAsAllElseHasTaken() {
         add(0, 500);
-        assertEquals(Left.READY, arrivals.handleSlice());
+        assertEquals(SliceResult.READY, arrivals.handleSlice());
         assertEquals(5, handled.size());
         now += 20;
-        assertEquals(Left.READY, arrivals.handleSlice());
+        assertEquals(SliceResult.READY, arrivals.handleSlice());
         assertEquals(25, handled.size());
     }
 
@@ -52,20 +52,20 @@
     void aSliceIsBoundedHoweverLongAllElseHasTaken() {
         add(0, 500);
         now += 60;
-        assertEquals(Left.READY, arrivals.handleSlice());
+        assertEquals(SliceResult.READY, arrivals.handleSlice());
         assertEquals(25, handled.size());
     }
 
     @Test
     void whatHasWaitedLongIsRefusedAndWhatCameLaterIsHandled() {
         add(0, 10);
-        now += Arrivals.MOST_WAIT_MS - 1;
+        now += RequestQueue.MAX_WAIT_MS - 1;
         add(10, 10);
         now += 2;
-        assertEquals(Left.NOTHING, arrivals.handleSlice());
+        assertEquals(SliceResult.NOTHING, arrivals.handleSlice());
         assertEquals(List.of(0, 1, 2, 3, 4, 5, 6, 7, 8, 9), refused);
         assertEquals(List.of(10, 11, 12, 13, 14, 15, 16, 17, 18, 19), handled);
-        assertEquals(Arrivals.MOST_WAIT_MS + 1, arrivals.takeLongestWait(), 1e-9);
+        assertEquals(RequestQueue.MAX_WAIT_MS + 1, arrivals.takeLongestWait(), 1e-9);
         assertEquals(0, arrivals.takeLongestWait());
     }
 
@@ -76,9 +76,9 @@
     @Test
     void whatIsToBeRefusedTakesNoTimeOfWhatIsToBeHandled() {
         add(0, 1_000);
-        now += Arrivals.MOST_WAIT_MS + 1;
+        now += RequestQueue.MAX_WAIT_MS + 1;
         add(1_000, 1_000);
-        assertEquals(Left.READY, arrivals.handleSlice());
+        assertEquals(SliceResult.READY, arrivals.handleSlice());
         assertEquals(1_000, handled.get(0));
         assertEquals(25, handled.size());
         assertTrue(refused.size() >= 256, () -> refused.size() + " refused");
@@ -88,15 +88,15 @@
     void nothingIsHandledWhileNothingCanBeSentOnAndWhatWaitsTooLongIsRefusedEvenSo() {
         canSend = false;
         add(0, 2);
-        assertEquals(Left.BLOCKED, arrivals.handleSlice());
-        now += Arrivals.MOST_WAIT_MS / 2;
+        assertEquals(SliceResult.BLOCKED, arrivals.handleSlice());
+        now += RequestQueue.MAX_WAIT_MS / 2;
         add(2, 2);
-        now += Arrivals.MOST_WAIT_MS / 2 + 1;
-        assertEquals(Left.BLOCKED, arrivals.handleSlice());
+        now += RequestQueue.MAX_WAIT_MS / 2 + 1;
+        assertEquals(SliceResult.BLOCKED, arrivals.handleSlice());
         assertEquals(List.of(0, 1), refused);
         assertEquals(List.of(), handled);
         canSend = true;
-        assertEquals(Left.NOTHING, arrivals.handleSlice());
+        assertEquals(SliceResult.NOTHING, arrivals.handleSlice());
         assertEquals(List.of(2, 3), handled);
     }
 
@@ -105,7 +105,7 @@
         arrivals.handleSlice();
         now += 10_000;
         add(0, 20);
-        assertEquals(Left.NOTHING, arrivals.handleSlice());
+        assertEquals(SliceResult.NOTHING, arrivals.handleSlice());
         assertEquals(20, handled.size());
         assertEquals(List.of(), refused);
     }
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -57,7 +57,7 @@
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\n"
-                    + "X-Remaining: 10\r\nContent-Length: " + (Frontend.MAX_LARGE + 1) + "\r\n\r\n");
+                    + "X-Remaining: 10\r\nContent-Length: " + (Frontend.MAX_BODY_BYTES + 1) + "\r\n\r\n");
             assertEquals(413, caller.read().status());
             fixture.assertServes();
         }
--- a/src/test/java/cranedeal/node/OwnOverloadTest.java
+++ b/src/test/java/cranedeal/node/OwnOverloadTest.java
@@ -78,7 +78,7 @@
         assertEquals(calls, loop.served + loop.refused);
         int servedBefore = loop.served;
         int calm = offer(loop, CALM_PER_S, CALM_MS, calls + 1, random);
-        loop.run(loop.now + CALM_MS + Arrivals.MOST_WAIT_MS);
+        loop.run(loop.now + CALM_MS + RequestQueue.MAX_WAIT_MS);
         assertEquals(calm, loop.served - servedBefore);
     }
 
--- a/src/test/java/cranedeal/node/VirtualLoop.java
+++ b/src/test/java/cranedeal/node/VirtualLoop.java
@@ -60,7 +60,7 @@
     private final Set<Long> open = new HashSet<>();
     private final Map<Long, List<Sent>> attempts = new HashMap<>();
     private final Map<Long, Integer> idleConnections = new HashMap<>();
-    private final Arrivals<Long> arrivals;
+    private final RequestQueue<Long> arrivals;
     private final double deadlineMs;
     private long order;
     private double spare;
@@ -72,7 +72,7 @@
     VirtualLoop(Settings settings, int upstreams, double workMs, long seed) {
         this.workMs = workMs;
         deadlineMs = settings.classes().get(0).deadline();
-        arrivals = new Arrivals<>(() -> now, () -> true, this::handle, this::refuseLate);
+        arrivals = new RequestQueue<>(() -> now, () -> true, this::handle, this::refuseLate);
         balancer.start(now, settings, seed);
         List<Upstream> list = new ArrayList<>();
         for (int i = 1; i <= upstreams; i++) {
