--- a/src/test/java/cranedeal/node/LateLookTest.java
+++ b/src/test/java/cranedeal/node/CallerGoneDuringStallTest.java
@@ -11,42 +11,42 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node whose loop was held up sends nothing on for callers that left meanwhile. */
+/** A node whose event loop has stalled sends nothing on for callers that left meanwhile. */
 @Timeout(60)
-class LateLookTest {
+class CallerGoneDuringStallTest {
 
-    /** Longer than a caller is taken to be there without a look. */
-    private static final long HELD_UP_MS = 50;
+    /** Longer than the node assumes a caller to be connected without a check. */
+    private static final long STALL_MS = 50;
 
-    private final CountDownLatch held = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch stalled = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
 
-    /** Holds the loop up until the test lets it go on. */
-    private void holdUp() {
-        held.countDown();
+    /** Blocks the loop until the test resumes it. */
+    private void stall() {
+        stalled.countDown();
         try {
-            assertTrue(goOn.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            Thread.sleep(HELD_UP_MS);
+            assertTrue(resume.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            Thread.sleep(STALL_MS);
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
-    private void awaitHeldUp() throws InterruptedException {
-        assertTrue(held.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    private void awaitStalled() throws InterruptedException {
+        assertTrue(stalled.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     @Test
-    void aRequestThatIsReadAfterItsCallerHasLeftIsNotSentOn() throws Exception {
+    void aRequestReadAfterItsCallerHasLeftIsNotSentOn() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             AtomicBoolean first = new AtomicBoolean(true);
             fixture.balancer.onRequest = request -> {
                 if (first.getAndSet(false)) {
-                    holdUp();
+                    stall();
                 }
                 fixture.balancer.sendTo(0, request, 0);
             };
-            // Both are with the node when it is held up, so it reads them in one round.
+            // Both are connected before the stall, so the node reads them in one iteration of its loop.
             HttpPeer gone = fixture.caller();
             HttpPeer after = fixture.caller();
             for (HttpPeer caller : List.of(gone, after)) {
@@ -55,11 +55,11 @@
             }
             HttpPeer stays = fixture.caller();
             stays.write(NodeFixture.get("holds", "10"));
-            awaitHeldUp();
+            awaitStalled();
             gone.write(NodeFixture.get("gone", "10"));
             gone.close();
             after.write(NodeFixture.get("after", "10"));
-            goOn.countDown();
+            resume.countDown();
             serve(fixture, "holds");
             assertEquals(200, stays.read().status());
             serve(fixture, "after");
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Takes the next request that is sent on, which must be the one given. */
+    /** Answers the next request that is sent on, which must have the given id. */
     private static void serve(NodeFixture fixture, String id) throws Exception {
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         assertEquals(id, upstream.read().header("X-Txn"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void anAttemptThatFailedIsNotFollowedByAnotherOnceItsCallerHasLeft() throws Exception {
+    void aFailedAttemptIsNotRetriedOnceItsCallerHasLeft() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2)) {
             Request[] asked = new Request[1];
             fixture.balancer.onRequest = request -> {
@@ -83,7 +83,7 @@
                 fixture.balancer.sendTo(0, request, 0);
             };
             fixture.balancer.onOpenOutcome = (to, outcome) -> {
-                holdUp();
+                stall();
                 fixture.balancer.sendTo(1, asked[0], 0);
             };
             fixture.start();
@@ -92,10 +92,10 @@
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.reset();
-            awaitHeldUp();
+            awaitStalled();
             caller.close();
-            goOn.countDown();
-            // The second attempt is over without having begun, and nobody waits any more.
+            resume.countDown();
+            // The second attempt ends without having been sent, and its caller no longer waits.
             ScriptedBalancer.next(fixture.balancer.outcomes);
             assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
--- a/src/test/java/cranedeal/node/CallerGoneTest.java
+++ b/src/test/java/cranedeal/node/CallerGoneTest.java
@@ -17,23 +17,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A caller that has closed its connection has gone: no attempt begins for it any more, whatever the node was
- * busy with when it went. Here the node's one thread is held while callers leave, so that what they did waits
- * in the kernel, next to whatever would cause an attempt.
+ * No attempt is sent for a caller that has closed its connection, whatever the node was busy with at that
+ * time. The tests block the node's only thread while callers leave, so that the close is pending in the
+ * kernel next to an event that would cause an attempt.
  */
 @Timeout(120)
 class CallerGoneTest {
 
-    private static final long SURELY_NOT_JUST_SEEN_MS = 5;
+    private static final long PAST_CONNECTED_CHECK_MS = 5;
 
-    /** Requests that the module keeps, in the order in which they came. */
-    private final LinkedBlockingQueue<Request> kept = new LinkedBlockingQueue<>();
+    /** Requests that the module has neither sent nor answered, in order of arrival. */
+    private final LinkedBlockingQueue<Request> heldRequests = new LinkedBlockingQueue<>();
 
-    /** The upstream's connections that have a request which is not answered yet. */
+    /** The upstream's connections with a request that is not answered yet. */
     private final LinkedBlockingQueue<HttpPeer> atUpstream = new LinkedBlockingQueue<>();
 
-    /** A way to leave. */
-    enum Leaving {
+    /** How a caller leaves. */
+    enum LeaveMode {
         CLOSE, RESET, END_OF_SENDING;
 
         void leave(HttpPeer caller) throws IOException {
@@ -45,20 +45,20 @@
         }
     }
 
-    /** What the test does while the node is busy. */
+    /** What a test does while the node's thread is blocked. */
     private interface Step {
         void run() throws Exception;
     }
 
-    /** Holds the node's one thread in the module meanwhile. */
-    private static void whileBusy(NodeFixture fixture, Step step) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    /** Runs a step while the node's only thread is blocked in the module. */
+    private static void whileNodeBlocked(NodeFixture fixture, Step step) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        var before = fixture.balancer.onRequest;
+        var previous = fixture.balancer.onRequest;
         fixture.balancer.onRequest = request -> {
-            fixture.balancer.onRequest = before;
+            fixture.balancer.onRequest = previous;
             fixture.balancer.actions.refuse(request.id(), 0);
-            held.countDown();
+            blocked.countDown();
             try {
                 release.await();
             } catch (InterruptedException e) {
@@ -67,25 +67,25 @@
         };
         fixture.caller().write(NodeFixture.get("hold", "10"));
         try {
-            assertTrue(held.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            // A caller that was there a ms ago is taken to be there: on a fast machine this takes less.
-            TimeUnit.MILLISECONDS.sleep(SURELY_NOT_JUST_SEEN_MS);
+            assertTrue(blocked.await(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            // The node assumes for 1 ms after a check that a caller is connected; wait longer than that.
+            TimeUnit.MILLISECONDS.sleep(PAST_CONNECTED_CHECK_MS);
             step.run();
         } finally {
             release.countDown();
         }
     }
 
-    /** How many attempts were written whole. */
+    /** Returns the number of attempts that were fully written. */
     private static long dispatches(NodeFixture fixture) throws IOException {
-        // What an upstream has read already is counted only once the node's thread goes on.
+        // An attempt that an upstream has read is counted only once the node's thread goes on.
         fixture.awaitReads();
         return fixture.node.stats().lines().filter(line -> line.contains(".dispatches="))
                 .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
                 .findFirst().orElseThrow();
     }
 
-    /** Has the upstream serve all but requests that are held there. */
+    /** Makes the upstream answer all requests except those whose id starts with "held". */
     private void serve(NodeFixture fixture) {
         fixture.upstreams.get(0).serveEach(peer -> {
             try {
@@ -97,13 +97,13 @@
                     }
                 }
             } catch (IOException e) {
-                // The node has closed it.
+                // The node has closed the connection.
             }
         });
     }
 
-    /** The same, with idle connections to it, on which an attempt goes out at once. */
-    private void serveOnIdle(NodeFixture fixture) throws Exception {
+    /** The same, with two idle connections to the upstream, on which attempts are written at once. */
+    private void serveOnIdleConnections(NodeFixture fixture) throws Exception {
         serve(fixture);
         HttpPeer[] callers = {fixture.caller(), fixture.caller()};
         for (HttpPeer caller : callers) {
@@ -118,8 +118,8 @@
         }
     }
 
-    /** What goes out from here on is what is asked for now. */
-    private static void nothingElseIsSentOn(NodeFixture fixture, long before) throws Exception {
+    /** Asserts that a new request is the only one that is sent on since {@code before} was counted. */
+    private static void assertNothingElseSent(NodeFixture fixture, long before) throws Exception {
         fixture.awaitReads();
         fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
         HttpPeer caller = fixture.caller();
@@ -128,7 +128,7 @@
         assertEquals(before + 1, dispatches(fixture));
     }
 
-    private static HttpPeer resting(NodeFixture fixture) throws IOException {
+    private static HttpPeer idleCaller(NodeFixture fixture) throws IOException {
         HttpPeer caller = fixture.caller();
         caller.write(NodeFixture.HEALTH);
         assertEquals(200, caller.read().status());
@@ -137,28 +137,28 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void whatTheModuleKeepsIsOverOnceItsCallerHasLeft(Leaving way) throws Exception {
+    void aRequestHeldByTheModuleIsNotSentOnceItsCallerHasLeft(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
-            serveOnIdle(fixture);
+            serveOnIdleConnections(fixture);
             long before = dispatches(fixture);
-            fixture.balancer.onRequest = kept::add;
+            fixture.balancer.onRequest = heldRequests::add;
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("kept", "10"));
-            Request request = ScriptedBalancer.next(kept);
-            way.leave(caller);
-            // A close and an end of sending look alike from here: whoever ends its sending has gone.
+            Request request = ScriptedBalancer.next(heldRequests);
+            mode.leave(caller);
+            // The node cannot tell a half-close from a close: both mean that the caller has left.
             assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.gone));
             assertTrue(caller.socket.isClosed() || caller.awaitClose());
             fixture.balancer.onRequest = other -> {
                 fixture.balancer.sendTo(0, request, 0);
                 fixture.balancer.actions.refuse(other.id(), 0);
             };
-            assertEquals(503, answer(fixture, "now"));
-            nothingElseIsSentOn(fixture, before);
+            assertEquals(503, answerStatus(fixture, "now"));
+            assertNothingElseSent(fixture, before);
         }
     }
 
-    private static int answer(NodeFixture fixture, String id) throws IOException {
+    private static int answerStatus(NodeFixture fixture, String id) throws IOException {
         HttpPeer caller = fixture.caller();
         caller.write(NodeFixture.get(id, "10"));
         return caller.read().status();
@@ -166,111 +166,111 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void aFirstAttemptDoesNotBeginForWhoHasLeftUnseen(Leaving way) throws Exception {
+    void aFirstAttemptIsNotSentIfTheCallerLeftUnnoticed(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
-            serveOnIdle(fixture);
+            serveOnIdleConnections(fixture);
             long before = dispatches(fixture);
-            fixture.balancer.onRequest = kept::add;
+            fixture.balancer.onRequest = heldRequests::add;
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("kept", "10"));
-            Request request = ScriptedBalancer.next(kept);
+            Request request = ScriptedBalancer.next(heldRequests);
             fixture.balancer.onRequest = other -> {
                 fixture.balancer.sendTo(0, request, 0);
                 fixture.balancer.actions.refuse(other.id(), 0);
             };
-            HttpPeer other = resting(fixture);
-            whileBusy(fixture, () -> {
-                // What makes the module send is there before the end that forbids it.
+            HttpPeer other = idleCaller(fixture);
+            whileNodeBlocked(fixture, () -> {
+                // The event that makes the module send arrives before the close that forbids it.
                 other.write(NodeFixture.get("cause", "10"));
-                way.leave(caller);
+                mode.leave(caller);
             });
             assertEquals(503, other.read().status());
             assertEquals(Result.NOT_SENT, fixture.balancer.nextResult());
             assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.gone));
-            nothingElseIsSentOn(fixture, before);
+            assertNothingElseSent(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void aRequestThatIsReadOnceItsCallerHasLeftIsNotSentOn(Leaving way) throws Exception {
+    void aRequestReadAfterItsCallerHasLeftIsNotSentOn(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
-            serveOnIdle(fixture);
+            serveOnIdleConnections(fixture);
             long before = dispatches(fixture);
-            HttpPeer caller = resting(fixture);
-            whileBusy(fixture, () -> {
+            HttpPeer caller = idleCaller(fixture);
+            whileNodeBlocked(fixture, () -> {
                 caller.write(NodeFixture.get("left", "10"));
-                way.leave(caller);
+                mode.leave(caller);
             });
-            nothingElseIsSentOn(fixture, before);
+            assertNothingElseSent(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void whoComesWithoutADescriptorForItIsClosedUnread(Leaving way) throws Exception {
+    void aCallerWithoutAFreeDescriptorIsClosedUnread(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
-            // Callers may have ten of them; one is that of who has just asked how the node is.
+            // Callers may use ten descriptors; the health check in dispatches() has just used one.
             fixture.sockets = 64 + 15;
             fixture.start();
             serve(fixture);
             long before = dispatches(fixture);
-            fixture.balancer.onRequest = kept::add;
+            fixture.balancer.onRequest = heldRequests::add;
             List<HttpPeer> taken = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
                 HttpPeer caller = fixture.caller();
                 caller.write(NodeFixture.get("taken" + i, "10"));
                 taken.add(caller);
-                ScriptedBalancer.next(kept);
+                ScriptedBalancer.next(heldRequests);
             }
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
-            // All descriptors carry requests: nobody waits for one of them to end, and nothing is read.
+            // All descriptors are used by requests: a new caller is closed unread instead of waiting for one.
             HttpPeer stays = fixture.caller();
             assertTrue(stays.awaitClose());
             HttpPeer left = fixture.caller();
             try {
                 left.write(NodeFixture.get("left", "10"));
-                way.leave(left);
+                mode.leave(left);
             } catch (IOException e) {
-                // It was closed before.
+                // The node has already closed it.
             }
             for (HttpPeer caller : taken) {
                 caller.close();
                 ScriptedBalancer.next(fixture.balancer.gone);
             }
-            nothingElseIsSentOn(fixture, before);
+            assertNothingElseSent(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void aFailureIsNotRepeatedForWhoHasLeft(Leaving way) throws Exception {
+    void aFailedAttemptIsNotRetriedForACallerThatHasLeft(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.balancer.sendUntilNotSent(0);
-            serveOnIdle(fixture);
+            serveOnIdleConnections(fixture);
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("held", "10"));
             HttpPeer upstream = ScriptedBalancer.next(atUpstream);
             long before = dispatches(fixture);
-            whileBusy(fixture, () -> {
+            whileNodeBlocked(fixture, () -> {
                 upstream.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-                way.leave(caller);
+                mode.leave(caller);
             });
             assertEquals(Result.ERROR, fixture.balancer.nextResult());
-            nothingElseIsSentOn(fixture, before);
+            assertNothingElseSent(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void noSecondAttemptIsMadeBesideTheFirstForWhoHasLeft(Leaving way) throws Exception {
+    void noHedgedAttemptIsSentForACallerThatHasLeft(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             LinkedBlockingQueue<Request> sent = new LinkedBlockingQueue<>();
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(0, request, 0);
                 sent.add(request);
             };
-            serveOnIdle(fixture);
+            serveOnIdleConnections(fixture);
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("held", "10"));
             ScriptedBalancer.next(atUpstream);
@@ -280,19 +280,19 @@
                 fixture.balancer.sendTo(0, request, 0);
                 fixture.balancer.actions.refuse(other.id(), 0);
             };
-            HttpPeer other = resting(fixture);
-            whileBusy(fixture, () -> {
+            HttpPeer other = idleCaller(fixture);
+            whileNodeBlocked(fixture, () -> {
                 other.write(NodeFixture.get("cause", "10"));
-                way.leave(caller);
+                mode.leave(caller);
             });
             assertEquals(503, other.read().status());
-            nothingElseIsSentOn(fixture, before);
+            assertNothingElseSent(fixture, before);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void aConnectionThatComesUpAsItsCallerLeavesCarriesNothing(Leaving way) throws Exception {
+    void aConnectionThatComesUpAsTheCallerLeavesCarriesNoRequest(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
             fixture.connectTimeout = 15_000;
             fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
@@ -304,10 +304,10 @@
             caller.write(NodeFixture.spend("1", "x"));
             fixture.awaitReads();
             HttpPeer[] up = new HttpPeer[1];
-            whileBusy(fixture, () -> {
-                // It is up before the caller leaves, and the node sees the one before the other.
+            whileNodeBlocked(fixture, () -> {
+                // The connection is up before the caller leaves, and the node sees them in this order.
                 up[0] = full.acceptNext();
-                way.leave(caller);
+                mode.leave(caller);
             });
             try (HttpPeer late = up[0]) {
                 assertTrue(fixture.balancer.nextResult().neverRan());
@@ -323,26 +323,26 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
-    void whatWasSentAheadIsNotSentOnOnceItsCallerHasLeft(Leaving way) throws Exception {
+    void pipelinedRequestsAreNotSentOnOnceTheirCallerHasLeft(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
-            serveOnIdle(fixture);
+            serveOnIdleConnections(fixture);
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("held", "10") + NodeFixture.get("2", "10")
                     + NodeFixture.get("3", "10"));
             HttpPeer upstream = ScriptedBalancer.next(atUpstream);
             fixture.awaitReads();
             long before = dispatches(fixture);
-            whileBusy(fixture, () -> {
+            whileNodeBlocked(fixture, () -> {
                 upstream.write(NodeFixture.ok("served"));
-                way.leave(caller);
+                mode.leave(caller);
             });
             assertEquals(Result.OK, fixture.balancer.nextResult());
-            nothingElseIsSentOn(fixture, before);
+            assertNothingElseSent(fixture, before);
         }
     }
 
     @Test
-    void aLongQueueOfOneCallerDoesNotHideThatItHasLeft() throws Exception {
+    void aLongPipelineDoesNotHideThatItsCallerHasLeft() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             StringBuilder ahead = new StringBuilder();
@@ -353,7 +353,7 @@
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             caller.close();
-            // What is beyond the limit of requests sent ahead is thrown away, not left unread before the end.
+            // Requests over the pipelining limit are discarded; left unread, they would hide the close.
             ScriptedBalancer.next(fixture.balancer.gone);
             upstream.write(NodeFixture.ok("nobody waits"));
             assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
--- a/src/test/java/cranedeal/node/ConnectionLifeTest.java
+++ b/src/test/java/cranedeal/node/ConnectionLifecycleTest.java
@@ -15,28 +15,28 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A caller's connection under events in any order: requests whole, in halves and ahead of their turn, its
- * end and its reset, a drain that begins and is undone, an upstream that serves, fails, breaks off or says
- * nothing. Whatever the order, each request has its one answer or a connection that ends, and nothing goes on
- * that should not.
+ * Runs random sequences of events on a caller's connection: whole, split and pipelined requests, a close or a
+ * reset, drains that start and stop, and an upstream that serves, fails, breaks off or stays silent. Whatever
+ * the order, each request gets one answer or sees its connection end, none is sent twice, and none is left
+ * in progress.
  */
 @Timeout(120)
-class ConnectionLifeTest {
+class ConnectionLifecycleTest {
 
     private static final int SEEDS = 60;
     private static final int STEPS = 12;
 
-    /** What an upstream's side of the stage has seen and can still answer. */
+    /** The upstream: ids of the requests that it got, and connections that it has not answered. */
     private static final class Upstream {
-        final Queue<HttpPeer> silent = new ConcurrentLinkedQueue<>();
-        final Queue<String> seen = new ConcurrentLinkedQueue<>();
+        final Queue<HttpPeer> unanswered = new ConcurrentLinkedQueue<>();
+        final Queue<String> seenIds = new ConcurrentLinkedQueue<>();
 
-        /** What it does with a request stands in the request's id. */
+        /** Serves a connection; the start of a request's id says how to treat the request. */
         private void serve(HttpPeer peer) {
             try {
                 for (HttpPeer.Message request = peer.read(); request != null; request = peer.read()) {
                     String id = request.header("X-Txn");
-                    seen.add(id);
+                    seenIds.add(id);
                     if (id.startsWith("serve")) {
                         peer.write(NodeFixture.ok("of-" + id));
                     } else if (id.startsWith("fail")) {
@@ -47,11 +47,11 @@
                     } else if (id.startsWith("reset")) {
                         peer.reset();
                     } else {
-                        silent.add(peer);
+                        unanswered.add(peer);
                     }
                 }
             } catch (IOException e) {
-                // The node has closed it, or the test has.
+                // The node or the test has closed the connection.
             }
         }
     }
@@ -61,140 +61,141 @@
     }
 
     @Test
-    void whateverTheOrderOfEventsNothingIsOwedAtTheEnd() throws Exception {
+    void noRequestIsLeftOpenWhateverTheOrderOfEvents() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
             try {
-                play(new Random(seed));
+                runSequence(new Random(seed));
             } catch (AssertionError | IOException e) {
                 throw new AssertionError("seed " + seed, e);
             }
         }
     }
 
-    private static void play(Random random) throws Exception {
+    private static void runSequence(Random random) throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
             fixture.adminEnabled = true;
             Upstream upstream = new Upstream();
             fixture.upstreams.get(0).serveEach(upstream::serve);
             fixture.start();
             HttpPeer caller = fixture.caller();
-            Queue<String> sent = new ArrayDeque<>();
-            String[] fates = {"serve", "serve", "fail", "half", "reset", "hold"};
+            Queue<String> sentIds = new ArrayDeque<>();
+            String[] behaviours = {"serve", "serve", "fail", "half", "reset", "hold"};
             boolean open = true;
             for (int step = 0; step < STEPS && open; step++) {
-                String id = fates[random.nextInt(fates.length)] + step;
+                String id = behaviours[random.nextInt(behaviours.length)] + step;
                 switch (random.nextInt(8)) {
                     case 0, 1, 2 -> {
-                        sent.add(id);
-                        open = wrote(caller, request(id, random));
+                        sentIds.add(id);
+                        open = tryWrite(caller, request(id, random));
                     }
                     case 3 -> {
                         String later = "serve-" + id;
-                        sent.add(id);
-                        sent.add(later);
-                        open = wrote(caller, request(id, random) + request(later, random));
+                        sentIds.add(id);
+                        sentIds.add(later);
+                        open = tryWrite(caller, request(id, random) + request(later, random));
                     }
                     case 4 -> {
                         String text = request(id, random);
-                        sent.add(id);
-                        open = wrote(caller, text.substring(0, text.length() / 2));
+                        sentIds.add(id);
+                        open = tryWrite(caller, text.substring(0, text.length() / 2));
                         fixture.awaitReads();
-                        open = open && wrote(caller, text.substring(text.length() / 2));
+                        open = open && tryWrite(caller, text.substring(text.length() / 2));
                     }
                     case 5 -> fixture.order("PUT", "/ops/drain/start");
                     case 6 -> fixture.order("PUT", "/ops/drain/stop");
-                    default -> answerOne(upstream);
+                    default -> rejectOne(upstream);
                 }
             }
             boolean leaves = random.nextBoolean();
             if (leaves) {
-                leave(fixture, upstream, caller, random);
+                leaveAndAssertNothingSent(fixture, upstream, caller, random);
             } else {
-                readAnswers(fixture, upstream, caller, sent);
+                readAndCheckAnswers(fixture, upstream, caller, sentIds);
             }
-            assertEquals(new HashSet<>(upstream.seen).size(), upstream.seen.size(),
-                    "sent twice: " + upstream.seen);
-            nothingIsLeft(fixture);
+            assertEquals(new HashSet<>(upstream.seenIds).size(), upstream.seenIds.size(),
+                    "sent twice: " + upstream.seenIds);
+            assertNothingInFlight(fixture);
         }
     }
 
-    private static boolean wrote(HttpPeer caller, String text) {
+    private static boolean tryWrite(HttpPeer caller, String text) {
         try {
             caller.write(text);
             return true;
         } catch (IOException e) {
-            // The node has ended the connection.
+            // The node has closed the connection.
             return false;
         }
     }
 
-    private static void answerOne(Upstream upstream) {
-        HttpPeer waiting = upstream.silent.poll();
-        if (waiting != null) {
-            wrote(waiting, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+    private static void rejectOne(Upstream upstream) {
+        HttpPeer connection = upstream.unanswered.poll();
+        if (connection != null) {
+            tryWrite(connection, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
         }
     }
 
-    /** A caller that leaves: once the node has seen that, nothing of it is sent on. */
-    private static void leave(NodeFixture fixture, Upstream upstream, HttpPeer caller, Random random)
-            throws Exception {
+    /** Makes the caller leave, and asserts that nothing of it is sent on once the node has seen that. */
+    private static void leaveAndAssertNothingSent(NodeFixture fixture, Upstream upstream, HttpPeer caller,
+            Random random) throws Exception {
         if (random.nextBoolean()) {
             caller.close();
         } else {
             caller.reset();
         }
-        // What it wrote before it left has been read once what came after that is answered.
+        // Everything that it wrote has been read once a later health check is answered.
         fixture.awaitReads();
-        nothingIsLeft(fixture);
+        assertNothingInFlight(fixture);
         String before = dispatches(fixture);
-        while (!upstream.silent.isEmpty()) {
-            answerOne(upstream);
+        while (!upstream.unanswered.isEmpty()) {
+            rejectOne(upstream);
         }
         fixture.awaitReads();
         assertEquals(before, dispatches(fixture));
     }
 
-    /** A caller that stays: the answers come in the order of the requests, each once, up to a clean end. */
-    private static void readAnswers(NodeFixture fixture, Upstream upstream, HttpPeer caller,
-            Queue<String> sent)
+    /** Reads the answers: each must come once, in the order of the requests, up to a graceful close. */
+    private static void readAndCheckAnswers(NodeFixture fixture, Upstream upstream, HttpPeer caller,
+            Queue<String> sentIds)
             throws Exception {
         fixture.order("PUT", "/ops/drain/start");
-        Thread freeing = new Thread(() -> {
+        Thread rejecting = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
-                answerOne(upstream);
+                rejectOne(upstream);
                 Thread.onSpinWait();
             }
         });
-        freeing.setDaemon(true);
-        freeing.start();
+        rejecting.setDaemon(true);
+        rejecting.start();
         try {
-            List<String> answered = new ArrayList<>();
+            List<String> answeredIds = new ArrayList<>();
             HttpPeer.Message answer = caller.read();
             while (answer != null) {
-                String id = sent.remove();
-                answered.add(id);
+                String id = sentIds.remove();
+                answeredIds.add(id);
                 if (answer.status() == 200) {
-                    assertEquals("of-" + id, answer.body(), "after " + answered);
+                    assertEquals("of-" + id, answer.body(), "after " + answeredIds);
                 } else {
                     assertTrue(answer.status() >= 500 && answer.body().isEmpty(), answer.toString());
                 }
                 answer = caller.read();
             }
-            // What was never answered was never read either, so it is safe to send it again elsewhere.
-            sent.forEach(id -> assertTrue(!upstream.seen.contains(id), id + " was sent on and not answered"));
+            // An unanswered request was never sent on, so the caller can safely send it again elsewhere.
+            sentIds.forEach(id ->
+                    assertTrue(!upstream.seenIds.contains(id), id + " was sent on and not answered"));
         } finally {
-            freeing.interrupt();
-            freeing.join();
+            rejecting.interrupt();
+            rejecting.join();
         }
     }
 
-    /** How many attempts were written whole. */
+    /** Returns the metric line with the number of attempts that were fully written. */
     private static String dispatches(NodeFixture fixture) {
         return fixture.node.stats().lines().filter(line -> line.contains(".dispatches=")).findFirst()
                 .orElseThrow();
     }
 
-    private static void nothingIsLeft(NodeFixture fixture) throws Exception {
+    private static void assertNothingInFlight(NodeFixture fixture) throws Exception {
         long giveUpAt = System.nanoTime() + HttpPeer.TIMEOUT_MS * 1_000_000L;
         while (!fixture.node.stats().contains(".concurrent=0\n") && System.nanoTime() < giveUpAt) {
             Thread.sleep(1);
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What callers see: every request has one answer, whatever they or the module get wrong. */
+/** Every request gets one answer, whatever mistakes callers or the decision module make. */
 @Timeout(60)
 class FrontendTest {
 
     @Test
-    void itIsHealthyOnceItListens() throws Exception {
+    void healthChecksSucceedOnceTheNodeListens() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.HEALTH);
@@ -43,7 +43,7 @@
         "POST /tile-order HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: tile-order\r\nX-Remaining: 1\r\n\r\n",
         "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: many\r\n\r\n",
         "no request at all\r\n\r\n"})
-    void aMalformedRequestIsTheCallersFault(String request) throws Exception {
+    void aMalformedRequestIsAnsweredWith400(String request) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(request);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aBodyOverTheLimitIsTurnedDown() throws Exception {
+    void aBodyOverTheLimitIsAnsweredWith413() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\n"
@@ -64,11 +64,11 @@
     }
 
     @Test
-    void aCallerThatStillSendsHasItsAnswerAllTheSame() throws Exception {
+    void aCallerThatIsStillSendingGetsItsAnswer() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("no request at all\r\n\r\n");
-            // The answer may be out before the rest comes in; it must not be lost to a reset.
+            // The answer may be written before the rest arrives; it must not be lost to a reset.
             caller.write("x".repeat(200_000));
             assertEquals(400, caller.read().status());
             caller.socket.shutdownOutput();
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void headersOverTheLimitAreTurnedDown() throws Exception {
+    void headersOverTheLimitAreRejected() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("GET /look-up HTTP/1.1\r\nX-Labels: " + "x".repeat(20_000) + "\r\n\r\n");
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aRefusalSaysWhenToComeBackAndAFailureIsNoRefusal() throws Exception {
+    void aRefusalAdvisesWhenToRetryAndAFailureHasAnotherStatus() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 250);
             HttpPeer caller = fixture.caller();
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void anAnswerIsGivenOnceOnly() throws Exception {
+    void aRequestIsAnsweredOnlyOnce() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.actions.fail(request.id());
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10") + NodeFixture.get("2", "10") + NodeFixture.HEALTH);
@@ -130,7 +130,7 @@
             assertEquals("1", upstream.read().header("X-Txn"));
             upstream.write(NodeFixture.ok("first"));
             assertEquals("first", caller.read().body());
-            // The first answer has freed its connection before the next request looks for one.
+            // The first answer returns its connection to the pool before the next request needs one.
             assertEquals("2", upstream.read().header("X-Txn"));
             upstream.write(NodeFixture.ok("second"));
             assertEquals("second", caller.read().body());
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aCallerThatLeavesIsGoneOnceAndLaterOutcomesAreDropped() throws Exception {
+    void aCallerThatLeavesIsReportedOnceAndLaterOutcomesAreDropped() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
@@ -163,16 +163,16 @@
     void anExceptionInTheModuleFailsThatRequestOnly(String where) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             ScriptedBalancer script = fixture.balancer;
-            Runnable broken = () -> {
+            Runnable throwing = () -> {
                 throw new IllegalStateException("made by a test");
             };
             if (where.equals("request")) {
-                script.onRequest = request -> broken.run();
+                script.onRequest = request -> throwing.run();
             } else if (where.equals("outcome")) {
-                script.onOpenOutcome = (actions, outcome) -> broken.run();
+                script.onOpenOutcome = (actions, outcome) -> throwing.run();
             } else {
                 script.onRequest = request -> script.actions.setTimer(7, 0);
-                script.onTimer = broken;
+                script.onTimer = throwing;
             }
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
@@ -208,7 +208,7 @@
             fixture.balancer.onOutcome = outcome -> nested[0] |= inside[0];
             fixture.balancer.onRequest = request -> {
                 inside[0] = true;
-                // No such upstream: the attempt has ended before the action returns.
+                // There is no such upstream, so the attempt ends before the action returns.
                 fixture.balancer.actions.send(request.id(), 12_345, 0);
                 inside[0] = false;
             };
@@ -231,7 +231,7 @@
         }
     }
 
-    /** What the node reads as the request that follows would to another party be the inside of a body. */
+    /** Request smuggling: another party may see the following request as part of the body. */
     @ParameterizedTest
     @ValueSource(strings = {
         "HTTP/1.1\r\nContent-Length: 400\r\nTransfer-Encoding: chunked",
@@ -248,7 +248,7 @@
         "HTTP/1.1\r\nExpect: a-miracle\r\nContent-Length: 400",
         "HTTP/1.1\r\nContent-Length: 40000000",
         "HTTP/3.1\r\nContent-Length: 5"})
-    void nothingBehindARequestWhoseEndIsInDoubtIsServed(String framing) throws Exception {
+    void nothingAfterARequestWithAnAmbiguousEndIsServed(String framing) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("POST /credit-spend " + framing + "\r\nHost: app.svc\r\nX-Txn: outside\r\n"
@@ -264,7 +264,7 @@
     }
 
     @Test
-    void nothingIsReadBehindTheLastRequestOfAConnection() throws Exception {
+    void nothingIsReadAfterTheLastRequestOfAConnection() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"
@@ -278,7 +278,7 @@
     }
 
     @Test
-    void aMalformedRequestWaitsForTheOneBeforeItAndEndsTheConnection() throws Exception {
+    void aMalformedRequestIsAnsweredInOrderAndEndsTheConnection() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10") + "no request at all\r\n\r\n"
@@ -295,7 +295,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /credit", "POST /credit HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
-    void aConnectionOnWhichNoRequestComesIsClosed(String part) throws Exception {
+    void aConnectionWithoutAWholeRequestIsClosed(String part) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(part);
@@ -305,7 +305,7 @@
     }
 
     @Test
-    void aRequestThatComesInPartOnAConnectionThatWasServedIsNotWaitedFor() throws Exception {
+    void aPartialRequestOnAServedConnectionTimesOut() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.HEALTH);
@@ -316,13 +316,13 @@
     }
 
     @Test
-    void aConnectionWithARequestAtWorkIsNoIdleOne() throws Exception {
+    void aConnectionWithARequestInProgressIsNotIdle() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            // By the time that a silent one of the same age is closed, this one would be closed as well.
+            // Once a silent connection of the same age is closed, an idle one would have been closed as well.
             assertTrue(fixture.caller().awaitClose());
             upstream.write(NodeFixture.ok("late"));
             assertEquals("late", caller.read().body());
@@ -330,7 +330,7 @@
     }
 
     @Test
-    void callersLeaveDescriptorsToAttemptsAndGiveWayOnceTheyHaveRested() throws Exception {
+    void callersLeaveDescriptorsToAttemptsAndAreEvictedWhenIdle() throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
             fixture.sockets = 64 + 15;
             fixture.start();
@@ -340,14 +340,14 @@
                 callers.get(i).write(NodeFixture.HEALTH);
                 assertEquals(200, callers.get(i).read().status());
             }
-            assertTrue(fixture.caller().awaitClose(), "the rest is for attempts");
+            assertTrue(fixture.caller().awaitClose(), "the other descriptors are reserved for attempts");
             HttpPeer caller = callers.get(9);
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
-            // Who has rested for two seconds may be closed, the longest first.
+            // Connections idle for two seconds may be evicted, the longest idle first.
             HttpPeer.Message answer = null;
             while (answer == null) {
                 HttpPeer next = fixture.caller();
@@ -355,10 +355,10 @@
                     next.write(NodeFixture.HEALTH);
                     answer = next.read();
                 } catch (IOException e) {
-                    // There was no place for it yet.
+                    // No connection could be evicted for it yet.
                 }
                 if (answer == null) {
-                    // Tens of thousands are turned away in that time; this process's descriptors end too.
+                    // Tens of thousands are rejected meanwhile; this process's descriptors are limited too.
                     next.close();
                 }
             }
@@ -370,16 +370,16 @@
     }
 
     @Test
-    void aCallerThatDoesNotReadItsAnswersGetsNoMore() throws Exception {
-        // More answers than the buffers on the way can hold, with one end as small as can be.
+    void aCallerThatDoesNotReadItsAnswersIsCutOff() throws Exception {
+        // More answers than all buffers can hold, as the caller's receive buffer is small.
         int rounds = 400;
-        int many = 1_000;
+        int requestsPerRound = 1_000;
         int answered = 0;
         try (NodeFixture fixture = new NodeFixture().start(); Socket socket = new Socket()) {
             socket.setReceiveBufferSize(32_768);
             socket.connect(fixture.node.address());
             HttpPeer caller = new HttpPeer(socket);
-            String requests = NodeFixture.HEALTH.repeat(many);
+            String requests = NodeFixture.HEALTH.repeat(requestsPerRound);
             try {
                 for (int i = 0; i < rounds; i++) {
                     caller.write(requests);
@@ -388,9 +388,9 @@
                     answered++;
                 }
             } catch (IOException | RuntimeException e) {
-                // Cut off, maybe inside an answer.
+                // The node has closed the connection, possibly within an answer.
             }
-            assertTrue(answered < rounds * many, answered + " were answered");
+            assertTrue(answered < rounds * requestsPerRound, answered + " were answered");
             fixture.assertServes();
         }
     }
--- a/src/test/java/cranedeal/node/FullBacklog.java
+++ b/src/test/java/cranedeal/node/FullBacklog.java
@@ -9,34 +9,34 @@
 import java.util.List;
 
 /**
- * A listening socket whose queue is full: further connections hang until someone is accepted. That it is full
- * is seen in the kernel's table before anybody else connects, and nobody but the test's own connection waits
- * to be let in: others would try again at the same times as it, and take the place that an accept has made.
+ * A listening socket whose accept queue is full: further connections hang until one is accepted. The
+ * constructor waits until the kernel's table shows a full queue. Only one connection of the test may wait for
+ * a place: others would retry at the same times and could take the place that an accept has freed.
  */
 final class FullBacklog implements AutoCloseable {
 
-    /** The kernel takes one more than it was asked for. */
+    /** The kernel queues one connection more than requested. */
     private static final int BACKLOG = 1;
-    private static final int FILLING = BACKLOG + 1;
+    private static final int FILLING_CONNECTIONS = BACKLOG + 1;
 
     private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final List<Socket> filling = new ArrayList<>();
 
     FullBacklog() throws Exception {
-        for (int i = 0; i < FILLING; i++) {
+        for (int i = 0; i < FILLING_CONNECTIONS; i++) {
             filling.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
         long end = System.nanoTime() + HttpPeer.TIMEOUT_MS * 1_000_000L;
-        while (queued() < FILLING) {
+        while (queuedConnections() < FILLING_CONNECTIONS) {
             if (System.nanoTime() > end) {
-                throw new AssertionError(queued() + " wait in the queue");
+                throw new AssertionError(queuedConnections() + " connections are queued");
             }
             Thread.onSpinWait();
         }
     }
 
-    /** How many connections are up that nobody has accepted, as the kernel counts them. */
-    private long queued() throws IOException {
+    /** Returns the number of established connections not accepted yet, as the kernel counts them. */
+    private long queuedConnections() throws IOException {
         return SocketTable.unread(server.getLocalPort(), true, SocketTable.State.LISTENING);
     }
 
@@ -44,7 +44,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Lets those in that fill the queue, then the next one that is none of them. */
+    /** Accepts the connections that fill the queue, and returns the next one after them. */
     HttpPeer acceptNext() throws Exception {
         List<Integer> own = new ArrayList<>();
         for (Socket socket : filling) {
--- a/src/test/java/cranedeal/node/GracefulCloseTest.java
+++ b/src/test/java/cranedeal/node/GracefulCloseTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The ends of callers' connections, with bytes that come in just as they end. */
+/** Graceful closes of callers' connections, also while more bytes arrive on them. */
 @Timeout(60)
 class GracefulCloseTest {
 
-    private static final long RETRY_MS = 50;
+    private static final long RETRY_INTERVAL_MS = 50;
 
-    /** More than the caller's side of a connection takes unread, and less than the node's side holds. */
+    /** More bytes than the caller's receive buffer holds, and fewer than the node's send buffer does. */
     private static final String BODY = "0123456789abcdef".repeat(3_750);
 
-    /** A caller whose kernel takes next to nothing before it reads. */
+    /** Connects a caller with a very small receive buffer. */
     private static HttpPeer slowCaller(NodeFixture fixture) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(1_024);
@@ -35,7 +35,7 @@
         return new HttpPeer(socket);
     }
 
-    private static HttpPeer served(NodeFixture fixture, String body) throws Exception {
+    private static HttpPeer serveOne(NodeFixture fixture, String body) throws Exception {
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
         upstream.write(NodeFixture.ok(body));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void nothingIsSentOnThatComesBehindTheLastAnswer() throws Exception {
+    void requestsAfterTheLastAnswerAreNotSentOn() throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
             fixture.adminEnabled = true;
             fixture.start();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void whatIsSentAheadIsAnsweredBeforeADrainEndsItsConnection() throws Exception {
+    void pipelinedRequestsAreAnsweredBeforeADrainClosesTheConnection() throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
             fixture.adminEnabled = true;
             fixture.start();
@@ -81,8 +81,8 @@
             upstream.write(NodeFixture.ok("first"));
             HttpPeer.Message first = caller.read();
             assertEquals("first", first.body());
-            assertNull(first.header("Connection"), "the answer to the second one is still to come");
-            // The first answer has freed its connection before the next request looks for one.
+            assertNull(first.header("Connection"), "the answer to the second request is still to come");
+            // The first answer returns its connection to the pool before the next request needs one.
             assertEquals("2", upstream.read().header("X-Txn"));
             upstream.write(NodeFixture.ok("second"));
             HttpPeer.Message second = caller.read();
@@ -94,22 +94,22 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRequestThatCrossesTheEndDoesNotTakeTheLastAnswerAway(boolean evicted) throws Exception {
+    void aRequestThatCrossesTheCloseDoesNotLoseTheLastAnswer(boolean evicted) throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
-            // Callers may have ten of them; this one and that which settles the stage are the first two.
+            // Callers may use ten descriptors; this one and that of awaitReads() are the first two.
             fixture.sockets = 64 + 15;
             fixture.start();
             try (HttpPeer caller = slowCaller(fixture)) {
                 caller.write(NodeFixture.get("1", "10"));
-                served(fixture, BODY);
+                serveOne(fixture, BODY);
                 fixture.balancer.nextResult();
                 fixture.awaitReads();
                 if (evicted) {
-                    takeItsPlace(fixture);
+                    evictByNewCallers(fixture);
                 } else {
                     fixture.node.closeIdleCallers();
                 }
-                // It is on its way while the answer still is: a close over it would be a reset.
+                // It arrives while the answer is still being read: closing now would reset the connection.
                 caller.write(NodeFixture.get("2", "10"));
                 assertEquals(BODY, caller.read().body());
                 assertNull(caller.read());
@@ -117,22 +117,22 @@
         }
     }
 
-    /** Callers with requests come until there is a place for the ninth: the longest resting has gone. */
-    private static void takeItsPlace(NodeFixture fixture) throws Exception {
+    /** Connects callers with requests until nine are accepted, which evicts the longest idle connection. */
+    private static void evictByNewCallers(NodeFixture fixture) throws Exception {
         CountDownLatch taken = new CountDownLatch(9);
         fixture.balancer.onRequest = request -> taken.countDown();
         for (int i = 0; taken.getCount() > 0; i++) {
             try {
                 fixture.caller().write(NodeFixture.get("more" + i, "10"));
             } catch (IOException e) {
-                // There was no place for it yet.
+                // No connection could be evicted for it yet.
             }
-            taken.await(RETRY_MS, TimeUnit.MILLISECONDS);
+            taken.await(RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Test
-    void aBrokenAnswerThatSaysItsLengthEndsWithoutAReset() throws Exception {
+    void aBrokenAnswerWithAContentLengthEndsWithoutAReset() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start(); HttpPeer caller = slowCaller(fixture)) {
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
@@ -142,13 +142,13 @@
             upstream.reset();
             fixture.balancer.nextResult();
             InputStream in = caller.socket.getInputStream();
-            String came = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
-            assertTrue(came.endsWith(BODY), "came " + came.length());
+            String received = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
+            assertTrue(received.endsWith(BODY), "received " + received.length());
         }
     }
 
     @Test
-    void whoComesAfterADrainIsRefusedAndNotLeftInTheQueue() throws Exception {
+    void aCallerAfterADrainIsRefusedAndNotLeftInTheAcceptQueue() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.node.drain();
             assertThrows(ConnectException.class, fixture::caller);
--- a/src/test/java/cranedeal/node/HttpPeer.java
+++ b/src/test/java/cranedeal/node/HttpPeer.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of a plain HTTP/1.1 connection, with nothing between the test and the bytes. */
+/** One end of an HTTP/1.1 connection on a blocking socket, for tests that control each byte. */
 final class HttpPeer implements AutoCloseable {
 
-    /** A message as it came: its first line, its headers by lower-case name, its body. */
+    /** A received message: its first line, its headers by lower-case name, and its body. */
     record Message(String firstLine, Map<String, String> headers, String body) {
 
         int status() {
@@ -41,19 +41,19 @@
         return new HttpPeer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
     }
 
-    /** Connects as soon as the process serves. */
+    /** Connects as soon as the process answers a health check. */
     static HttpPeer connectWhenServing(InetSocketAddress address, Process process) throws IOException {
         while (true) {
             try {
                 HttpPeer peer = connect(address);
                 peer.write(NodeFixture.HEALTH);
                 if (peer.read().status() != 200) {
-                    throw new AssertionError("not healthy");
+                    throw new AssertionError("the node is not healthy");
                 }
                 return peer;
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new AssertionError("the node has ended", e);
+                    throw new AssertionError("the node's process has exited", e);
                 }
                 Thread.onSpinWait();
             }
@@ -64,14 +64,14 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next message, or null at the end of the stream. */
+    /** Reads the next message; returns null at the end of the stream. */
     Message read() throws IOException {
-        String first = line();
+        String first = readLine();
         if (first == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+        for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
             int colon = line.indexOf(':');
             headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
         }
@@ -79,7 +79,7 @@
         return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Whether the other side has ended the connection; waits for that. */
+    /** Waits for the other side to close or reset the connection; returns false if it does not. */
     boolean awaitClose() {
         try {
             return in.read() < 0;
@@ -90,7 +90,7 @@
         }
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c >= 0; c = in.read()) {
             if (c == '\n') {
@@ -103,7 +103,7 @@
         return line.length() == 0 ? null : line.toString();
     }
 
-    /** Breaks the connection off with a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/cranedeal/node/LateLoopTest.java
+++ b/src/test/java/cranedeal/node/LateEventLoopTest.java
@@ -14,23 +14,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A loop that is late reads what has come before it goes by what a timer says. */
+/** An event loop that is late reads data that has arrived before it acts on a timer. */
 @Timeout(60)
-class LateLoopTest {
+class LateEventLoopTest {
 
-    /** More than the loop may need between two lines of one call; it is held until this is over. */
+    /** Timeout of an attempt, which the tests outlast by blocking the loop; ample for a send by itself. */
     private static final double TIMEOUT_MS = 1_000;
-    private static final int PATIENCE_S = 10;
-    /** By how much an upstream may be told of too much, by the terms. */
-    private static final double TOLD_SLACK_MS = 150;
-    /** After that the node looks for answers again. */
-    private static final double LOOKED_AT_MS = 50;
+    private static final int REMAINING_S = 10;
+    /** By how much the X-Remaining header may exceed the time that is left. */
+    private static final double REMAINING_SLACK_MS = 150;
+    /** After this time the node polls for answers again. */
+    private static final double POLL_INTERVAL_MS = 50;
 
     @Test
-    void anAnswerThatHasComeIsNoTimeoutHoweverLateItIsRead() throws Exception {
+    void anAnswerThatHasArrivedIsNoTimeoutHoweverLateItIsRead() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
-            HttpPeer upstream = keptConnection(fixture, caller);
+            HttpPeer upstream = pooledConnection(fixture, caller);
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(0, request, TIMEOUT_MS);
                 awaitUnread(fixture.upstreams.get(0), TIMEOUT_MS);
@@ -44,74 +44,73 @@
     }
 
     @Test
-    void theModuleHearsOfAnAnswerThatHasComeBeforeATimerOfItsRequest() throws Exception {
+    void anAnswerThatHasArrivedIsReportedBeforeATimerOfItsRequest() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
-            HttpPeer upstream = keptConnection(fixture, caller);
-            LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-            fixture.balancer.onOutcome = outcome -> told.add("outcome");
-            fixture.balancer.onTimer = () -> told.add("timer");
+            HttpPeer upstream = pooledConnection(fixture, caller);
+            LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
+            fixture.balancer.onOutcome = outcome -> events.add("outcome");
+            fixture.balancer.onTimer = () -> events.add("timer");
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(0, request, 0);
-                fixture.balancer.actions.setTimer(1, request.deadline() - PATIENCE_S * 1_000 + TIMEOUT_MS);
+                fixture.balancer.actions.setTimer(1, request.deadline() - REMAINING_S * 1_000 + TIMEOUT_MS);
                 awaitUnread(fixture.upstreams.get(0), TIMEOUT_MS);
             };
-            caller.write(NodeFixture.get("2", Integer.toString(PATIENCE_S)));
+            caller.write(NodeFixture.get("2", Integer.toString(REMAINING_S)));
             upstream.read();
             upstream.write(NodeFixture.ok("second"));
-            assertEquals("outcome", ScriptedBalancer.next(told));
-            assertEquals("timer", ScriptedBalancer.next(told));
+            assertEquals("outcome", ScriptedBalancer.next(events));
+            assertEquals("timer", ScriptedBalancer.next(events));
             assertEquals("second", caller.read().body());
         }
     }
 
     @Test
-    void answersThatHaveComeAreTakenBeforeTheCallersThatCameMeanwhile() throws Exception {
+    void answersAreReadBeforeRequestsThatArrivedMeanwhile() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             HttpPeer other = fixture.caller();
             fixture.awaitReads();
-            HttpPeer upstream = keptConnection(fixture, caller);
-            LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-            CountDownLatch held = new CountDownLatch(1);
-            fixture.balancer.onOutcome = outcome -> told.add("outcome");
+            HttpPeer upstream = pooledConnection(fixture, caller);
+            LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
+            CountDownLatch busy = new CountDownLatch(1);
+            fixture.balancer.onOutcome = outcome -> events.add("outcome");
             fixture.balancer.onRequest = request -> {
-                told.add("request");
-                if (held.getCount() == 0) {
+                events.add("request");
+                if (busy.getCount() == 0) {
                     fixture.balancer.actions.refuse(request.id(), 0);
                     return;
                 }
                 fixture.balancer.sendTo(0, request, 0);
-                held.countDown();
-                awaitUnread(fixture.upstreams.get(0), LOOKED_AT_MS);
+                busy.countDown();
+                awaitUnread(fixture.upstreams.get(0), POLL_INTERVAL_MS);
             };
             caller.write(NodeFixture.get("2", "10"));
             upstream.read();
-            held.await();
-            // The kernel tells of the second caller first, as that came first.
+            busy.await();
+            // The kernel reports the second caller's request first, as it arrived first.
             other.write(NodeFixture.get("3", "10"));
             awaitUnread(fixture.node.address().getPort(), true);
             upstream.write(NodeFixture.ok("second"));
-            assertEquals("request", ScriptedBalancer.next(told));
-            assertEquals("outcome", ScriptedBalancer.next(told));
-            assertEquals("request", ScriptedBalancer.next(told));
+            assertEquals("request", ScriptedBalancer.next(events));
+            assertEquals("outcome", ScriptedBalancer.next(events));
+            assertEquals("request", ScriptedBalancer.next(events));
             assertEquals("second", caller.read().body());
             assertEquals(503, other.read().status());
         }
     }
 
     /**
-     * The loop is busy for longer than an attempt may take, and its connection is up in the kernel all that
-     * time. The timer that ends the attempt is handled before the sockets are looked at; it ended the attempt
-     * as a failed connect, which was charged to the upstream (retried_after_connect_failed in the figures,
-     * with no connect_failed at all).
+     * The loop is busy for longer than an attempt's timeout, while the attempt's connection is up in the
+     * kernel. The timeout runs before the sockets are polled; it once ended the attempt as a failed connect,
+     * which was charged to the upstream (metric retried_after_connect_failed, without any connect_failed).
      */
     @Test
-    void aConnectionThatHasComeUpIsNoFailedConnectHoweverLateThatIsSeen() throws Exception {
+    void aConnectionThatIsUpIsNoFailedConnectHoweverLateThatIsSeen() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
             HttpPeer caller = fixture.caller();
-            HttpPeer upstream = keptConnection(fixture, caller);
-            // The second attempt begins, and the loop is busy, within a look at the sockets.
+            HttpPeer upstream = pooledConnection(fixture, caller);
+            // The second attempt starts, and the loop is busy, while socket events are being handled.
             fixture.balancer.onOpenOutcome = (to, outcome) -> {
                 to.send(outcome.requestId(), fixture.balancer.upstreams.get(1).id(), TIMEOUT_MS);
                 spin(2 * TIMEOUT_MS);
@@ -129,11 +128,11 @@
     }
 
     /**
-     * A request lies unread while the loop is busy. Its client's time runs meanwhile, so that much less is
-     * left of it, and an upstream must not be told of more.
+     * A request waits unread while the loop is busy. Its deadline counts from its arrival, so the remaining
+     * time that is sent to the upstream must not include the time spent unread.
      */
     @Test
-    void theTimeThatAnUpstreamIsToldLeavesOutWhatARequestHasLainUnread() throws Exception {
+    void theRemainingTimeSentToAnUpstreamExcludesTimeSpentUnread() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             HttpPeer other = fixture.caller();
@@ -141,50 +140,52 @@
                 each.write(NodeFixture.HEALTH);
                 each.read();
             }
-            CountDownLatch held = new CountDownLatch(1);
+            CountDownLatch busy = new CountDownLatch(1);
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.actions.refuse(request.id(), 0);
                 fixture.balancer.onRequest = next -> fixture.balancer.sendTo(0, next, 0);
-                held.countDown();
+                busy.countDown();
                 awaitUnread(fixture.node.address().getPort(), true);
                 spin(TIMEOUT_MS);
             };
             caller.write(NodeFixture.get("1", "10"));
-            held.await();
+            busy.await();
             other.write(NodeFixture.get("2", "3"));
-            double told = Double.parseDouble(fixture.upstreams.get(0).accept().read().header("X-Remaining"));
-            assertTrue(told * 1_000 <= 3_000 - TIMEOUT_MS + TOLD_SLACK_MS, () -> "told of " + told + " s");
+            double remainingS = Double.parseDouble(fixture.upstreams.get(0).accept().read()
+                    .header("X-Remaining"));
+            assertTrue(remainingS * 1_000 <= 3_000 - TIMEOUT_MS + REMAINING_SLACK_MS,
+                    () -> "the upstream was sent " + remainingS + " s");
         }
     }
 
     /**
-     * The time of an attempt is over while its answer lies unread, and the loop was busy within a look at the
-     * sockets, so that the timer comes before the next look.
+     * An attempt times out while its answer waits unread. The loop was busy with another socket event, so the
+     * timer runs before the next poll.
      */
     @Test
-    void anAnswerThatHasComeIsNoTimeoutWhereTheTimerComesBeforeTheNextLook() throws Exception {
+    void anAnswerThatHasArrivedIsNoTimeoutIfTheTimerRunsBeforeTheNextPoll() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
-            CountDownLatch held = new CountDownLatch(1);
+            CountDownLatch busy = new CountDownLatch(1);
             AtomicInteger sent = new AtomicInteger();
             fixture.balancer.onRequest = request -> {
                 int place = sent.getAndIncrement();
                 fixture.balancer.sendTo(place, request, place == 0 ? 2 * TIMEOUT_MS : 0);
             };
             fixture.balancer.onOutcome = outcome -> {
-                if (held.getCount() > 0) {
-                    held.countDown();
+                if (busy.getCount() > 0) {
+                    busy.countDown();
                     awaitUnread(fixture.upstreams.get(0), 3 * TIMEOUT_MS);
                 }
             };
             HttpPeer[] callers = {fixture.caller(), fixture.caller()};
             HttpPeer[] upstreams = new HttpPeer[2];
             for (int i = 0; i < upstreams.length; i++) {
-                callers[i].write(NodeFixture.get(Integer.toString(i), Integer.toString(PATIENCE_S)));
+                callers[i].write(NodeFixture.get(Integer.toString(i), Integer.toString(REMAINING_S)));
                 upstreams[i] = fixture.upstreams.get(i).accept();
                 upstreams[i].read();
             }
             upstreams[1].write(NodeFixture.ok("second"));
-            held.await();
+            busy.await();
             upstreams[0].write(NodeFixture.ok("first"));
             assertEquals(Result.OK, fixture.balancer.nextResult());
             assertEquals(Result.OK, fixture.balancer.nextResult());
@@ -193,41 +194,42 @@
     }
 
     /**
-     * A timer of one request is due while the answer to another lies unread. That answer may be what the
-     * first has waited for, such as room at an upstream; rung first, the timer would have it refused.
+     * A timer of one request is due while the answer to another waits unread. That answer may free the
+     * capacity that the first request waits for; if the timer ran first, the request would be refused.
      */
     @Test
-    void theModuleHearsOfAnswersThatHaveComeBeforeATimerOfAnotherRequest() throws Exception {
+    void answersThatHaveArrivedAreReportedBeforeATimerOfAnotherRequest() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
-            LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-            CountDownLatch held = new CountDownLatch(1);
+            LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
+            CountDownLatch busy = new CountDownLatch(1);
             List<LoadBalancer.Request> requests = new CopyOnWriteArrayList<>();
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(requests.size(), request, 0);
                 requests.add(request);
             };
-            fixture.balancer.onTimer = () -> told.add("timer");
+            fixture.balancer.onTimer = () -> events.add("timer");
             fixture.balancer.onOutcome = outcome -> {
-                told.add("outcome " + outcome.requestId());
-                if (held.getCount() > 0) {
+                events.add("outcome " + outcome.requestId());
+                if (busy.getCount() > 0) {
                     LoadBalancer.Request second = requests.get(1);
-                    fixture.balancer.actions.setTimer(1, second.deadline() - PATIENCE_S * 1_000 + TIMEOUT_MS);
-                    held.countDown();
+                    fixture.balancer.actions.setTimer(1, second.deadline() - REMAINING_S * 1_000
+                            + TIMEOUT_MS);
+                    busy.countDown();
                     awaitUnread(fixture.upstreams.get(0), 2 * TIMEOUT_MS);
                 }
             };
             HttpPeer[] upstreams = new HttpPeer[2];
             for (int i = 0; i < upstreams.length; i++) {
-                fixture.caller().write(NodeFixture.get(Integer.toString(i), Integer.toString(PATIENCE_S)));
+                fixture.caller().write(NodeFixture.get(Integer.toString(i), Integer.toString(REMAINING_S)));
                 upstreams[i] = fixture.upstreams.get(i).accept();
                 upstreams[i].read();
             }
             upstreams[1].write(NodeFixture.ok("second"));
-            held.await();
+            busy.await();
             upstreams[0].write(NodeFixture.ok("first"));
-            assertEquals("outcome " + requests.get(1).id(), ScriptedBalancer.next(told));
-            assertEquals("outcome " + requests.get(0).id(), ScriptedBalancer.next(told));
-            assertEquals("timer", ScriptedBalancer.next(told));
+            assertEquals("outcome " + requests.get(1).id(), ScriptedBalancer.next(events));
+            assertEquals("outcome " + requests.get(0).id(), ScriptedBalancer.next(events));
+            assertEquals("timer", ScriptedBalancer.next(events));
         }
     }
 
@@ -238,12 +240,12 @@
         }
     }
 
-    /** An answer lies unread while the loop is busy: that is no time of its upstream's. */
+    /** The time that an answer waits unread while the loop is busy must not count as the upstream's. */
     @Test
-    void whatAnAnswerHasLainUnreadIsNoTimeOfItsUpstream() throws Exception {
+    void timeThatAnAnswerSpentUnreadIsNotChargedToItsUpstream() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
-            HttpPeer upstream = keptConnection(fixture, caller);
+            HttpPeer upstream = pooledConnection(fixture, caller);
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(0, request, 0);
                 awaitUnread(fixture.upstreams.get(0), TIMEOUT_MS);
@@ -256,20 +258,20 @@
         }
     }
 
-    /** Brings it about that a request is out before the call that sends it returns. */
-    private static HttpPeer keptConnection(NodeFixture fixture, HttpPeer caller) throws Exception {
+    /** Opens a pooled connection, on which a request is written before the call that sends it returns. */
+    private static HttpPeer pooledConnection(NodeFixture fixture, HttpPeer caller) throws Exception {
         caller.write(NodeFixture.get("1", "10"));
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
         upstream.write(NodeFixture.ok("first"));
         assertEquals("first", caller.read().body());
         assertEquals(Result.OK, fixture.balancer.nextResult());
-        // The script queues an outcome before it calls what a test may set next.
+        // The scripted balancer queues an outcome before it calls a handler that the test may set next.
         fixture.awaitReads();
         return upstream;
     }
 
-    /** Holds the loop until the kernel has bytes of an upstream that nobody has read, and a time is over. */
+    /** Blocks the loop until the kernel holds unread bytes from an upstream and a time has passed. */
     private static void awaitUnread(TestServer upstream, double atLeastMs) {
         long start = System.nanoTime();
         String address = upstream.address();
@@ -277,7 +279,7 @@
         spin(atLeastMs - (System.nanoTime() - start) / 1e6);
     }
 
-    /** Waits until a connection from or to a port of the node's side holds bytes that it has not read. */
+    /** Waits until a connection of the node from or to a port holds unread bytes. */
     private static void awaitUnread(int port, boolean local) {
         try {
             while (SocketTable.unread(port, local, SocketTable.State.ESTABLISHED) == 0) {
--- a/src/test/java/cranedeal/node/MessageFormsTest.java
+++ b/src/test/java/cranedeal/node/MessageFormsTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whatever form of HTTP/1.1 a message has and in whatever pieces it comes, it means the same. */
+/** Equivalent forms of an HTTP/1.1 message are handled alike, however the message is split into pieces. */
 @Timeout(120)
 class MessageFormsTest {
 
     private static final String LOOK_UP = "\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 10\r\n";
     private static final String SPEND = "\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\n";
 
-    /** Writes a message in one piece, byte by byte, or in pieces that a seed cuts. */
-    private static void write(HttpPeer peer, String text, long seed) throws IOException {
+    /** Writes a message in one piece (seed 0), byte by byte (seed 1), or in random pieces. */
+    private static void writeInPieces(HttpPeer peer, String text, long seed) throws IOException {
         Random random = new Random(seed);
         int longest = seed == 0 ? text.length() : seed == 1 ? 1 : 20;
         for (int from = 0; from < text.length();) {
@@ -53,11 +53,11 @@
             HttpPeer caller = fixture.caller();
             HttpPeer upstream = null;
             for (long seed = 0; seed < 5; seed++) {
-                write(caller, request, seed);
+                writeInPieces(caller, request, seed);
                 upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
-                HttpPeer.Message came = upstream.read();
-                assertEquals("GET /look-up/7?z=3 HTTP/1.1", came.firstLine());
-                assertEquals("1", came.header("X-Txn"));
+                HttpPeer.Message received = upstream.read();
+                assertEquals("GET /look-up/7?z=3 HTTP/1.1", received.firstLine());
+                assertEquals("1", received.header("X-Txn"));
                 upstream.write(NodeFixture.ok("served" + seed));
                 assertEquals("served" + seed, caller.read().body());
             }
@@ -81,11 +81,11 @@
             HttpPeer caller = fixture.caller();
             HttpPeer upstream = null;
             for (long seed = 0; seed < 5; seed++) {
-                write(caller, "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\n" + rest, seed);
+                writeInPieces(caller, "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\n" + rest, seed);
                 upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
-                HttpPeer.Message came = upstream.read();
-                assertEquals("11", came.header("Content-Length"));
-                assertEquals("hello world", came.body());
+                HttpPeer.Message received = upstream.read();
+                assertEquals("11", received.header("Content-Length"));
+                assertEquals("hello world", received.body());
                 upstream.write(NodeFixture.ok("served" + seed));
                 assertEquals("served" + seed, caller.read().body());
             }
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void whoeverWaitsToBeToldToGoOnIsToldSo() throws Exception {
+    void aCallerThatExpects100ContinueGetsIt() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             for (String framing : new String[] {"Content-Length: 5", "Transfer-Encoding: chunked"}) {
                 HttpPeer caller = fixture.caller();
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void manyRequestsInOnePieceOrCutAnywhereAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsCutAnywhereAreAnsweredInOrder() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.upstreams.get(0).serveEach(peer -> {
                 try {
@@ -119,7 +119,7 @@
                         peer.write(NodeFixture.ok(request.header("X-Txn") + request.body()));
                     }
                 } catch (IOException e) {
-                    // The node has closed it.
+                    // The node has closed the connection.
                 }
             });
             for (long seed = 0; seed < 12; seed++) {
@@ -137,7 +137,7 @@
                     });
                     expected.add(id + (i % 4 == 1 || i % 4 == 2 ? "body" : ""));
                 }
-                write(caller, all.toString(), seed);
+                writeInPieces(caller, all.toString(), seed);
                 for (String body : expected) {
                     assertEquals(body, caller.read().body());
                 }
@@ -169,7 +169,7 @@
                 caller.write(NodeFixture.spend("r" + seed, "x"));
                 upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
                 assertEquals("r" + seed, upstream.read().header("X-Txn"));
-                write(upstream, answer, seed);
+                writeInPieces(upstream, answer, seed);
                 HttpPeer.Message message = caller.read();
                 assertEquals(200, message.status());
                 assertEquals("served", message.body());
@@ -184,7 +184,7 @@
         "HTTP/1.1 504 \r\nX-TURNED-AWAY:1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n",
         "HTTP/1.1 503 Busy\r\nX-Note: a,\r\n b\r\nX-Turned-Away: 1\r\nContent-Length: 2\r\n\r\nno",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\nX-Turned-Away: \t1 \r\nContent-Length: 0\r\n\r\n"})
-    void whoTurnsARequestAwayIsUnderstoodInEveryForm(String answer) throws Exception {
+    void aRejectionIsRecognizedInEveryForm(String answer) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             HttpPeer upstream = null;
@@ -192,7 +192,7 @@
                 caller.write(NodeFixture.spend("r" + seed, "x"));
                 upstream = upstream == null ? fixture.upstreams.get(0).accept() : upstream;
                 assertEquals("r" + seed, upstream.read().header("X-Txn"));
-                write(upstream, answer, seed);
+                writeInPieces(upstream, answer, seed);
                 assertEquals(Result.FULL, fixture.balancer.nextResult());
                 assertTrue(caller.read().status() >= 500);
             }
--- a/src/test/java/cranedeal/node/NodeFixture.java
+++ b/src/test/java/cranedeal/node/NodeFixture.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A node on loopback addresses between listeners that the test plays upstreams and discovery on. */
+/** A node on loopback addresses, with servers on which the test acts as its upstreams and as discovery. */
 final class NodeFixture implements AutoCloseable {
 
-    /** What the front asks. */
+    /** The front's health check. */
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
     final ScriptedBalancer balancer = new ScriptedBalancer();
@@ -22,15 +22,15 @@
     int sockets = 1_024;
     int connectTimeout = 3_000;
     int drainGrace = 2_000;
-    /** For how long repeats of a keyed request are dropped. */
+    /** For how many ms upstreams drop repeats of a deduplicated request. */
     int dedupWindowMs = 4_000;
-    /** Whether lists come on their own. */
+    /** True if discovery sends lists without being asked. */
     boolean pushLists;
-    /** Whether operators have a door. */
+    /** True if the node has an admin endpoint. */
     boolean adminEnabled;
-    /** Where the node keeps what must outlast it; null for nowhere. */
+    /** Directory of the state that the node persists; null for none. */
     Path stateDir;
-    /** What the processes of an upgrade share. */
+    /** Directory that the processes of an upgrade share; null for none. */
     Path upgradeDir;
     Node node;
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Starts the node with the scripted module. */
+    /** Starts the node with the scripted balancer as its decision module. */
     NodeFixture start() throws Exception {
         return start(balancer::attach);
     }
@@ -106,40 +106,40 @@
                         connectTimeout, drainGrace);
     }
 
-    /** A new connection of a caller. */
+    /** Opens a caller's connection to the node. */
     HttpPeer caller() throws IOException {
         HttpPeer caller = HttpPeer.connect(node.address());
         callers.add(caller);
         return caller;
     }
 
-    /** Answers the node's first watch with a whole list, and returns the watch. */
+    /** Answers the node's first watch with a full list, and returns the connection of the watch. */
     HttpPeer sendList(String... entries) throws Exception {
         ScriptedBalancer.next(balancer.changes);
         HttpPeer watch = discovery.accept();
         watch.read();
         watch.write(ok(listJson(42, true, entries)));
         if (ScriptedBalancer.next(balancer.changes) != LoadBalancer.Change.FULL) {
-            throw new AssertionError("the list was not taken");
+            throw new AssertionError("the node did not apply the list");
         }
         return watch;
     }
 
-    /** Waits until the node has read all that callers have written to it so far. */
+    /** Waits until the node has read everything that callers have written so far. */
     void awaitReads() throws IOException {
         HttpPeer other = caller();
         other.write(HEALTH);
         other.read();
     }
 
-    /** A request of the class whose repeats are dropped for a while. */
+    /** Returns a request of the class whose repeats upstreams deduplicate. */
     static String order(String id) {
         return "POST /tile-order HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
                 + "\r\nX-Lane: tile-order\r\nX-Remaining: 10\r\nIdempotency-Key: k" + id
                 + "\r\nContent-Length: 0\r\n\r\n";
     }
 
-    /** An operator's call; the status of its answer. */
+    /** Sends an operator's request to the admin endpoint, and returns the status of the answer. */
     int order(String method, String path) throws IOException {
         try (HttpPeer operator = HttpPeer.connect(node.adminAddress())) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
@@ -147,13 +147,13 @@
         }
     }
 
-    /** A request of the class that is safe to repeat. */
+    /** Returns a request of the class that is safe to repeat. */
     static String get(String id, String remaining) {
         return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
                 + "\r\nX-Lane: look-up\r\nX-Remaining: " + remaining + "\r\n\r\n";
     }
 
-    /** A request of the class that must never run twice. */
+    /** Returns a request of the class that must never run twice. */
     static String spend(String id, String body) {
         return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
                 + "\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\nContent-Length: " + body.length()
@@ -164,7 +164,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Serves a request and asserts that the caller has its answer: the node is well. */
+    /** Asserts that the node still works: serves a request and checks the caller's answer. */
     void assertServes() throws Exception {
         HttpPeer caller = caller();
         caller.write(get("still", "10"));
--- a/src/test/java/cranedeal/node/NodeProcess.java
+++ b/src/test/java/cranedeal/node/NodeProcess.java
@@ -11,10 +11,10 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** The program as a process of its own, with a configuration that can be replaced. */
+/** The balancer program as a child process, with a configuration file that can be replaced. */
 final class NodeProcess implements AutoCloseable {
 
-    /** Status of a process that SIGTERM has ended, by the shell's rule: 128 and the signal's number. */
+    /** Exit status of a process ended by SIGTERM: 128 plus the signal's number. */
     private static final int TERMINATED = 128 + 15;
 
     final NodeFixture fixture;
@@ -23,12 +23,12 @@
     final Path file = Files.createTempFile("node", ".json");
     private final String config;
 
-    /** Starts it with the configuration of a stage. */
+    /** Starts the process with the configuration of a fixture. */
     NodeProcess(NodeFixture fixture) throws Exception {
         this(fixture, fixture.discovery.address());
     }
 
-    /** The same, but for where discovery is. */
+    /** The same, with another address of discovery. */
     NodeProcess(NodeFixture fixture, String discovery) throws Exception {
         this.fixture = fixture;
         try (ServerSocket free = new ServerSocket(0)) {
--- a/src/test/java/cranedeal/node/LateRequestTest.java
+++ b/src/test/java/cranedeal/node/RequestAfterSigtermTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A process that is told to end while its upstream hangs: what comes later still has its answer. */
+/** Requests that arrive after SIGTERM, while the upstream hangs, still get an answer. */
 @Timeout(60)
-class LateRequestTest {
+class RequestAfterSigtermTest {
 
     private static final int CALLERS = 8;
-    /** Between requests, so that they come over more than the 0.7 s after which nothing is excused. */
-    private static final long GAP_MS = 150;
+    /** Spreads the requests over more than 0.7 s after SIGTERM; later requests must be answered as well. */
+    private static final long REQUEST_INTERVAL_MS = 150;
 
     @Test
-    void requestsAfterSigtermAreAnsweredWhereUpstreamsHang() throws Exception {
+    void requestsAfterSigtermAreAnsweredIfUpstreamsHang() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); NodeProcess node = new NodeProcess(fixture)) {
             HttpPeer.connectWhenServing(node.address, node.process);
             List<HttpPeer> callers = new ArrayList<>();
@@ -30,17 +30,17 @@
                 assertEquals(200, caller.read().status());
                 callers.add(caller);
             }
-            // Nobody reads from the upstream's connections.
+            // The test never reads from the upstream's connections.
             node.process.destroy();
             for (int i = 0; i < CALLERS; i++) {
-                TimeUnit.MILLISECONDS.sleep(GAP_MS);
+                TimeUnit.MILLISECONDS.sleep(REQUEST_INTERVAL_MS);
                 callers.get(i).write(NodeFixture.get("late" + i, "10"));
             }
             for (int i = 0; i < CALLERS; i++) {
                 HttpPeer.Message answer = callers.get(i).read();
-                assertNotNull(answer, "request " + i + " has no answer");
+                assertNotNull(answer, "request " + i + " got no answer");
                 assertTrue(answer.status() >= 500, answer.firstLine());
-                assertNull(callers.get(i).read(), "its connection ends in order");
+                assertNull(callers.get(i).read(), "the connection must end without another answer");
             }
             node.assertTerminated();
         }
--- a/src/test/java/cranedeal/node/ScriptedBalancer.java
+++ b/src/test/java/cranedeal/node/ScriptedBalancer.java
@@ -9,15 +9,15 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** A module that does what the test says, and remembers what its host told it. */
+/** A decision module that a test scripts, and that records the events that its host reports. */
 final class ScriptedBalancer implements LoadBalancer {
 
     Actions actions;
     volatile List<Upstream> upstreams = List.of();
-    /** What to do with a request; by default it goes to the first upstream until its deadline. */
+    /** Handles a request; by default sends it to the first upstream, with its deadline as the timeout. */
     volatile Consumer<Request> onRequest = request -> sendTo(0, request, 0);
     volatile Consumer<Outcome> onOutcome = outcome -> { };
-    /** What to do with an outcome that leaves its request open; by default it fails. */
+    /** Handles the outcome of an attempt if the request is still open; by default fails the request. */
     volatile BiConsumer<Actions, Outcome> onOpenOutcome = (to, outcome) -> to.fail(outcome.requestId());
     volatile Runnable onTimer = () -> { };
     volatile Runnable onStart = () -> { };
@@ -25,27 +25,27 @@
     final LinkedBlockingQueue<Change> changes = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Long> streams = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Long> gone = new LinkedBlockingQueue<>();
-    /** The upstreams that are out by hand. */
+    /** The upstreams that operators have banned. */
     final Set<Long> banned = ConcurrentHashMap.newKeySet();
     final LinkedBlockingQueue<String> probes = new LinkedBlockingQueue<>();
 
-    LoadBalancer attach(Actions given) {
-        actions = given;
+    LoadBalancer attach(Actions hostActions) {
+        actions = hostActions;
         return this;
     }
 
-    /** Sends a request to an upstream by its place in the list. */
-    void sendTo(int place, Request request, double timeout) {
-        actions.send(request.id(), upstreams.get(place).id(), timeout);
+    /** Sends a request to the upstream at an index of the list. */
+    void sendTo(int index, Request request, double timeout) {
+        actions.send(request.id(), upstreams.get(index).id(), timeout);
     }
 
-    /** Sends to an upstream by its place until the host sends no more, and then refuses. */
-    void sendUntilNotSent(int place) {
+    /** Retries at the upstream at an index until the host sends no more, and then refuses the request. */
+    void sendUntilNotSent(int index) {
         onOpenOutcome = (to, outcome) -> {
             if (outcome.result() == Result.NOT_SENT) {
                 to.refuse(outcome.requestId(), 0);
             } else {
-                to.send(outcome.requestId(), upstreams.get(place).id(), 0);
+                to.send(outcome.requestId(), upstreams.get(index).id(), 0);
             }
         };
     }
@@ -53,7 +53,7 @@
     static <T> T next(LinkedBlockingQueue<T> queue) throws InterruptedException {
         T item = queue.poll(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (item == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("nothing arrived in time");
         }
         return item;
     }
--- a/src/test/java/cranedeal/node/LateConnectionTest.java
+++ b/src/test/java/cranedeal/node/SlowConnectTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A connection that comes up late: what has changed since the module asked for its attempt counts. */
+/** When a connection comes up late, changes since the module asked for the attempt are taken into account. */
 @Timeout(60)
-class LateConnectionTest {
+class SlowConnectTest {
 
-    /** A stage whose node has one upstream that connects at once, and then the one whose connections wait. */
+    /** Starts a node with an upstream that connects at once, and a second one whose connections hang. */
     private static HttpPeer start(NodeFixture fixture, FullBacklog full) throws Exception {
         fixture.connectTimeout = 15_000;
         fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
@@ -21,8 +21,8 @@
                 NodeFixture.listEntry(9, full.address(), "up"));
     }
 
-    /** What comes first on the connection is the request that goes out after all that happened. */
-    private static void nothingWasSentOn(HttpPeer late, NodeFixture fixture) throws Exception {
+    /** Asserts that the first request on the late connection is one that is sent only now. */
+    private static void assertNothingWasSent(HttpPeer late, NodeFixture fixture) throws Exception {
         fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
         HttpPeer caller = fixture.caller();
         caller.write(NodeFixture.get("next", "10"));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedOnceItsWindowIsOver() throws Exception {
+    void aDeduplicatedRequestIsNotRepeatedAfterItsWindow() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
             fixture.dedupWindowMs = 300;
             start(fixture, full);
@@ -50,17 +50,17 @@
             first.reset();
             assertEquals(Result.RESET, fixture.balancer.nextResult());
             fixture.awaitReads();
-            // The kernel tries to connect again only after a second, when the window is long over.
+            // The kernel retries the connect only after a second, when the window is long over.
             try (HttpPeer late = full.acceptNext()) {
                 assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
                 assertEquals(502, caller.read().status());
-                nothingWasSentOn(late, fixture);
+                assertNothingWasSent(late, fixture);
             }
         }
     }
 
     @Test
-    void anAttemptThatNeverRanOpensNoWindow() throws Exception {
+    void anAttemptThatNeverRanDoesNotStartTheWindow() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
             fixture.dedupWindowMs = 300;
             start(fixture, full);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void nothingGoesToAProcessThatHasBeenReplacedMeanwhile() throws Exception {
+    void nothingIsSentToAProcessThatHasReplacedTheOneListed() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
             HttpPeer watch = start(fixture, full);
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
@@ -95,7 +95,7 @@
                     .replace("\"started_ms\":0", "\"started_ms\":1700000000000"))));
             assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
             try (HttpPeer late = full.acceptNext()) {
-                assertTrue(late.awaitClose(), "a process that is cold got what was meant for a warm one");
+                assertTrue(late.awaitClose(), "a cold process got a request that was meant for a warm one");
             }
             assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
             assertEquals(502, caller.read().status());
@@ -116,11 +116,11 @@
                 } else {
                     caller.close();
                 }
-                // This module calls nothing off, as where the settings do not allow that.
+                // The scripted module does not cancel attempts, as with settings that do not allow it.
                 ScriptedBalancer.next(fixture.balancer.gone);
                 try (HttpPeer late = full.acceptNext()) {
                     assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
-                    nothingWasSentOn(late, fixture);
+                    assertNothingWasSent(late, fixture);
                 }
             }
         }
--- a/src/test/java/cranedeal/node/LargeTest.java
+++ b/src/test/java/cranedeal/node/StreamedBodyTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies and answers that are too large to be held go on as they come, both ways. */
+/** Request bodies and answers that are too large to be buffered are streamed. */
 @Timeout(60)
-class LargeTest {
+class StreamedBodyTest {
 
     private static final String BODY = "0123456789abcdef".repeat(20_000);
     private static final int HALF = BODY.length() / 2;
@@ -28,18 +28,18 @@
                 + "X-Remaining: 10\r\n" + framing + "\r\n\r\n";
     }
 
-    private static String bytes(HttpPeer peer, int count) throws IOException {
+    private static String readBytes(HttpPeer peer, int count) throws IOException {
         return new String(peer.socket.getInputStream().readNBytes(count), StandardCharsets.ISO_8859_1);
     }
 
-    /** What comes until an empty line. */
-    private static String head(HttpPeer peer) throws IOException {
+    /** Reads up to and including the empty line that ends a head. */
+    private static String readHead(HttpPeer peer) throws IOException {
         InputStream in = peer.socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             int c = in.read();
             if (c < 0) {
-                throw new IOException("the stream has ended within a head");
+                throw new IOException("the stream ended within a head");
             }
             head.append((char) c);
         }
@@ -48,8 +48,8 @@
 
     private static String chunked(String body) {
         StringBuilder text = new StringBuilder();
-        for (int at = 0; at < body.length(); at += 10_000) {
-            String chunk = body.substring(at, Math.min(body.length(), at + 10_000));
+        for (int offset = 0; offset < body.length(); offset += 10_000) {
+            String chunk = body.substring(offset, Math.min(body.length(), offset + 10_000));
             text.append(Integer.toHexString(chunk.length())).append(";part=1\r\n");
             text.append(chunk).append("\r\n");
         }
@@ -61,20 +61,20 @@
                 : "Content-Length: " + BODY.length()) + "\r\n\r\n";
     }
 
-    /** The body of a chunked message. */
-    private static String unchunked(HttpPeer peer) throws IOException {
+    /** Reads the body of a chunked message. */
+    private static String readChunkedBody(HttpPeer peer) throws IOException {
         StringBuilder body = new StringBuilder();
         InputStream in = peer.socket.getInputStream();
         while (true) {
             StringBuilder size = new StringBuilder();
             for (int c = in.read(); c != '\n'; c = in.read()) {
                 if (c < 0) {
-                    throw new IOException("the stream has ended within a body");
+                    throw new IOException("the stream ended within a body");
                 }
                 size.append((char) c);
             }
             int length = Integer.parseInt(size.toString().strip(), 16);
-            body.append(bytes(peer, length));
+            body.append(readBytes(peer, length));
             in.readNBytes(2);
             if (length == 0) {
                 return body.toString();
@@ -83,44 +83,44 @@
     }
 
     @Test
-    void aBodyReachesTheUpstreamWhileItStillComes() throws Exception {
+    void aBodyReachesTheUpstreamWhileItIsStillArriving() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY.substring(0, HALF));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
-            assertTrue(head(upstream).contains("\r\nContent-Length: " + BODY.length() + "\r\n"));
-            assertEquals(BODY.substring(0, HALF), bytes(upstream, HALF));
+            assertTrue(readHead(upstream).contains("\r\nContent-Length: " + BODY.length() + "\r\n"));
+            assertEquals(BODY.substring(0, HALF), readBytes(upstream, HALF));
             caller.write(BODY.substring(HALF));
-            assertEquals(BODY.substring(HALF), bytes(upstream, BODY.length() - HALF));
+            assertEquals(BODY.substring(HALF), readBytes(upstream, BODY.length() - HALF));
             upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
             assertEquals(Result.OK, fixture.balancer.nextResult());
-            // The connection goes on as any.
+            // The connection is reused as usual.
             caller.write(NodeFixture.get("2", "10"));
-            assertTrue(head(upstream).contains("X-Txn: 2"));
+            assertTrue(readHead(upstream).contains("X-Txn: 2"));
             upstream.write(NodeFixture.ok("again"));
             assertEquals("again", caller.read().body());
         }
     }
 
     @Test
-    void aChunkedBodyKeepsItsBytes() throws Exception {
+    void aChunkedBodyIsPassedOnUnchanged() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(post("Expect: 100-continue\r\nTransfer-Encoding: chunked"));
             assertEquals(100, caller.read().status());
             caller.write(chunked(BODY));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
-            head(upstream);
-            assertEquals(BODY, unchunked(upstream));
+            readHead(upstream);
+            assertEquals(BODY, readChunkedBody(upstream));
             upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
         }
     }
 
     @Test
-    void aSmallChunkedBodyGoesOnWithItsLength() throws Exception {
+    void aSmallChunkedBodyIsSentWithItsLength() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(post("Transfer-Encoding: chunked"));
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void whatNobodyHasTakenYetGoesToAnotherUpstream() throws Exception {
+    void aBodyThatNoUpstreamHasReceivedGoesToAnotherUpstream() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
             fixture.upstreams.get(0).refuseConnections();
             fixture.balancer.onOpenOutcome = (actions, outcome) ->
@@ -139,23 +139,23 @@
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY);
             HttpPeer upstream = fixture.upstreams.get(1).accept();
-            head(upstream);
-            assertEquals(BODY, bytes(upstream, BODY.length()));
+            readHead(upstream);
+            assertEquals(BODY, readBytes(upstream, BODY.length()));
             upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
         }
     }
 
     @Test
-    void whatIsGoneCannotBeSentAgain() throws Exception {
+    void aBodyThatWasPassedOnCannotBeSentAgain() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
             fixture.balancer.sendUntilNotSent(1);
             HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY);
             HttpPeer upstream = fixture.upstreams.get(0).accept();
-            head(upstream);
-            bytes(upstream, BODY.length());
+            readHead(upstream);
+            readBytes(upstream, BODY.length());
             upstream.write("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             assertEquals(Result.FULL, fixture.balancer.nextResult());
             assertEquals(Result.NOT_SENT, fixture.balancer.nextResult());
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aRefusalInTheMiddleOfABodyIsAnsweredAtOnce() throws Exception {
+    void aRefusalWithinABodyIsWrittenAtOnce() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             HttpPeer caller = fixture.caller();
@@ -180,14 +180,14 @@
     }
 
     @Test
-    void aCallerThatLeavesInTheMiddleFreesTheUpstream() throws Exception {
+    void aCallerThatLeavesWithinABodyFreesTheUpstream() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
             caller.write(BODY.substring(0, HALF));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
-            head(upstream);
-            bytes(upstream, HALF);
+            readHead(upstream);
+            readBytes(upstream, HALF);
             caller.close();
             assertTrue(upstream.awaitClose());
             assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void aBodyThatStopsComingIsGivenUp() throws Exception {
+    void aStalledBodyTimesOut() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(post("Content-Length: " + BODY.length()));
@@ -207,22 +207,22 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"zz\r\n", "5;x\r\nfive!xx\r\n"})
-    void aBodyThatCannotBeReadIsTheCallersFault(String rest) throws Exception {
+    void aMalformedBodyIsAnsweredWith400(String rest) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(post("Transfer-Encoding: chunked"));
             caller.write(Integer.toHexString(HALF) + "\r\n" + BODY.substring(0, HALF) + "\r\n" + rest);
             assertEquals(400, caller.read().status());
-            // The attempt that had its start is broken off.
+            // The attempt that got the start of the body is broken off.
             HttpPeer upstream = fixture.upstreams.get(0).accept();
-            assertTrue(bytes(upstream, 2 * BODY.length()).length() < BODY.length());
+            assertTrue(readBytes(upstream, 2 * BODY.length()).length() < BODY.length());
             fixture.assertServes();
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void anAnswerReachesTheCallerWhileItStillComes(boolean chunked) throws Exception {
+    void anAnswerReachesTheCallerWhileItIsStillArriving(boolean chunked) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10"));
@@ -230,11 +230,11 @@
             upstream.read();
             String whole = chunked ? chunked(BODY) : BODY;
             upstream.write(okHead(chunked) + whole.substring(0, HALF));
-            String head = head(caller);
+            String head = readHead(caller);
             assertTrue(head.startsWith("HTTP/1.1 200"), head);
             assertEquals(1, ScriptedBalancer.next(fixture.balancer.streams));
             upstream.write(whole.substring(HALF));
-            assertEquals(BODY, chunked ? unchunked(caller) : bytes(caller, BODY.length()));
+            assertEquals(BODY, chunked ? readChunkedBody(caller) : readBytes(caller, BODY.length()));
             assertEquals(Result.OK, fixture.balancer.nextResult());
             assertTrue(fixture.node.stats().contains("edge_proxy.success.look-up=1\n"));
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 0);
@@ -246,22 +246,22 @@
     }
 
     @Test
-    void theStartOfASlowAnswerIsNotHeldBack() throws Exception {
+    void theStartOfASlowAnswerIsPassedOnAtOnce() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             upstream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstart\r\n");
-            head(caller);
-            assertEquals("5\r\nstart\r\n", bytes(caller, 10));
+            readHead(caller);
+            assertEquals("5\r\nstart\r\n", readBytes(caller, 10));
             upstream.write("3\r\nend\r\n0\r\n\r\n");
-            assertEquals("end", unchunked(caller));
+            assertEquals("end", readChunkedBody(caller));
         }
     }
 
     @Test
-    void anAnswerThatEndsWithItsConnectionIsWholeIfItSaysSoAndWasNotCutOff() throws Exception {
+    void anAnswerDelimitedByTheCloseIsCompleteIfItSaysSoAndWasNotReset() throws Exception {
         for (boolean abruptly : new boolean[] {false, true}) {
             try (NodeFixture fixture = new NodeFixture().start()) {
                 HttpPeer caller = fixture.caller();
@@ -282,7 +282,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aCallerCanTellThatAnAnswerIsNotWhole(boolean chunked) throws Exception {
+    void aCallerCanTellThatAnAnswerIsIncomplete(boolean chunked) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10"));
@@ -290,14 +290,14 @@
             upstream.read();
             String whole = chunked ? chunked(BODY) : BODY;
             upstream.write(okHead(chunked) + whole.substring(0, HALF));
-            head(caller);
+            readHead(caller);
             upstream.close();
             assertEquals(Result.RESET, fixture.balancer.nextResult());
             assertThrows(IOException.class, () -> {
                 if (chunked) {
-                    unchunked(caller);
-                } else if (bytes(caller, BODY.length()).length() < BODY.length()) {
-                    throw new IOException("the end came too soon");
+                    readChunkedBody(caller);
+                } else if (readBytes(caller, BODY.length()).length() < BODY.length()) {
+                    throw new IOException("the answer ended early");
                 }
             });
             assertTrue(fixture.node.stats().contains("edge_proxy.error.look-up=1\n"), fixture.node.stats());
@@ -311,18 +311,18 @@
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            String piece = "x".repeat(1 << 20);
+            String chunk = "x".repeat(1 << 20);
             CompletableFuture<Void> written = CompletableFuture.runAsync(() -> {
                 try {
                     upstream.write("HTTP/1.1 200 OK\r\nContent-Length: " + (32 << 20) + "\r\n\r\n");
                     for (int i = 0; i < 32; i++) {
-                        upstream.write(piece);
+                        upstream.write(chunk);
                     }
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            // Were the answer taken into memory, it would be out at once.
+            // If the node buffered the answer in memory, the upstream would have written it at once.
             assertThrows(TimeoutException.class, () -> written.get(1, TimeUnit.SECONDS));
             caller.close();
             assertTrue(upstream.awaitClose());
--- a/src/test/java/cranedeal/node/TestServer.java
+++ b/src/test/java/cranedeal/node/TestServer.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Listens on a port of its own and hands each connection to the test, which plays the server. */
+/** Listens on a port of its own and hands each connection to the test, which acts as the server. */
 final class TestServer implements AutoCloseable {
 
     private final ServerSocket server;
     private final Thread accepting;
-    /** Holds the port once nobody listens there any more. */
+    /** Keeps the port bound after this server has stopped listening. */
     private final Socket holder = new Socket();
     private final LinkedBlockingQueue<HttpPeer> accepted = new LinkedBlockingQueue<>();
 
@@ -22,7 +22,7 @@
         this(0);
     }
 
-    /** With a receive buffer of a size, 0 for the system's choice. */
+    /** Listens with a receive buffer of the given size; 0 for the system's default. */
     TestServer(int receiveBuffer) throws IOException {
         server = new ServerSocket();
         if (receiveBuffer > 0) {
@@ -35,7 +35,7 @@
                     accepted.add(new HttpPeer(server.accept()));
                 }
             } catch (IOException e) {
-                // The test is over.
+                // The server was closed, as the test is over or wants connections refused.
             }
         });
         accepting.setDaemon(true);
@@ -46,45 +46,45 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** The next connection; fails the test if none comes. */
+    /** Returns the next connection; fails the test if none arrives. */
     HttpPeer accept() throws InterruptedException {
         HttpPeer peer = accepted.poll(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (peer == null) {
-            throw new AssertionError("no connection came");
+            throw new AssertionError("no connection arrived");
         }
         return peer;
     }
 
-    /** From now on refuses connections; the port stays taken, so that nobody else can listen there. */
+    /** Refuses connections from now on; the port stays bound, so that nothing else can listen there. */
     void refuseConnections() throws IOException, InterruptedException {
         int port = server.getLocalPort();
         server.close();
-        // The kernel closes it only once nobody waits there, and lets connections come up until then.
+        // The kernel closes the socket only once no thread waits in accept; connections come up till then.
         accepting.join();
-        // Connections of before may still be there.
+        // Earlier connections may still exist.
         holder.setReuseAddress(true);
         holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** From now on hands each connection to {@code server} on a thread of its own, until the test is over. */
-    void serveEach(Consumer<HttpPeer> server) {
+    /** Hands each connection from now on to {@code handler}, on a thread of its own, until the test ends. */
+    void serveEach(Consumer<HttpPeer> handler) {
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
                     HttpPeer peer = accept();
-                    Thread worker = new Thread(() -> server.accept(peer));
+                    Thread worker = new Thread(() -> handler.accept(peer));
                     worker.setDaemon(true);
                     worker.start();
                 }
             } catch (InterruptedException | AssertionError e) {
-                // Nobody calls any more.
+                // No more connections arrive.
             }
         });
         acceptor.setDaemon(true);
         acceptor.start();
     }
 
-    /** How many connections have come that the test has not looked at. */
+    /** Returns the number of connections that the test has not taken yet. */
     int pendingConnections() {
         return accepted.size();
     }
--- a/src/test/java/cranedeal/node/UpstreamClientTest.java
+++ b/src/test/java/cranedeal/node/UpstreamClientTest.java
@@ -24,15 +24,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How attempts go out, and how each way in which they end is told to the module. */
+/** How attempts are sent to upstreams, and how each way in which they end is reported to the module. */
 @Timeout(60)
 class UpstreamClientTest {
 
-    /** Those that a node leaves to what isn't a connection. */
-    private static final int DESCRIPTORS_OF_THE_PROCESS = 64;
+    /** Descriptors that a node reserves for everything but connections. */
+    private static final int RESERVED_DESCRIPTORS = 64;
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    void aRequestIsSentOnUnchangedAndItsAnswerReturned() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write("POST /tile-order/a?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n"
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void anUpstreamIsToldNoMoreThanTheAttemptsOwnTimeout() throws Exception {
+    void theRemainingTimeSentToAnUpstreamIsAtMostTheAttemptsTimeout() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(0, request, 3_000);
             fixture.caller().write(NodeFixture.get("1", "9"));
@@ -66,7 +66,8 @@
 
     @ParameterizedTest
     @CsvSource({"500,,ERROR", "503,1,FULL", "504,1,FULL", "503,,ERROR", "404,,ERROR", "500,1,ERROR"})
-    void anAnswersStatusTellsItsOutcome(int status, String turnedAway, Result expected) throws Exception {
+    void theStatusOfAnAnswerDeterminesTheResult(int status, String turnedAway, Result expected)
+            throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
@@ -80,7 +81,7 @@
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void aRefusedConnectionIsAFailedConnect() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.upstreams.get(0).refuseConnections();
             HttpPeer caller = fixture.caller();
@@ -96,9 +97,9 @@
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-        // Delimited by the end of the connection only: a crash would look the same.
+        // Only the end of the connection delimits this answer: a crash would look the same.
         "HTTP/1.1 200 OK\r\n\r\nhalf"})
-    void aConnectionThatEndsBeforeTheWholeAnswerIsAReset(String part) throws Exception {
+    void aConnectionThatEndsWithinAnAnswerIsAReset(String part) throws Exception {
         for (boolean abruptly : new boolean[] {false, true}) {
             try (NodeFixture fixture = new NodeFixture().start()) {
                 HttpPeer caller = fixture.caller();
@@ -120,9 +121,9 @@
     }
 
     @Test
-    void aRequestNotWrittenWholeNeverRan() throws Exception {
+    void aRequestNotFullyWrittenIsAFailedConnect() throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
-            // More than the kernel's buffers take while nobody reads: its end can't be written.
+            // The body exceeds the kernel's buffers and the upstream does not read: its end can't be written.
             fixture.upstreams.set(0, new TestServer(1_024));
             fixture.start();
             HttpPeer caller = fixture.caller();
@@ -130,7 +131,7 @@
                 try {
                     caller.write(NodeFixture.spend("1", "b".repeat(16 << 20)));
                 } catch (IOException e) {
-                    // The rest is of no more use.
+                    // The node has closed the connection, and the rest is not needed.
                 }
             });
             writing.start();
@@ -168,7 +169,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aConnectionOnWhichMoreThanTheAnswerComesIsNotUsedAgain(boolean later) throws Exception {
+    void aConnectionWithBytesAfterTheAnswerIsNotReused(boolean later) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10"));
@@ -202,7 +203,7 @@
     @Test
     void aCancelledAttemptClosesItsConnection() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
-            // A second copy: the first answer wins, the other is called off.
+            // A hedged request: the first answer wins, and the other attempt is cancelled.
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(0, request, 0);
                 fixture.balancer.sendTo(1, request, 0);
@@ -223,7 +224,7 @@
     }
 
     @Test
-    void aConnectionIsUsedAgainWhileItIsAlive() throws Exception {
+    void aConnectionIsReusedWhileItIsUp() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             HttpPeer upstream = null;
@@ -264,7 +265,7 @@
     }
 
     @Test
-    void aConnectionThatNeverComesUpNeverRan() throws Exception {
+    void aConnectionThatNeverComesUpIsAFailedConnect() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
             fixture.connectTimeout = 200;
             fixture.balancer.onStart = () -> fixture.balancer.actions.watch(true);
@@ -278,7 +279,7 @@
     }
 
     @Test
-    void anAttemptThatWaitsToConnectDoesNotBeginAfterTheGraceOfADrain() throws Exception {
+    void anAttemptThatWaitsToConnectIsNotSentAfterTheDrainGrace() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); FullBacklog full = new FullBacklog()) {
             fixture.connectTimeout = 15_000;
             fixture.drainGrace = 50;
@@ -287,15 +288,15 @@
             HttpPeer watch = fixture.sendList(NodeFixture.listEntry(9, full.address(), "up"));
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
-            // The node has the request once it has answered what came after it on its one thread.
+            // The node has one thread: once it has answered a later request, it has read this one.
             fixture.awaitReads();
             watch.read();
             watch.write(NodeFixture.ok(NodeFixture.listJson(43, false,
                     NodeFixture.listEntry(9, full.address(), "draining"))));
             assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
-            // The kernel tries to connect again only after a second, long past the grace.
+            // The kernel retries the connect only after a second, long after the grace period.
             try (HttpPeer late = full.acceptNext()) {
-                assertTrue(late.awaitClose(), "the request was written after the grace");
+                assertTrue(late.awaitClose(), "the request was written after the drain grace");
             }
             assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
             assertEquals(502, caller.read().status());
@@ -303,7 +304,7 @@
     }
 
     @Test
-    void aProbeBringsTheLoadReport() throws Exception {
+    void aProbeReturnsTheLoadReport() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.actions.probe(fixture.balancer.upstreams.get(0).id());
@@ -320,7 +321,7 @@
     }
 
     @Test
-    void idleConnectionsGiveWayToCallersWhenDescriptorsRunShort() throws Exception {
+    void idleConnectionsAreEvictedForCallersWhenDescriptorsRunShort() throws Exception {
         try (NodeFixture fixture = new NodeFixture(6)) {
             fixture.sockets = 64 + 10;
             fixture.start();
@@ -335,7 +336,7 @@
                 idle.get(i).write(NodeFixture.ok("a"));
                 caller.read();
             }
-            // Callers at work can't go, and one that has just been served stays: it would only come again.
+            // Callers with a request can't be evicted, nor one that has just been served: it would reconnect.
             CountDownLatch taken = new CountDownLatch(6);
             fixture.balancer.onRequest = request -> taken.countDown();
             for (int i = 0; i < 6; i++) {
@@ -350,19 +351,19 @@
     }
 
     @Test
-    void whereUpstreamsResetIdleConnectionsThoseAreNotUsedAgain() throws Exception {
+    void idleConnectionsAreNotReusedOnceUpstreamsResetThem() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2).start()) {
             HttpPeer caller = fixture.caller();
             long begun = System.nanoTime();
-            HttpPeer[] kept = {serve(fixture, caller, 0), serve(fixture, caller, 1)};
+            HttpPeer[] pooled = {serve(fixture, caller, 0), serve(fixture, caller, 1)};
             TimeUnit.MILLISECONDS.sleep(100);
-            for (int i = 0; i < kept.length; i++) {
-                ask(fixture, caller, i);
-                kept[i].read();
-                kept[i].reset();
+            for (int i = 0; i < pooled.length; i++) {
+                sendRequest(fixture, caller, i);
+                pooled[i].read();
+                pooled[i].reset();
                 assertEquals(502, caller.read().status());
             }
-            // Longer than any connection was idle before it was reset: half of that is allowed now.
+            // Longer than any connection had been idle before its reset; the limit is now half of that.
             long idle = System.nanoTime() - begun;
             HttpPeer unused = serve(fixture, caller, 0);
             TimeUnit.NANOSECONDS.sleep(idle);
@@ -371,14 +372,14 @@
         }
     }
 
-    private static void ask(NodeFixture fixture, HttpPeer caller, int place) throws IOException {
+    private static void sendRequest(NodeFixture fixture, HttpPeer caller, int place) throws IOException {
         fixture.balancer.onRequest = request -> fixture.balancer.sendTo(place, request, 0);
         caller.write(NodeFixture.get("any", "10"));
     }
 
-    /** Has a request served on a new connection, and returns that. */
+    /** Serves a request on a new connection, and returns the connection. */
     private static HttpPeer serve(NodeFixture fixture, HttpPeer caller, int place) throws Exception {
-        ask(fixture, caller, place);
+        sendRequest(fixture, caller, place);
         HttpPeer upstream = fixture.upstreams.get(place).accept();
         upstream.read();
         upstream.write(NodeFixture.ok("a"));
@@ -387,20 +388,20 @@
     }
 
     /**
-     * This process has no descriptor left for another connection. That was reported as a failed connect, so
-     * that good upstreams were taken for bad ones (connect_failed_no_descriptor in the figures, thousands,
-     * and retried_after_connect_failed).
+     * The node has no descriptor left for another connection. That was once reported as a failed connect, so
+     * healthy upstreams were taken for faulty ones (metrics connect_failed_no_descriptor, thousands, and
+     * retried_after_connect_failed).
      */
     @Test
-    void anAttemptForWhichThereIsNoDescriptorSaysNothingOfItsUpstream() throws Exception {
+    void aMissingDescriptorIsNotChargedToTheUpstream() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2)) {
-            // Four of five may be open when another is asked for: three callers, and one upstream.
-            fixture.sockets = DESCRIPTORS_OF_THE_PROCESS + 5;
+            // Four of five may be open when another is requested: those of three callers and one upstream.
+            fixture.sockets = RESERVED_DESCRIPTORS + 5;
             fixture.start();
             HttpPeer caller = fixture.caller();
-            for (HttpPeer one : new HttpPeer[] {caller, fixture.caller(), fixture.caller()}) {
-                one.write(NodeFixture.HEALTH);
-                assertEquals(200, one.read().status());
+            for (HttpPeer each : new HttpPeer[] {caller, fixture.caller(), fixture.caller()}) {
+                each.write(NodeFixture.HEALTH);
+                assertEquals(200, each.read().status());
             }
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.sendTo(0, request, 0);
@@ -417,7 +418,7 @@
         }
     }
 
-    /** A release replaces every upstream: first it drains, then it is gone. */
+    /** A release replaces every upstream: the old one drains and is then removed from the list. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void anUpstreamThatIsGoneIsForgotten(boolean full) throws Exception {
--- a/src/test/java/cranedeal/node/VirtualLoop.java
+++ b/src/test/java/cranedeal/node/VirtualLoop.java
@@ -18,12 +18,12 @@
 import java.util.Set;
 
 /**
- * A node's loop in virtual time: the decision module and the queue of arrivals behind a processor that takes
- * its time for each step, before upstreams that all answer after the same time, however many calls they have.
+ * A node's event loop in virtual time: the decision module and the request queue, on a CPU that needs time
+ * for each step, with upstreams that all answer after the same time, however many calls they have.
  */
 final class VirtualLoop implements LoadBalancer.Actions {
 
-    /** What a served call costs of the processor in ms, in three steps: together 600 calls a second. */
+    /** CPU time of a served call in ms, in three steps; together they allow about 600 calls a second. */
     static final double READ_MS = 0.15;
     static final double HANDLE_MS = 0.9;
     static final double ANSWER_MS = 0.6;
@@ -31,22 +31,22 @@
     private static final double REFUSE_MS = 0.2;
     private static final double CONNECT_MS = 0.1;
 
-    /** Something that the kernel holds from a time on, until a look finds it. */
-    private record Event(double at, long order, Runnable act) implements Comparable<Event> {
+    /** A socket event or timer that is pending from {@code at} on, until the loop handles it. */
+    private record Event(double at, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at == other.at ? Long.compare(order, other.order) : Double.compare(at, other.at);
+            return at == other.at ? Long.compare(sequence, other.sequence) : Double.compare(at, other.at);
         }
     }
 
-    private static final class Sent {
+    private static final class SentAttempt {
         private final long upstream;
-        private final double at;
-        private double heldUp;
+        private final double sentAt;
+        private double localDelay;
 
-        Sent(long upstream, double at) {
+        SentAttempt(long upstream, double sentAt) {
             this.upstream = upstream;
-            this.at = at;
+            this.sentAt = sentAt;
         }
     }
 
@@ -55,24 +55,24 @@
     int refused;
     private final double workMs;
     private final LoadBalancer balancer = new LatencyWeightedBalancer(this);
-    private final PriorityQueue<Event> sockets = new PriorityQueue<>();
-    private final PriorityQueue<Event> timers = new PriorityQueue<>();
-    private final Set<Long> open = new HashSet<>();
-    private final Map<Long, List<Sent>> attempts = new HashMap<>();
+    private final PriorityQueue<Event> socketEvents = new PriorityQueue<>();
+    private final PriorityQueue<Event> timerEvents = new PriorityQueue<>();
+    private final Set<Long> openRequests = new HashSet<>();
+    private final Map<Long, List<SentAttempt>> attempts = new HashMap<>();
     private final Map<Long, Integer> idleConnections = new HashMap<>();
-    private final RequestQueue<Long> arrivals;
+    private final RequestQueue<Long> requestQueue;
     private final double deadlineMs;
-    private long order;
-    private double spare;
-    /** How long what the present step is about lay in the kernel. */
+    private long nextSequence;
+    private double spareMs;
+    /** For how many ms the data of the current step may have waited unread. */
     private double lateness;
-    private double lookedAt = now;
+    private double lastPolledAt = now;
 
-    /** Upstreams that take so many ms for each call. */
+    /** Starts the module with upstreams that take {@code workMs} for each call. */
     VirtualLoop(Settings settings, int upstreams, double workMs, long seed) {
         this.workMs = workMs;
         deadlineMs = settings.classes().get(0).deadline();
-        arrivals = new RequestQueue<>(() -> now, () -> true, this::handle, this::refuseLate);
+        requestQueue = new RequestQueue<>(() -> now, () -> true, this::handle, this::refuseExpired);
         balancer.start(now, settings, seed);
         List<Upstream> list = new ArrayList<>();
         for (int i = 1; i <= upstreams; i++) {
@@ -81,101 +81,102 @@
         balancer.upstreamsChanged(now, Change.CACHED, list);
     }
 
-    /** A request of the first class will come at a time. */
-    void arrive(long id, double at) {
-        sockets.add(new Event(at, order++, () -> {
+    /** Schedules the arrival of a request of the first class. */
+    void scheduleArrival(long id, double at) {
+        socketEvents.add(new Event(at, nextSequence++, () -> {
             now += READ_MS;
-            arrivals.add(id);
+            requestQueue.add(id);
         }));
     }
 
-    /** The processor will be taken away at a time, while it is busy with what has come. */
-    void pause(double at, double forMs) {
-        sockets.add(new Event(at, order++, () -> now += forMs));
+    /** Schedules a time for which the process gets no CPU while it handles socket events. */
+    void schedulePause(double at, double forMs) {
+        socketEvents.add(new Event(at, nextSequence++, () -> now += forMs));
     }
 
     double pressure() {
         return balancer.stats().pressure();
     }
 
-    /** Goes on until a time. */
+    /** Runs the loop until a time. */
     void run(double until) {
         while (now < until) {
-            turn(until);
+            runIteration(until);
         }
     }
 
-    /** One turn of the loop: a look at the sockets, a slice of what waits, the timers that are due. */
-    private void turn(double until) {
-        double lookAt = now;
-        double next = Math.min(until, Math.min(first(sockets), first(timers)));
-        if (arrivals.size() == 0 && next > now) {
-            spare += next - now;
+    /** Runs one iteration: polls the sockets, handles a slice of the queue, and runs due timers. */
+    private void runIteration(double until) {
+        double pollStartedAt = now;
+        double next = Math.min(until, Math.min(nextAt(socketEvents), nextAt(timerEvents)));
+        if (requestQueue.size() == 0 && next > now) {
+            spareMs += next - now;
             now = next;
         }
-        double found = now;
-        for (Event event = due(sockets, found); event != null; event = due(sockets, found)) {
-            lateness = late(found > lookAt ? found : lookedAt);
-            event.act().run();
+        double pollEndedAt = now;
+        for (Event event = pollDue(socketEvents, pollEndedAt); event != null;
+                event = pollDue(socketEvents, pollEndedAt)) {
+            lateness = latenessSince(pollEndedAt > pollStartedAt ? pollEndedAt : lastPolledAt);
+            event.action().run();
         }
-        lookedAt = found;
-        if (arrivals.size() > 0) {
-            arrivals.handleSlice();
+        lastPolledAt = pollEndedAt;
+        if (requestQueue.size() > 0) {
+            requestQueue.handleSlice();
         }
-        for (Event event = due(timers, now); event != null; event = due(timers, now)) {
-            lateness = late(lookedAt);
-            event.act().run();
+        for (Event event = pollDue(timerEvents, now); event != null; event = pollDue(timerEvents, now)) {
+            lateness = latenessSince(lastPolledAt);
+            event.action().run();
         }
     }
 
-    private double late(double since) {
+    private double latenessSince(double since) {
         return now - since > LoopMonitor.LATE_THRESHOLD_MS ? now - since : 0;
     }
 
-    private static double first(PriorityQueue<Event> events) {
+    private static double nextAt(PriorityQueue<Event> events) {
         return events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().at();
     }
 
-    private static Event due(PriorityQueue<Event> events, double by) {
-        return first(events) <= by ? events.poll() : null;
+    private static Event pollDue(PriorityQueue<Event> events, double latest) {
+        return nextAt(events) <= latest ? events.poll() : null;
     }
 
     private void handle(long id) {
         now += HANDLE_MS;
-        lateness = late(lookedAt);
-        open.add(id);
+        lateness = latenessSince(lastPolledAt);
+        openRequests.add(id);
         attempts.put(id, new ArrayList<>());
         balancer.request(now, new Request(id, 0, 0, 0, now + deadlineMs, 0, false, false));
     }
 
-    private void refuseLate(long id) {
+    private void refuseExpired(long id) {
         now += REFUSE_MS;
         refused++;
     }
 
     @Override
     public void send(long requestId, long upstream, double timeout) {
-        List<Sent> sent = attempts.get(requestId);
+        List<SentAttempt> sent = attempts.get(requestId);
         int number = sent.size();
-        Sent attempt = new Sent(upstream, now);
+        SentAttempt attempt = new SentAttempt(upstream, now);
         sent.add(attempt);
         if (idleConnections.merge(upstream, -1, Integer::sum) >= 0) {
             answerLater(requestId, number, attempt);
             return;
         }
         idleConnections.put(upstream, 0);
-        sockets.add(new Event(now + CONNECT_MS, order++, () -> {
-            attempt.heldUp = lateness;
+        socketEvents.add(new Event(now + CONNECT_MS, nextSequence++, () -> {
+            attempt.localDelay = lateness;
             answerLater(requestId, number, attempt);
         }));
     }
 
-    private void answerLater(long requestId, int number, Sent attempt) {
-        sockets.add(new Event(now + workMs, order++, () -> {
+    private void answerLater(long requestId, int number, SentAttempt attempt) {
+        socketEvents.add(new Event(now + workMs, nextSequence++, () -> {
             now += ANSWER_MS;
             idleConnections.merge(attempt.upstream, 1, Integer::sum);
-            double elapsed = Math.max(0, now - attempt.at - attempt.heldUp - lateness);
-            served += open.remove(requestId) ? 1 : 0;
+            double elapsed = Math.max(0, now - attempt.sentAt - attempt.localDelay - lateness);
+            served += openRequests.remove(requestId) ? 1 : 0;
             balancer.attemptFinished(now, new Outcome(requestId, number, attempt.upstream, Result.OK, true,
                     elapsed, null));
         }));
@@ -183,18 +184,18 @@
 
     @Override
     public double localDelay(long requestId, int attempt) {
-        List<Sent> sent = attempts.get(requestId);
-        return sent == null || attempt >= sent.size() ? 0 : sent.get(attempt).heldUp + lateness;
+        List<SentAttempt> sent = attempts.get(requestId);
+        return sent == null || attempt >= sent.size() ? 0 : sent.get(attempt).localDelay + lateness;
     }
 
     @Override
     public double idleTime(double at) {
-        return spare;
+        return spareMs;
     }
 
     @Override
     public void refuse(long requestId, double retryAfter) {
-        refused += open.remove(requestId) ? 1 : 0;
+        refused += openRequests.remove(requestId) ? 1 : 0;
     }
 
     @Override
@@ -204,7 +205,7 @@
 
     @Override
     public void setTimer(long token, double at) {
-        timers.add(new Event(at, order++, () -> balancer.timer(now, token)));
+        timerEvents.add(new Event(at, nextSequence++, () -> balancer.timer(now, token)));
     }
 
     @Override
