--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -57,7 +57,7 @@
     /** How soon to check again if requests that wait for a descriptor can be sent on, in ms. */
     private static final long BLOCKED_RETRY_MS = 1;
     private static final String HEALTH_PATH = "/_health";
-    /** Pipelined requests per connection, including the current one. */
+    /** Maximum of pipelined requests that wait on a connection behind its current one. */
     private static final int MAX_PIPELINED = 16;
     /** The largest request body that is accepted, in bytes. */
     static final long MAX_BODY_BYTES = 32 << 20;
@@ -140,7 +140,7 @@
             public double idleSince() {
                 double oldest = idleConnections.isEmpty() ? Double.NaN
                         : idleConnections.iterator().next().idleSince;
-                // NaN compares false.
+                // Comparing with NaN yields false.
                 return node.now() >= oldest + MIN_IDLE_BEFORE_EVICTION_MS ? oldest : Double.NaN;
             }
 
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -821,7 +821,7 @@
             if (attempt == null) {
                 channel.close();
             } else if (!isComplete(response)) {
-                // An answer that only the close completes is not trusted: a crash would look the same.
+                // An answer completed only by an unannounced close is not trusted: a crash looks the same.
                 attempt.connectionLost();
             } else if (response.decoderResult().isSuccess() && !attempt.fullyWritten && attempt.upload != null
                     && response.status().code() != 200) {
--- a/src/test/java/cranedeal/node/CallerGoneTest.java
+++ b/src/test/java/cranedeal/node/CallerGoneTest.java
@@ -210,7 +210,7 @@
     @ValueSource(strings = {"CLOSE", "RESET", "END_OF_SENDING"})
     void aCallerWithoutAFreeDescriptorIsClosedUnread(LeaveMode mode) throws Exception {
         try (NodeFixture fixture = new NodeFixture()) {
-            // Callers may use ten descriptors; the health check in dispatches() has just used one.
+            // Callers may use ten descriptors, one of which the health check in dispatches() holds.
             fixture.sockets = 64 + 15;
             fixture.start();
             serve(fixture);
--- a/src/test/java/cranedeal/node/MessageFormsTest.java
+++ b/src/test/java/cranedeal/node/MessageFormsTest.java
@@ -133,7 +133,7 @@
                         case 1 -> NodeFixture.spend(id, "body");
                         case 2 -> "POST /credit-spend HTTP/1.1\r\nhost: app.svc\r\ntransfer-encoding: chunked"
                                 + SPEND.replace("X-Txn: 1", "x-txn: " + id) + "\r\n4\r\nbody\r\n0\r\n\r\n";
-                        default -> NodeFixture.order(id);
+                        default -> NodeFixture.tileOrder(id);
                     });
                     expected.add(id + (i % 4 == 1 || i % 4 == 2 ? "body" : ""));
                 }
--- a/src/test/java/cranedeal/node/NodeFixture.java
+++ b/src/test/java/cranedeal/node/NodeFixture.java
@@ -133,7 +133,7 @@
     }
 
     /** Returns a request of the class whose repeats upstreams deduplicate. */
-    static String order(String id) {
+    static String tileOrder(String id) {
         return "POST /tile-order HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
                 + "\r\nX-Lane: tile-order\r\nX-Remaining: 10\r\nIdempotency-Key: k" + id
                 + "\r\nContent-Length: 0\r\n\r\n";
--- a/src/test/java/cranedeal/node/SlowConnectTest.java
+++ b/src/test/java/cranedeal/node/SlowConnectTest.java
@@ -44,7 +44,7 @@
                 }
             };
             HttpPeer caller = fixture.caller();
-            caller.write(NodeFixture.order("1"));
+            caller.write(NodeFixture.tileOrder("1"));
             HttpPeer first = fixture.upstreams.get(0).accept();
             first.read();
             first.reset();
@@ -67,7 +67,7 @@
             fixture.balancer.onOpenOutcome = (to, outcome) ->
                     to.send(outcome.requestId(), fixture.balancer.upstreams.get(1).id(), 0);
             HttpPeer caller = fixture.caller();
-            caller.write(NodeFixture.order("1"));
+            caller.write(NodeFixture.tileOrder("1"));
             HttpPeer first = fixture.upstreams.get(0).accept();
             first.read();
             first.write("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
