--- a/src/test/java/cranedeal/node/NodeFixture.java
+++ b/src/test/java/cranedeal/node/NodeFixture.java
@@ -102,8 +102,7 @@
                 """.formatted(adminEnabled ? "\"admin_addr\":\"127.0.0.1:0\"," : "",
                         stateDir == null ? "" : "\"state_dir\":\"" + stateDir + "\",", discovery.address(),
                         sockets, listJson(41, true, entries), pushLists ? "automatic" : "subscribe",
-                        dedupWindowMs,
-                        connectTimeout, drainGrace);
+                        dedupWindowMs, connectTimeout, drainGrace);
     }
 
     /** Opens a caller's connection to the node. */
