--- a/src/test/java/cranedeal/DepartedClientTest.java
+++ b/src/test/java/cranedeal/DepartedClientTest.java
@@ -8,56 +8,59 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A client that has gone: no attempt begins for it any more, on any path, and it gets no answer. */
+/**
+ * After a client has disconnected, its request must get no further attempt and no answer, whether it was
+ * queued, waiting for its key, being retried or hedged.
+ */
 class DepartedClientTest {
 
-    private static final long GONE = 1;
+    private static final long GONE_ID = 1;
 
     private static void checkUnsent(Bench bench, int sends) {
         bench.advance(5 * Sites.DEADLINE);
-        assertEquals(sends, bench.sends.stream().filter(sent -> sent.request() == GONE).count());
+        assertEquals(sends, bench.sends.stream().filter(sent -> sent.request() == GONE_ID).count());
         assertTrue(bench.refused.isEmpty() && bench.failed.isEmpty(), "answered");
     }
 
     @Test
-    void whatIsHeldForAServerIsNotSentWhenOneComes() {
+    void aRequestQueuedForAServerIsNotSentWhenOneAppears() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED);
-        bench.request(GONE, 0);
+        bench.request(GONE_ID, 0);
         bench.advance(10);
-        bench.clientGone(GONE);
+        bench.clientGone(GONE_ID);
         bench.list(Change.FULL, Sites.server(1));
         checkUnsent(bench, 0);
     }
 
     @Test
-    void whatIsHeldForRoomIsNotSentWhenThereIsSome() {
+    void aRequestQueuedForRoomIsNotSentWhenThereIsSome() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 2; bench.sends.size() == i - 2; i++) {
             bench.request(i, 0);
         }
-        List<Bench.Sent> out = List.copyOf(bench.sends);
-        bench.request(GONE, 0);
+        List<Bench.Sent> inFlight = List.copyOf(bench.sends);
+        bench.request(GONE_ID, 0);
         bench.advance(10);
-        assertTrue(bench.isOpen(GONE) && bench.sends.size() == out.size(), "held for room");
-        bench.clientGone(GONE);
-        out.forEach(sent -> bench.finish(sent, Result.OK));
+        assertTrue(bench.isOpen(GONE_ID) && bench.sends.size() == inFlight.size(), "queued for room");
+        bench.clientGone(GONE_ID);
+        inFlight.forEach(sent -> bench.finish(sent, Result.OK));
         bench.advance(30);
-        Bench.Sent held = bench.lastSend();
-        assertEquals(out.size() + 1, bench.sends.size(), "the other that was held");
-        bench.finish(held, Result.OK);
+        Bench.Sent queued = bench.lastSend();
+        assertEquals(inFlight.size() + 1, bench.sends.size(), "the other queued request");
+        bench.finish(queued, Result.OK);
         checkUnsent(bench, 0);
     }
 
     @Test
-    void whatWaitsInLineIsPassedOver() {
+    void aRequestInAKeyQueueIsSkipped() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.keyed(10, 0, 7);
-        bench.keyed(GONE, 0, 7);
+        bench.keyed(GONE_ID, 0, 7);
         bench.keyed(11, 0, 7);
-        bench.clientGone(GONE);
+        bench.clientGone(GONE_ID);
         bench.finish(bench.lastSend(), Result.OK);
         assertEquals(11, bench.lastSend().request());
         bench.finish(bench.lastSend(), Result.OK);
@@ -65,13 +68,13 @@
     }
 
     @Test
-    void whatRestsAtTheHeadOfItsLineIsNotSentAgain() {
+    void theFirstRequestOfAKeyQueueIsNotSentAgain() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(GONE, 0, 7);
+        bench.keyed(GONE_ID, 0, 7);
         bench.keyed(10, 0, 7);
         Bench.Sent first = bench.lastSend();
-        bench.clientGone(GONE);
+        bench.clientGone(GONE_ID);
         bench.advance(10);
         bench.finishUnclosed(first, Result.RESET);
         bench.advance(200);
@@ -81,13 +84,13 @@
     }
 
     @Test
-    void noSecondCopyFollowsOfACallThatIsStillOut() {
+    void aCallInFlightIsNotHedged() {
         Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.request(GONE, 0);
+        bench.request(GONE_ID, 0);
         Bench.Sent first = bench.lastSend();
         bench.advance(500);
-        bench.clientGone(GONE);
+        bench.clientGone(GONE_ID);
         assertEquals(List.of(first), bench.cancelled);
         bench.advance(1_500);
         assertEquals(1, bench.sends.size());
@@ -100,9 +103,9 @@
         for (Result result : Result.values()) {
             Bench bench = new Bench(Sites.plain().build(), 1);
             bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-            bench.request(GONE, 0);
+            bench.request(GONE_ID, 0);
             bench.advance(10);
-            bench.clientGone(GONE);
+            bench.clientGone(GONE_ID);
             bench.advance(10);
             bench.finishUnclosed(bench.lastSend(), result);
             checkUnsent(bench, 1);
@@ -110,15 +113,15 @@
     }
 
     @Test
-    void theBodyOfWhatHasGoneBeginsNothing() {
+    void theEndOfTheBodyStartsNothing() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.begin(GONE, 0);
+        bench.startRequest(GONE_ID, 0);
         Bench.Sent first = bench.lastSend();
-        bench.clientGone(GONE);
-        bench.bodyArrived(GONE, bench.now + Sites.DEADLINE);
+        bench.clientGone(GONE_ID);
+        bench.bodyArrived(GONE_ID, bench.now + Sites.DEADLINE);
         bench.finishUnclosed(first, Result.FULL);
-        bench.bodyArrived(GONE, bench.now + Sites.DEADLINE);
+        bench.bodyArrived(GONE_ID, bench.now + Sites.DEADLINE);
         checkUnsent(bench, 1);
     }
 }
--- a/src/test/java/cranedeal/DrawDistributionTest.java
+++ b/src/test/java/cranedeal/DrawDistributionTest.java
@@ -15,20 +15,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Draws by bins against the draw that they took the place of, which went through the whole list: both are in
- * proportion to the same weights, by a chi-square test over all servers.
+ * Checks with a chi-square test over all servers that draws from bins are in proportion to the weights, which
+ * the test computes independently from the whole list.
  */
 class DrawDistributionTest {
 
     private static final int DRAWS = 400_000;
-    /** Fixed seeds: a draw that is in proportion falls below this in one of 1,000 seeds. */
-    private static final double LEAST_P = 1e-3;
+    /** With fixed seeds; a correct draw gives a lower p-value for one seed in 1,000. */
+    private static final double MIN_P = 1e-3;
     private static final double START = 100_000;
 
     private final Settings settings = Sites.plain().crossZone(0.001).connection(0.01).retriesMarked(true)
             .build();
-    private final ClassRecord[] classes = new ClassRecord[2];
-    private final Server.Kind[] kinds = {new Server.Kind(0.02), new Server.Kind(0.02)};
+    private final ClassStats[] classes = new ClassStats[2];
+    private final Server.MachineTypeStats[] machineTypes =
+            {new Server.MachineTypeStats(0.02), new Server.MachineTypeStats(0.02)};
     private final CostModel costs = new CostModel();
     private final DrawCounts counts = new DrawCounts();
     private final List<Server> servers = new ArrayList<>();
@@ -38,15 +39,15 @@
 
     private void fill(int count) {
         for (int i = 0; i < classes.length; i++) {
-            classes[i] = new ClassRecord(i, settings.classes().get(i), 200, 3, 0.02);
+            classes[i] = new ClassStats(i, settings.classes().get(i), 200, 3, 0.02);
             classes[i].leader = classes[0];
         }
-        costs.retune(settings, classes);
-        ready = new ReadyServers(settings, classes, kinds, costs, counts, now);
+        costs.configure(settings, classes);
+        ready = new ReadyServers(settings, classes, machineTypes, costs, counts, now);
         for (int i = 0; i < count; i++) {
             double startedAt = i % 9 == 0 ? now - 2_000 - i : 0;
-            Server server = new Server(Sites.server(i + 1).zone(i % 3 == 0 ? 1 : 0).kind(i % 2).cell(i / 8)
-                    .startedAt(startedAt).listed(), i, startedAt, kinds[i % 2], 2, now,
+            Server server = new Server(Sites.server(i + 1).zone(i % 3 == 0 ? 1 : 0).machineType(i % 2)
+                    .cell(i / 8).startedAt(startedAt).listed(), i, startedAt, machineTypes[i % 2], 2, now,
                     random.nextDouble());
             servers.add(server);
             ready.add(server, now);
@@ -55,28 +56,28 @@
         assertEquals(count, ready.size());
     }
 
-    /** An outcome at a server: some fail often, some are slow. */
+    /** Reports an outcome at a server; some servers fail often, some are slow. */
     private void outcome(Server server, int serviceClass) {
         long id = server.listed.id();
         boolean served = random.nextInt(10) >= (id % 5 == 0 ? 6 : 0);
-        server.fade(now, CostModel.EVIDENCE_FADE, CostModel.FADE_STEP);
+        server.decay(now, CostModel.EVIDENCE_DECAY, CostModel.DECAY_STEP);
         server.count(serviceClass, served);
         if (served) {
             double relative = id % 7 == 0 ? 4 : 0.8;
             classes[serviceClass].latency.add(50 * relative);
             server.latencySum += relative;
             server.latencyCount += 1;
-            server.kind.latency.add(relative);
+            server.machineType.latency.add(relative);
         }
-        ready.touch(server, now);
+        ready.update(server, now);
     }
 
-    /** Requests that come evenly and go to servers as they are drawn. */
-    private void play(int requests, double gapMs) {
+    /** Sends evenly spaced requests to the servers that are drawn. */
+    private void runRequests(int requests, double gapMs) {
         for (int i = 0; i < requests; i++) {
             now += gapMs;
             ready.advance(now);
-            ready.placements().forEach(placement -> ready.earn(placement, 0.02, now));
+            ready.pools().forEach(pool -> ready.earn(pool, 0.02, now));
             Server drawn = ready.draw(classes[i % 2], ReadyServers.ANY_ZONE, true, server -> true, random,
                     now);
             ready.sent(drawn, now);
@@ -84,15 +85,16 @@
         }
     }
 
-    /** The weight of a server as the earlier draw had it. */
-    private double weight(Server server, ClassRecord c) {
+    /** Computes the weight of a server from its definition. */
+    private double weight(Server server, ClassStats c) {
         double tries = servers.stream().mapToDouble(s -> {
-            s.fade(now, CostModel.EVIDENCE_FADE, 0);
-            return s.tries;
+            s.decay(now, CostModel.EVIDENCE_DECAY, 0);
+            return s.attempts;
         }).sum();
         double evidence = tries / servers.size();
-        double success = server.success(c.index, 2, 1);
-        double l = server.base(2) * c.latency.value() + c.type.aim() * (1 / Math.max(0.05, success) - 1);
+        double success = server.successRate(c.index, 2, 1);
+        double l = server.relativeLatency(2) * c.latency.value()
+                + c.type.aim() * (1 / Math.max(0.05, success) - 1);
         if (server.listed.zone() != settings.zone()) {
             l *= 1 + 150 * Math.sqrt(settings.prices().crossZone());
         }
@@ -104,19 +106,19 @@
         return warmth / l;
     }
 
-    private void checkDraws(ClassRecord c, int zone, boolean open, Predicate<Server> fits, String when) {
+    private void checkDraws(ClassStats c, int zone, boolean open, Predicate<Server> fits, String when) {
         Map<Server, Long> drawn = new HashMap<>();
         for (int i = 0; i < DRAWS; i++) {
             drawn.merge(ready.draw(c, zone, open, fits, random, now), 1L, Long::sum);
         }
-        List<Server> possible = servers.stream().filter(s -> fits.test(s) && !(open && s.closed)
+        List<Server> possible = servers.stream().filter(s -> fits.test(s) && !(open && s.outOfBudget)
                 && (zone == ReadyServers.ANY_ZONE || s.listed.zone() == zone)).toList();
-        assertTrue(possible.containsAll(drawn.keySet()), when + ": one was drawn that may not be");
+        assertTrue(possible.containsAll(drawn.keySet()), when + ": a server was drawn that is excluded");
         double[] expected = possible.stream().mapToDouble(server -> weight(server, c)).toArray();
         double all = Arrays.stream(expected).sum();
         Arrays.setAll(expected, i -> expected[i] / all * DRAWS);
         long[] observed = possible.stream().mapToLong(s -> drawn.getOrDefault(s, 0L)).toArray();
-        // Rare ones together, as the test wants five and more of each.
+        // Pools rare servers, as the test needs an expected count of at least five in each class.
         List<double[]> pooled = new ArrayList<>();
         double[] rare = new double[2];
         for (int i = 0; i < expected.length; i++) {
@@ -130,43 +132,44 @@
         if (rare[0] > 0) {
             pooled.add(rare);
         }
-        double p = ChiSquareTest.withDefaults().test(pooled.stream().mapToDouble(one -> one[0]).toArray(),
-                pooled.stream().mapToLong(one -> (long) one[1]).toArray()).getPValue();
-        assertTrue(p > LEAST_P, when + ": p " + p + " over " + pooled.size() + " servers");
+        double p = ChiSquareTest.withDefaults().test(pooled.stream().mapToDouble(pair -> pair[0]).toArray(),
+                pooled.stream().mapToLong(pair -> (long) pair[1]).toArray()).getPValue();
+        assertTrue(p > MIN_P, when + ": p " + p + " over " + pooled.size() + " servers");
     }
 
     @Test
-    void drawsAreInProportionToTheWeightsThatTheWholeListGave() {
+    void drawsAreInProportionToTheWeights() {
         fill(400);
         checkDraws(classes[0], ReadyServers.ANY_ZONE, false, server -> true, "before any request");
-        play(3_000, 4);
+        runRequests(3_000, 4);
         checkDraws(classes[0], ReadyServers.ANY_ZONE, false, server -> true, "after many requests");
-        checkDraws(classes[1], ReadyServers.ANY_ZONE, true, server -> true, "among those that are open");
+        checkDraws(classes[1], ReadyServers.ANY_ZONE, true, server -> true,
+                "excluding cold servers without budget");
         checkDraws(classes[1], 1, false, server -> true, "in one zone");
         checkDraws(classes[0], ReadyServers.ANY_ZONE, false, server -> server.listed.id() % 10 != 0,
-                "with some that don't fit");
+                "with some that do not meet the condition");
     }
 
     @Test
     void drawsStayInProportionAsEvidenceFades() {
         fill(400);
-        play(3_000, 4);
+        runRequests(3_000, 4);
         for (int quiet = 1; quiet <= 3; quiet++) {
             now += 1_500;
             ready.advance(now);
-            checkDraws(classes[0], ReadyServers.ANY_ZONE, false, server -> true, quiet + " quiet times");
+            checkDraws(classes[0], ReadyServers.ANY_ZONE, false, server -> true, quiet + " pauses");
         }
     }
 
     @Test
     void drawsFollowMeansThatMoveAtOnce() {
         fill(400);
-        play(1_000, 4);
+        runRequests(1_000, 4);
         for (int i = 0; i < 30; i++) {
             classes[0].latency.add(500);
         }
         for (int i = 0; i < 20; i++) {
-            play(1, 1);
+            runRequests(1, 1);
         }
         checkDraws(classes[0], ReadyServers.ANY_ZONE, false, server -> true, "after a class became slow");
     }
--- a/src/test/java/cranedeal/EmbeddingExampleTest.java
+++ b/src/test/java/cranedeal/EmbeddingExampleTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The embedding example of the README, compiled and run; the page's text must be this file's. */
+/** Compiles and runs the embedding example of the README, whose text must match this file. */
 class EmbeddingExampleTest {
 
     // example begins
--- a/src/test/java/cranedeal/KeyedAttemptTimeTest.java
+++ b/src/test/java/cranedeal/KeyedAttemptTimeTest.java
@@ -9,20 +9,23 @@
 import cranedeal.LoadBalancer.Result;
 import org.junit.jupiter.api.Test;
 
-/** How long an attempt of a keyed request may take where a late answer is worth nothing, and what follows. */
+/**
+ * Checks the timeout of an attempt of a keyed request whose late answers are worthless, with and without a
+ * retry left, and what follows the timeout.
+ */
 class KeyedAttemptTimeTest {
 
-    /** More than the whole deadline: the key is held all the time. */
+    /** Longer than the whole deadline, so duplicates are dropped all the time. */
     private static final double WINDOW_MS = 5_000;
 
     private static Bench bench() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.DEDUPLICATED).group(DedupScope.CELL)
-                .memory(WINDOW_MS).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.DEDUPLICATED)
+                .dedupScope(DedupScope.CELL).dedupWindow(WINDOW_MS).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         return bench;
     }
 
-    /** Requests whose attempts fail use up what may be sent beyond first attempts. */
+    /** Uses up the retry budget with requests whose attempts fail. */
     private static void spendRetries(Bench bench) {
         for (int id = 1; id <= 3; id++) {
             bench.request(id, 0);
--- a/src/test/java/cranedeal/LayersTest.java
+++ b/src/test/java/cranedeal/LayersTest.java
@@ -9,14 +9,14 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Which package may use which. */
+/** Checks the allowed dependencies between packages. */
 @AnalyzeClasses(packages = "cranedeal", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayersTest {
 
     private static final String FLEET = "cranedeal.fleet.";
 
     @ArchTest
-    static final ArchRule ARROWS = layeredArchitecture()
+    static final ArchRule LAYERS = layeredArchitecture()
             .consideringOnlyDependenciesInAnyPackage("cranedeal..")
             .withOptionalLayers(true)
             .layer("decisions").definedBy("cranedeal")
@@ -43,11 +43,13 @@
             .whereLayer("decisions").mayOnlyBeAccessedByLayers("wire", "node", "lab");
 
     @ArchTest
-    static final ArchRule ONE_SEAM = noClasses().that().resideInAnyPackage("cranedeal", "cranedeal.wire",
-                    "cranedeal.node..").and().haveNameNotMatching("cranedeal\\.node\\.Fleet.*")
+    static final ArchRule ONLY_FLEET_CLASSES_OF_THE_NODE_USE_THE_FLEET = noClasses().that()
+            .resideInAnyPackage("cranedeal", "cranedeal.wire", "cranedeal.node..")
+            .and().haveNameNotMatching("cranedeal\\.node\\.Fleet.*")
             .should().dependOnClassesThat(resideInAPackage("cranedeal.fleet.."));
 
     @ArchTest
-    static final ArchRule THE_WIRE_KNOWS_NO_FLEET = noClasses().that().resideInAPackage("cranedeal.wire")
+    static final ArchRule THE_WIRE_DOES_NOT_USE_THE_FLEET = noClasses().that()
+            .resideInAPackage("cranedeal.wire")
             .should().dependOnClassesThat(resideInAPackage("cranedeal.fleet.."));
 }
--- a/src/test/java/cranedeal/ModuleTest.java
+++ b/src/test/java/cranedeal/ModuleTest.java
@@ -19,14 +19,14 @@
 import cranedeal.LoadBalancer.Settings;
 import cranedeal.LoadBalancer.State;
 
-/** Hand-made events in virtual time. */
+/** Tests the decision code with scripted events in virtual time. */
 class ModuleTest {
 
     private static final double NOW = 100_000;
 
     @Test
     void picksAreInProportionToOneOverL() {
-        // Two servers, one answering in half the time of the other: it is drawn twice as often.
+        // One of two servers answers in half the time of the other, so it is drawn twice as often.
         Bench bench = new Bench(Sites.plain().build(), 7);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 2_000; i++) {
@@ -36,7 +36,7 @@
         }
         Map<Long, Integer> drawn = new HashMap<>();
         bench.sends.forEach(s -> drawn.merge(s.upstream(), 1, Integer::sum));
-        // Both bases are pooled with two samples of their common mean, so the ratio lies a little under 2.
+        // Both latencies are pooled with two samples of their common mean, so the ratio is slightly below 2.
         double ratio = drawn.get(1L) / (double) drawn.get(2L);
         assertTrue(ratio > 1.6 && ratio < 2.15, "ratio " + ratio);
     }
@@ -60,7 +60,7 @@
 
     @Test
     void aHungServerLosesItsShareBeforeItsCallsTimeOut() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 5);
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).build(), 5);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         int hung = 0;
         for (int i = 0; i < 600; i++) {
@@ -78,7 +78,7 @@
 
     @Test
     void oneOverdueCallIsEnoughToAvoidItsServer() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).build(), 5);
+        Bench bench = new Bench(Sites.plain().tier(1).idempotency(Idempotency.AT_MOST_ONCE).build(), 5);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(0, 0);
         long hung = bench.lastSend().upstream();
@@ -94,7 +94,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFails() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.TIMEOUT);
@@ -104,8 +104,8 @@
     }
 
     @Test
-    void anUnsafeRequestThatProvablyNeverRanIsSentAgain() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+    void anUnsafeRequestThatNeverRanIsSentAgain() {
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.FULL);
@@ -115,8 +115,8 @@
 
     @Test
     void aKeyedRequestStaysInItsGroupAndWindow() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Idempotency.DEDUPLICATED).group(DedupScope.CELL)
-                .memory(500).build(), 1);
+        Bench bench = new Bench(Sites.plain().tier(1).idempotency(Idempotency.DEDUPLICATED)
+                .dedupScope(DedupScope.CELL).dedupWindow(500).build(), 1);
         bench.list(Change.CACHED, Sites.server(1).cell(0), Sites.server(2).cell(0), Sites.server(3).cell(1));
         for (int i = 0; i < 50; i++) {
             bench.request(i, 0);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aSecondCopyFollowsASlowCallAndTheLoserIsCancelled() {
+    void aSlowCallIsHedgedAndTheLoserIsCancelled() {
         Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void idleConnectionsAreGivenBackOnlyToTheServerThatTurnsConnectionsAway() {
+    void idleConnectionsAreClosedOnlyToTheServerThatRejectsConnections() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
@@ -248,7 +248,8 @@
                 bench.finish(bench.lastSend(), Result.OK);
             }
         }
-        // A warm server takes 240 of the 2400 calls; a cold one can do 0.2 of that and falls at 3 times it.
+        // A warm server gets 240 of the 2400 calls; a cold one has 0.2 of its capacity and is overloaded at 3
+        // times that.
         assertTrue(toCold > 0 && toCold < 0.2 * 3 * 240, "sent to the cold server: " + toCold);
     }
 
@@ -264,7 +265,7 @@
     }
 
     @Test
-    void answersInNoTimeAtAllDoNotUpsetTheDraw() {
+    void answersWithoutAnyLatencyDoNotBreakTheDraw() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 3_000; i++) {
@@ -275,7 +276,7 @@
     }
 
     @Test
-    void aColdServersEarningsAndItsRampBothHoldItBack() {
+    void aColdServerIsLimitedByItsBudgetAndItsRamp() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
         Sites.Server[] list = new Sites.Server[10];
         for (int i = 0; i < list.length; i++) {
@@ -289,8 +290,8 @@
             toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
             bench.finishAfter(bench.lastSend(), Result.OK, 100);
         }
-        // Its ramp alone would give it 0.2 of 9.2 shares (217 calls), its earnings alone about 160; it waits
-        // for a whole call to be earned and then for the draw: about 100.
+        // Its ramp alone would give it 0.2 of 9.2 shares (217 calls), its send budget alone about 160. It has
+        // to wait for a whole call in its budget and then for the draw: about 100.
         assertTrue(toCold > 70 && toCold < 130, "sent to the cold server: " + toCold);
     }
 
@@ -303,7 +304,7 @@
         Bench.Sent done = null;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
-            // One that nothing was sent for waits until the cold server can take it.
+            // A request without an attempt waits until the cold server can take it.
             while (bench.isOpen(i) && bench.lastSend() != done) {
                 done = bench.lastSend();
                 boolean cold = done.upstream() == 1;
@@ -311,20 +312,21 @@
                 bench.finish(done, cold ? Result.OK : Result.ERROR);
             }
         }
-        // 1100 calls over 3.2 warm servers' worth; it can do 0.2 of one share and falls at 3 times that.
+        // 1100 calls for the capacity of 3.2 warm servers; the cold one has 0.2 of one and is overloaded at 3
+        // times that.
         assertTrue(toCold < 0.2 * 3 * 1_100 / 3.2, "sent to the cold server: " + toCold);
     }
 
     @Test
     void aColdServerIsNotStarvedWhileWorkIsRefused() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Idempotency.AT_MOST_ONCE)
+        Bench bench = new Bench(Sites.plain().lateWorth(0).idempotency(Idempotency.AT_MOST_ONCE)
                 .retriesMarked(true).build(), 4);
         bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2), Sites.server(3));
         int toCold = 0;
         Bench.Sent done = null;
         for (int i = 0; i < 400; i++) {
             bench.request(i, 0);
-            // The warm ones answer nothing more.
+            // The warm servers no longer answer.
             if (bench.lastSend() != done && bench.lastSend().upstream() == 1) {
                 done = bench.lastSend();
                 toCold++;
@@ -333,7 +335,8 @@
             bench.advance(5);
         }
         assertTrue(bench.refused.size() > 200, bench.refused.size() + " refused");
-        // At 0.2 to 0.36 of its capacity: 0.9 of that, of the requests that come for two warm ones.
+        // It has 0.2 to 0.36 of its capacity and gets 0.9 of that share of the requests, which come for two
+        // warm servers.
         assertTrue(toCold > 25 && toCold < 60, "sent to the cold server: " + toCold);
     }
 
@@ -352,7 +355,7 @@
     }
 
     @Test
-    void aRestartClearsTheRecord() {
+    void aRestartClearsTheObservations() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int toFirst = 0;
@@ -372,7 +375,7 @@
     }
 
     @Test
-    void aStrayTimerSendsNoSecondCopyWhereTwoAtOnceAreForbidden() {
+    void aStrayTimerSendsNoHedgedRequestWhereTheyAreForbidden() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
@@ -381,7 +384,7 @@
     }
 
     @Test
-    void anOutcomeThatCrossesTheClientsLeavingSendsNothing() {
+    void anOutcomeAfterTheClientDisconnectedSendsNothing() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
@@ -404,7 +407,7 @@
                 bench.advance(10);
                 if (bench.sends.size() > before) {
                     sent[i % 2]++;
-                    // A third of the calls take most of their aim.
+                    // One call in three takes most of its aim.
                     bench.finishAfter(bench.lastSend(), Result.OK, i % 3 == 0 ? 700 : 100);
                 }
             }
@@ -417,7 +420,7 @@
     }
 
     @Test
-    void refusingEndsSoonAfterItsCauseEvenIfFewCallsAreLeftToTell() {
+    void refusingEndsSoonAfterItsCauseEvenIfFewCallsAreLeft() {
         Bench bench = new Bench(Sites.plain().lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 200; i++) {
@@ -436,7 +439,7 @@
                 bench.finishAfter(bench.lastSend(), Result.OK, 50);
             }
             if (i == 600) {
-                // Eight seconds on.
+                // Eight seconds later.
                 refusedInTrouble = bench.refused.size();
             }
         }
@@ -450,7 +453,7 @@
         for (int i = 0; i < 400; i++) {
             bench.request(i, 0);
             bench.advance(10);
-            // Every other call is an instant failure, of one kind or another; the rest is served well.
+            // Every other call fails at once with an error or a reset; the rest is served in time.
             Result result = i % 2 == 0 ? Result.OK : i % 4 == 1 ? Result.ERROR : Result.RESET;
             while (bench.isOpen(i)) {
                 bench.finish(bench.lastSend(), result);
@@ -461,14 +464,14 @@
     }
 
     @Test
-    void whatIsLateWhileLaterOnesAreServedWellIsNoSignOfOverload() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    void lateCallsAreNoSignOfOverloadWhileLaterOnesAreServedInTime() {
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
         List<Bench.Sent> silent = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             bench.request(i, 0);
             bench.advance(50);
-            // Every third connection falls silent; the others serve soon.
+            // Every third call gets no answer; the others are served soon.
             if (bench.isOpen(i) && bench.lastSend().request() == i && i % 3 != 0) {
                 bench.finish(bench.lastSend(), Result.OK);
             } else if (bench.isOpen(i) && bench.lastSend().request() == i) {
@@ -482,8 +485,8 @@
     }
 
     @Test
-    void pressureGoesByItselfWhereThinTrafficBringsNoSigns() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    void pressureDecaysWhereLowTrafficBringsNoSigns() {
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 100; i++) {
             bench.request(i, 0);
@@ -505,7 +508,7 @@
     }
 
     @Test
-    void aServerIsSentNoMoreThanItServesInGoodTime() {
+    void aServerIsSentNoMoreThanItServesInTime() {
         Bench bench = new Bench(Sites.plain().lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 0; i < 300; i++) {
@@ -513,14 +516,14 @@
             bench.advance(50);
             bench.finish(bench.lastSend(), Result.OK);
         }
-        // It serves 20 a second: 7 at once are served within the part of the aim that is meant for it.
+        // It serves 20 per second, so 7 at once are served within the allowed share of the aim.
         int before = bench.sends.size();
         for (int i = 300; i < 400; i++) {
             bench.request(i, 0);
         }
         int sent = bench.sends.size() - before;
         assertTrue(sent >= 5 && sent <= 9, sent + " sent at once");
-        // Whoever waits takes the place of one that is served, and is answered in good time if none is.
+        // A queued request takes the place of a served one, or is answered in time if there is none.
         bench.advance(50);
         bench.finish(bench.lastSend(), Result.OK);
         bench.advance(50);
@@ -531,7 +534,7 @@
 
     @Test
     void aWaitForRoomIsOneSignOfOverloadHoweverLong() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().lateWorth(0).idempotency(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 0; i < 4; i++) {
             bench.request(i, 0);
@@ -541,7 +544,7 @@
         List.copyOf(bench.sends).forEach(sent -> bench.finish(sent, Result.OK));
         bench.advance(20);
         assertEquals(3, bench.lastSend().request());
-        // When to return tells the pressure: one sign stands for a quarter of a second at the most.
+        // The retry-after reveals the pressure: one sign stands for a quarter of a second at most.
         bench.request(4, 0, bench.now, 0);
         assertEquals(List.of(4L), bench.refused);
         assertTrue(bench.retryAfter < 150, "after " + bench.retryAfter);
@@ -549,7 +552,7 @@
 
     @Test
     void requestsWaitForAFullServerRatherThanGoToAFailingOne() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().lateWorth(0).idempotency(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int failing = 0;
         for (int i = 0; i < 600; i++) {
@@ -574,26 +577,26 @@
         Sites.Server[] idle = new Sites.Server[25];
         Arrays.setAll(idle, i -> Sites.server(i + 1));
         bench.list(Change.CACHED, idle);
-        // As at a start: the first answers take their time, all others none to speak of.
+        // As after a start: the first answers are slow, all others take almost no time.
         int known = 1_000;
         for (int i = 0; i < known; i++) {
             bench.request(i, 0);
             bench.advance(1);
             bench.finishAfter(bench.lastSend(), Result.OK, i < 500 ? 200 : 1);
         }
-        // All wait for as long as a collection of garbage takes, far less than any aim.
+        // All wait for the time of a garbage collection, far less than any aim.
         for (int i = known; i < known + 10; i++) {
             bench.request(i, 0);
         }
-        List<Bench.Sent> out = List.copyOf(bench.sends.subList(known, known + 10));
+        List<Bench.Sent> inFlight = List.copyOf(bench.sends.subList(known, known + 10));
         bench.advance(20);
-        out.forEach(sent -> bench.finish(sent, sent.timeout() <= 20 ? Result.TIMEOUT : Result.OK));
+        inFlight.forEach(sent -> bench.finish(sent, sent.timeout() <= 20 ? Result.TIMEOUT : Result.OK));
         assertEquals(List.of(), bench.refused);
         assertEquals(known + 10, bench.sends.size());
     }
 
     @Test
-    void noSecondCopyIsSentWhileWorkIsRefused() {
+    void noHedgedRequestIsSentWhileWorkIsRefused() {
         Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 60; i++) {
@@ -603,7 +606,7 @@
                 bench.finish(bench.lastSend(), Result.FULL);
             }
         }
-        // Otherwise a copy would follow after three times the first guess, 600 ms.
+        // Otherwise a hedged request would follow after three times the initial estimate, 600 ms.
         int sends = bench.sends.size();
         for (int i = 60; bench.sends.size() == sends; i++) {
             bench.request(i, 0);
@@ -613,15 +616,15 @@
     }
 
     @Test
-    void overloadIsFeltWhileCallsAreStillOut() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    void overloadIsDetectedWhileCallsAreInFlight() {
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int i = 0;
         for (; i < 40; i++) {
             bench.request(i, 0);
             bench.advance(20);
         }
-        // No call has ended, but the oldest are past half their aim.
+        // No call has ended, but the oldest have exceeded half of their aim.
         int refused = bench.refused.size();
         for (; i < 60; i++) {
             bench.request(i, 0);
@@ -631,7 +634,7 @@
     }
 
     @Test
-    void aDearCrossingIsRareAndAPreferredPartTakesMostCalls() {
+    void expensiveCrossZoneCallsAreRare() {
         Bench bench = new Bench(Sites.plain().tier(1).crossZone(0.03).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1));
         for (int i = 0; i < 1_000; i++) {
@@ -639,11 +642,11 @@
             bench.finishAfter(bench.lastSend(), Result.OK, 100);
         }
         long crossed = bench.sends.stream().filter(s -> s.upstream() == 2).count();
-        assertTrue(crossed > 0 && crossed < 100, crossed + " crossed");
+        assertTrue(crossed > 0 && crossed < 100, crossed + " across zones");
     }
 
     @Test
-    void whereEvidenceIsThinMostCallsGoToASubsetThatIsBalancedOverInstances() {
+    void withFewObservationsMostCallsGoToASubsetBalancedOverInstances() {
         int siblings = 40;
         int[] drawn = new int[49];
         int inEight = 0;
@@ -652,7 +655,7 @@
                     position);
             Sites.Server[] list = new Sites.Server[48];
             for (int i = 0; i < list.length; i++) {
-                list[i] = Sites.server(i + 1).kind(i % 2);
+                list[i] = Sites.server(i + 1).machineType(i % 2);
             }
             bench.list(Change.CACHED, list);
             int[] own = new int[49];
@@ -673,7 +676,7 @@
     }
 
     @Test
-    void whereServersAreKnownTheSubsetHardlyCounts() {
+    void withManyObservationsTheSubsetHardlyMatters() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
         Sites.Server[] list = new Sites.Server[48];
         for (int i = 0; i < list.length; i++) {
@@ -691,7 +694,7 @@
     }
 
     @Test
-    void aSubsetWhoseServersFailIsLeft() {
+    void aSubsetWhoseServersFailIsAbandoned() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
         Sites.Server[] list = new Sites.Server[48];
         for (int i = 0; i < list.length; i++) {
@@ -716,15 +719,15 @@
     }
 
     @Test
-    void workStopsAtTheAimWhereALateAnswerIsWorthNothing() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    void attemptsEndAtTheAimWhereALateAnswerIsWorthNothing() {
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         bench.request(1, 0);
         assertEquals(Sites.AIM, bench.lastSend().timeout());
     }
 
     @Test
-    void aStartedStreamIsLeftAloneAndItsCopiesAreNot() {
+    void aStartedStreamIsNotCancelled() {
         Bench bench = new Bench(Sites.plain().streamed(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         bench.request(1, 0);
@@ -749,17 +752,17 @@
                 bench.finishAfter(sent, sent.upstream() == 1 && i % 2 == 0 ? Result.ERROR : Result.OK, 100);
             }
         }
-        // A quarter would be 250 of each.
+        // An even share would be 250 of each.
         assertTrue(toFailing[0] < 60, "of the failing class: " + toFailing[0]);
         assertTrue(toFailing[1] > 150, "of the other: " + toFailing[1]);
     }
 
     @Test
     void aMachineTypeThatFailsIsAvoidedAlsoAtServersNotYetTried() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).build(), 3);
+        Bench bench = new Bench(Sites.plain().tier(1).idempotency(Idempotency.AT_MOST_ONCE).build(), 3);
         Sites.Server[] list = new Sites.Server[80];
         for (int i = 0; i < list.length; i++) {
-            list[i] = Sites.server(i + 1).kind(i % 2);
+            list[i] = Sites.server(i + 1).machineType(i % 2);
         }
         bench.list(Change.CACHED, list);
         int toFailing = 0;
@@ -768,7 +771,7 @@
             boolean failing = bench.lastSend().upstream() % 2 == 0;
             toFailing += failing && i >= 20 ? 1 : 0;
             bench.finishAfter(bench.lastSend(), failing ? Result.ERROR : Result.OK, 100);
-            // So rarely that no server's own record lasts until it is met again.
+            // So rarely that a server's own observations have decayed before it is drawn again.
             bench.advance(20_000);
         }
         assertTrue(toFailing < 10, "of 40 calls to the failing type: " + toFailing);
@@ -777,7 +780,7 @@
     // ---- Rule 5, order -------------------------------------------------------------------------------
 
     @Test
-    void requestsOfOneKeyTakeTurnsInOrderOfArrivalAndOthersAreFree() {
+    void requestsOfOneKeyRunInOrderOfArrivalAndOthersAreNotOrdered() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.keyed(1, 0, 7);
@@ -792,17 +795,17 @@
     }
 
     @Test
-    void aKeyRestsAfterAnAttemptThatMayStillRunAlsoWhenItsClientHasLeft() {
+    void aKeyIsBlockedAfterAnAttemptThatMayStillRunAlsoAfterItsClientDisconnected() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
         bench.clientGone(1);
         bench.advance(100);
-        assertEquals(1, bench.sends.size(), "an attempt of the first is still out");
+        assertEquals(1, bench.sends.size(), "an attempt of the first is still in flight");
         bench.finish(bench.lastSend(), Result.CANCELLED);
         bench.advance(99);
-        assertEquals(1, bench.sends.size(), "the key rests");
+        assertEquals(1, bench.sends.size(), "the key is blocked");
         bench.advance(2);
         assertEquals(2, bench.lastSend().request());
     }
@@ -825,7 +828,7 @@
         for (int i = 1; i <= 20; i++) {
             bench.keyed(i, 0, 7);
         }
-        // The first guess is 200 ms a call and the aim 1000 ms: five or so have a chance.
+        // The initial estimate is 200 ms per call and the aim 1000 ms, so about five can be served in time.
         assertEquals(1, bench.sends.size());
         assertTrue(bench.refused.size() > 10 && bench.refused.size() < 18, bench.refused + " refused");
         assertTrue(bench.isOpen(2) && !bench.isOpen(20));
@@ -833,7 +836,7 @@
 
     @Test
     void aWaitingRequestIsAnsweredInTime() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(Sites.plain().inOrder(true).idempotency(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
@@ -844,10 +847,10 @@
     // ---- Rule 6, placement ---------------------------------------------------------------------------
 
     @Test
-    void aBoundClassGoesOnlyWhereItMayAlsoWhenItsServersFail() {
-        Bench bench = new Bench(Sites.plain().onlyZones(1).onlyKinds(1).tier(1).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1).zone(1), Sites.server(2).kind(1),
-                Sites.server(3).zone(1).kind(1));
+    void aRestrictedClassStaysOnItsServersEvenIfTheyFail() {
+        Bench bench = new Bench(Sites.plain().onlyZones(1).onlyMachineTypes(1).tier(1).build(), 1);
+        bench.list(Change.CACHED, Sites.server(1).zone(1), Sites.server(2).machineType(1),
+                Sites.server(3).zone(1).machineType(1));
         for (int i = 0; i < 200; i++) {
             bench.request(i, 0);
             while (bench.isOpen(i)) {
@@ -858,15 +861,15 @@
     }
 
     @Test
-    void aBoundClassWithoutAServerIsHeldAndAnOpenOneIsNot() {
+    void aRestrictedClassWithoutAServerIsQueuedAndAnUnrestrictedOneIsNot() {
         for (Integer[] kinds : new Integer[][] {{1}, {}}) {
-            Bench bench = new Bench(Sites.plain().onlyKinds(kinds).build(), 1);
+            Bench bench = new Bench(Sites.plain().onlyMachineTypes(kinds).build(), 1);
             bench.list(Change.CACHED, Sites.server(1));
             bench.request(1, 0);
             bench.request(2, 1);
             assertEquals(2, bench.lastSend().request());
             assertTrue(bench.isOpen(1));
-            bench.list(Change.DELTA, Sites.server(2).kind(1));
+            bench.list(Change.DELTA, Sites.server(2).machineType(1));
             bench.advance(100);
             assertEquals(kinds.length == 1 ? 1 : 2, bench.lastSend().request());
             bench.advance(2_000);
@@ -875,9 +878,9 @@
     }
 
     @Test
-    void overloadOfABoundClassRefusesNothingOfTheOthers() {
-        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateWorth(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
+    void overloadOfARestrictedClassRefusesNothingOfTheOthers() {
+        Bench bench = new Bench(Sites.plain().onlyMachineTypes(1).lateWorth(0).build(), 1);
+        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).machineType(1));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
             bench.request(i, i % 2);
@@ -893,16 +896,16 @@
     }
 
     @Test
-    void thoseWhoMayGoElsewhereMakeRoomForABoundClass() {
-        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateWorth(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
+    void unrestrictedClassesMakeRoomForARestrictedClass() {
+        Bench bench = new Bench(Sites.plain().onlyMachineTypes(1).lateWorth(0).build(), 1);
+        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).machineType(1));
         int[] free = new int[3];
         for (int i = 0; i < 600; i++) {
             bench.request(i, i % 2);
             bench.advance(20);
             if (bench.isOpen(i)) {
                 free[i % 2 == 1 && i > 200 ? (int) bench.lastSend().upstream() : 0]++;
-                // Equally quick for the free class, so that latencies alone would share it evenly.
+                // Equally fast for the unrestricted class, so that latencies alone would share it evenly.
                 bench.finishAfter(bench.lastSend(), Result.OK, i % 2 == 0 ? 900 : 100);
             }
         }
@@ -912,8 +915,8 @@
     // ---- Rule 4 when nothing is warm -----------------------------------------------------------------
 
     @Test
-    void aServerTrustedWithNothingYetIsWaitedFor() {
-        // Its clock is a little ahead, and servers of this site start with no capacity at all.
+    void requestsWaitForAServerWithoutAnyCapacityYet() {
+        // The server's clock is slightly ahead, and servers of this site start with no capacity at all.
         Bench bench = new Bench(Sites.plain().startCapacity(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1).startedAt(NOW + 50));
         bench.request(1, 0);
@@ -924,7 +927,7 @@
     }
 
     @Test
-    void aFleetThatIsColdAsAWholeIsNotLeftIdle() {
+    void aCompletelyColdFleetIsNotLeftIdle() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
         bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2).startedAt(NOW),
                 Sites.server(3).startedAt(NOW), Sites.server(4).startedAt(NOW));
@@ -938,13 +941,14 @@
                 }
             }
         }
-        // All can do a fifth of their capacity and fall at three times that; half of 400 is far from both.
+        // All have a fifth of their capacity and are overloaded at three times that; half of 400 is far from
+        // both.
         int sent = bench.sends.size();
         assertTrue(sent > 60 && sent < 0.2 * 3 * 400, sent + " sent");
     }
 
-    /** How many of 200 requests go to the first of two servers. */
-    private static long toFirst(Bench bench, int from) {
+    /** Sends 200 requests and returns how many go to the first of two servers. */
+    private static long countSentToFirst(Bench bench, int from) {
         int before = bench.sends.size();
         for (int i = from; i < from + 200; i++) {
             bench.request(i, 0);
@@ -955,57 +959,57 @@
     }
 
     @Test
-    void whatOperatorsTakeOutIsNotDrawnWhateverTheListSays() {
+    void aDisabledServerIsNotDrawnWhateverTheListSays() {
         Bench bench = new Bench(Sites.plain().build(), 7);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        assertEquals(0, bench.avoided());
-        bench.ban(1, true);
-        bench.ban(1, true);
-        assertEquals(1, bench.avoided());
-        assertEquals(0, toFirst(bench, 0));
+        assertEquals(0, bench.excludedUpstreams());
+        bench.disable(1, true);
+        bench.disable(1, true);
+        assertEquals(1, bench.excludedUpstreams());
+        assertEquals(0, countSentToFirst(bench, 0));
         bench.list(Change.FULL, Sites.server(1), Sites.server(2));
-        assertEquals(0, toFirst(bench, 1_000));
+        assertEquals(0, countSentToFirst(bench, 1_000));
         bench.list(Change.DELTA, Sites.server(1).state(State.REMOVED));
-        assertEquals(0, bench.avoided());
+        assertEquals(0, bench.excludedUpstreams());
         bench.list(Change.DELTA, Sites.server(1).startedAt(bench.now - 1_000));
-        assertEquals(0, toFirst(bench, 2_000));
-        bench.ban(1, false);
-        assertEquals(0, bench.avoided());
-        assertTrue(toFirst(bench, 3_000) > 0);
+        assertEquals(0, countSentToFirst(bench, 2_000));
+        bench.disable(1, false);
+        assertEquals(0, bench.excludedUpstreams());
+        assertTrue(countSentToFirst(bench, 3_000) > 0);
     }
 
     @Test
-    void whatIsPutBackIsColdUnlessTheListHasToldOfItsRestart() {
+    void aReenabledServerIsColdUnlessTheListReportedItsRestart() {
         long[] sent = new long[2];
-        for (int told = 0; told < 2; told++) {
+        for (int reported = 0; reported < 2; reported++) {
             Bench bench = new Bench(Sites.plain().build(), 7);
             bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-            bench.ban(1, true);
+            bench.disable(1, true);
             double restart = bench.now + 1;
             bench.advance(12_000);
-            if (told == 1) {
+            if (reported == 1) {
                 bench.list(Change.DELTA, Sites.server(1).startedAt(restart));
             }
-            bench.ban(1, false);
-            // The list goes on as it was: that is no news of a start long ago.
-            bench.list(Change.FULL, Sites.server(1).startedAt(told == 1 ? restart : 0), Sites.server(2));
-            sent[told] = toFirst(bench, 0);
+            bench.disable(1, false);
+            // The list is unchanged, which does not mean that the server started long ago.
+            bench.list(Change.FULL, Sites.server(1).startedAt(reported == 1 ? restart : 0), Sites.server(2));
+            sent[reported] = countSentToFirst(bench, 0);
         }
-        // Of a warm pair each gets about a half; a fifth of that is what it can do at its start.
+        // With two warm servers each gets about half; a cold one can serve a fifth of that.
         assertTrue(sent[0] > 5 && sent[0] < 60, "cold: " + sent[0]);
         assertTrue(sent[1] > 70, "warm by now: " + sent[1]);
     }
 
     @Test
-    void noTimeCountsWhileABodyIsOnItsWay() {
-        Bench bench = new Bench(Sites.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 7);
+    void noTimeLimitAppliesWhileABodyIsArriving() {
+        Bench bench = new Bench(Sites.plain().idempotency(Idempotency.AT_MOST_ONCE).build(), 7);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 0; i < 20; i++) {
-            bench.begin(i, 0);
+            bench.startRequest(i, 0);
         }
         assertEquals(20, bench.sends.size());
         assertTrue(bench.sends.stream().allMatch(sent -> sent.timeout() == 0));
-        // Longer than any call may take; yet it is no sign of overload, and takes no room.
+        // Longer than any call may take, yet no sign of overload, and it takes up no room.
         bench.advance(10_000);
         for (int i = 100; i < 200; i++) {
             bench.request(i, 0);
@@ -1015,7 +1019,7 @@
         assertTrue(bench.refused.isEmpty());
         bench.bodyArrived(0, bench.now + Sites.DEADLINE);
         bench.advance(Sites.AIM * 2);
-        // Now it is one.
+        // Now it is a sign of overload.
         for (int i = 200; i < 300; i++) {
             bench.request(i, 0);
         }
@@ -1023,7 +1027,7 @@
     }
 
     @Test
-    void aLargeAnswerThatIsReadSlowlyTakesNoRoom() {
+    void aLargeAnswerThatIsReadSlowlyUsesNoCapacity() {
         Bench bench = new Bench(Sites.plain().build(), 7);
         bench.list(Change.CACHED, Sites.server(1));
         for (int i = 0; i < 50; i++) {
@@ -1044,32 +1048,33 @@
         assertTrue(bench.refused.isEmpty());
     }
 
-    private static Settings renamed(Settings given, int maxAttempts, String... names) {
+    private static Settings withClasses(Settings original, int maxAttempts, String... names) {
         List<LoadBalancer.ServiceClass> classes = Arrays.stream(names).map(name -> {
-            LoadBalancer.ServiceClass c = given.classes().get(0);
+            LoadBalancer.ServiceClass c = original.classes().get(0);
             return new LoadBalancer.ServiceClass(name, c.aim(), c.aimStretch(), c.deadline(), c.worth(),
                     c.lateWorth(), c.idempotency(), c.dedupScope(), c.dedupWindow(), c.streamed(),
                     c.inOrder(), c.zones(), c.machineTypes());
         }).toList();
-        LoadBalancer.Limits l = given.limits();
-        return new Settings(given.position(), given.siblings(), given.tier(), given.tiers(), given.zone(),
-                given.zones(), given.machineTypes(), given.subscribe(), given.passesDeadline(),
-                given.warmKeys(),
-                given.retriesMarked(), given.worthByWork(), given.overShareWorth(), given.weightKind(),
-                given.reportMode(), given.reportFields(), classes, given.tenants(),
+        LoadBalancer.Limits l = original.limits();
+        return new Settings(original.position(), original.siblings(), original.tier(), original.tiers(),
+                original.zone(), original.zones(), original.machineTypes(), original.subscribe(),
+                original.passesDeadline(), original.warmKeys(),
+                original.retriesMarked(), original.worthByWork(), original.overShareWorth(),
+                original.weightKind(), original.reportMode(), original.reportFields(), classes,
+                original.tenants(),
                 new LoadBalancer.Limits(maxAttempts, l.maxOpen(), l.cancel(), l.parallelAttempts(),
                         l.probes(),
                         l.peers(), l.retryAfter(), l.maxRetryAfter(), l.connectTimeout(), l.connectionIdle(),
                         l.streamsPerConnection(), l.cpuPerRequest(), l.cpuPerSecond()),
-                given.rules(), given.goal(), given.prices());
+                original.rules(), original.goal(), original.prices());
     }
 
     @Test
-    void whatWasLearntOutlastsAChangeOfSettingsAndWhatIsUnderWayToo() {
+    void observationsAndRequestsInProgressSurviveAChangeOfSettings() {
         Settings settings = Sites.plain().tier(1).build();
         Bench bench = new Bench(settings, 3);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
-        // The second class fails at the first server.
+        // The first server fails the second class.
         for (int i = 0; i < 600; i++) {
             bench.request(i, 1);
             bench.advance(10);
@@ -1080,8 +1085,8 @@
         }
         bench.request(1_000, 0);
         Bench.Sent underWay = bench.lastSend();
-        // The first class goes, a new one comes, and the second moves.
-        bench.retune(renamed(settings, 1, "third", "second", "fourth"));
+        // The first class is removed, new ones are added, and the second moves.
+        bench.changeSettings(withClasses(settings, 1, "third", "second", "fourth"));
         bench.finish(underWay, Result.ERROR);
         assertFalse(bench.isOpen(1_000), "one attempt is allowed now");
         int refused = bench.refused.size();
@@ -1102,8 +1107,8 @@
     }
 
     @Test
-    void whatIsPutBackHasACallSoonUnlessThatWouldBeTooMuch() {
-        for (double every : new double[] {50, 1_000}) {
+    void aReenabledServerGetsACallSoonUnlessThatWouldBeTooMuch() {
+        for (double interval : new double[] {50, 1_000}) {
             int soon = 0;
             for (int seed = 0; seed < 20; seed++) {
                 Bench bench = new Bench(Sites.plain().siblings(20).position(seed).build(), seed);
@@ -1111,59 +1116,61 @@
                 Arrays.setAll(servers, i -> Sites.server(i));
                 bench.list(Change.CACHED, servers);
                 int id = 0;
-                for (int i = 0; i < 20_000 / every; i++, id++) {
+                for (int i = 0; i < 20_000 / interval; i++, id++) {
                     bench.request(id, 0);
                     bench.advance(10);
                     bench.finish(bench.lastSend(), Result.OK);
-                    bench.advance(every - 10);
+                    bench.advance(interval - 10);
                 }
-                bench.ban(3, true);
+                bench.disable(3, true);
                 bench.advance(1_000);
-                bench.ban(3, false);
+                bench.disable(3, false);
                 int before = bench.sends.size();
-                for (int i = 0; i < 5_000 / every; i++, id++) {
+                for (int i = 0; i < 5_000 / interval; i++, id++) {
                     bench.request(id, 0);
                     bench.advance(10);
                     bench.finish(bench.lastSend(), Result.OK);
-                    bench.advance(every - 10);
+                    bench.advance(interval - 10);
                 }
                 soon += bench.sends.stream().skip(before).anyMatch(sent -> sent.upstream() == 3) ? 1 : 0;
             }
-            // With 20 requests a second each sibling sends one; with 1 all together would be too many.
-            assertTrue(every < 100 ? soon == 20 : soon < 8, soon + " of 20 at one every " + every + " ms");
+            // With 20 requests per second each sibling sends one trial; with 1 per second that would be too
+            // many.
+            assertTrue(interval < 100 ? soon == 20 : soon < 8,
+                    soon + " of 20 at one every " + interval + " ms");
         }
     }
 
     @Test
-    void anOutageIsFeltInAFewCallsAndEndsWithTheFirstThatAreServed() {
+    void anOutageIsDetectedInAFewCallsAndEndsWithTheFirstServedCalls() {
         int hit = 0;
         int back = 0;
         for (int seed = 0; seed < 20; seed++) {
             Bench bench = new Bench(Sites.plain().tier(1).build(), seed);
             bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
-            play(bench, 1_000, Result.OK);
-            hit += play(bench, 500, Result.ERROR);
-            play(bench, 300, Result.OK);
-            back += play(bench, 100, Result.OK);
+            runRequests(bench, 1_000, Result.OK);
+            hit += runRequests(bench, 500, Result.ERROR);
+            runRequests(bench, 300, Result.OK);
+            back += runRequests(bench, 100, Result.OK);
         }
         assertTrue(hit < 20 * 10, hit + " calls met 20 outages");
         assertTrue(back > 20 * 100 / 6, back + " of 2,000 calls, of which a third is an even share");
     }
 
-    /** An instance for which the first of three servers has failed for long, and a list for its successor. */
-    private static Bench experienced() {
+    /** Returns an instance whose first of three servers has failed for long. */
+    private static Bench withFailingFirstServer() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
         bench.list(Change.CACHED, Sites.server(1).startedAt(7), Sites.server(2), Sites.server(3));
-        play(bench, 600, Result.ERROR);
+        runRequests(bench, 600, Result.ERROR);
         return bench;
     }
 
-    /** Requests of the first class one after the other, and how many calls went to the first server. */
-    private static int play(Bench bench, int requests, Result ofFirst) {
-        return play(bench, requests, ofFirst, 0);
+    /** Sends requests of the first class one by one and returns how many calls went to the first server. */
+    private static int runRequests(Bench bench, int requests, Result ofFirst) {
+        return runRequests(bench, requests, ofFirst, 0);
     }
 
-    private static int play(Bench bench, int requests, Result ofFirst, int serviceClass) {
+    private static int runRequests(Bench bench, int requests, Result ofFirst, int serviceClass) {
         int before = bench.sends.size();
         for (int i = 0; i < requests; i++) {
             bench.request(before + i, serviceClass);
@@ -1179,27 +1186,27 @@
     private static Bench successor(long seed, Bench earlier, double age, double startedAt) {
         Bench bench = new Bench(Sites.plain().tier(1).build(), seed);
         if (earlier != null) {
-            bench.learnFrom(earlier, age);
+            bench.restoreFrom(earlier, age);
         }
         bench.list(Change.CACHED, Sites.server(1).startedAt(startedAt), Sites.server(2), Sites.server(3));
         return bench;
     }
 
     @Test
-    void whatWasLearntOfAServerIsKnownAtStartFadesAndIsNotHeldAgainstALaterProcessOfIt() {
-        Bench earlier = experienced();
+    void warmStateIsUsedAtStartDecaysAndIsNotAppliedToARestartedServer() {
+        Bench earlier = withFailingFirstServer();
         int cold = 0;
         int warm = 0;
         int old = 0;
         int restarted = 0;
         int wellAgain = 0;
         for (int seed = 0; seed < 40; seed++) {
-            cold += play(successor(seed, null, 0, 7), 20, Result.ERROR);
-            warm += play(successor(seed, earlier, 1_000, 7), 20, Result.ERROR);
-            old += play(successor(seed, earlier, 3_600_000, 7), 20, Result.ERROR);
-            restarted += play(successor(seed, earlier, 1_000, 8), 20, Result.ERROR);
-            // One that has recovered is found to have, as it would have been without the restart.
-            wellAgain += play(successor(seed, earlier, 1_000, 7), 2_000, Result.OK);
+            cold += runRequests(successor(seed, null, 0, 7), 20, Result.ERROR);
+            warm += runRequests(successor(seed, earlier, 1_000, 7), 20, Result.ERROR);
+            old += runRequests(successor(seed, earlier, 3_600_000, 7), 20, Result.ERROR);
+            restarted += runRequests(successor(seed, earlier, 1_000, 8), 20, Result.ERROR);
+            // A recovered server is used again, as it would be without the restart.
+            wellAgain += runRequests(successor(seed, earlier, 1_000, 7), 2_000, Result.OK);
         }
         assertTrue(warm * 5 <= cold, warm + " warm, " + cold + " cold");
         assertTrue(old > cold / 2 && restarted > cold / 2, old + " and " + restarted + " of " + cold);
@@ -1208,29 +1215,30 @@
 
     @Test
     void aSuccessorKnowsWhichClassAServerFails() {
-        Bench earlier = experienced();
-        play(earlier, 600, Result.OK, 1);
-        play(earlier, 600, Result.ERROR, 0);
-        play(earlier, 600, Result.OK, 1);
+        Bench earlier = withFailingFirstServer();
+        runRequests(earlier, 600, Result.OK, 1);
+        runRequests(earlier, 600, Result.ERROR, 0);
+        runRequests(earlier, 600, Result.OK, 1);
         int failed = 0;
         int served = 0;
         for (int seed = 0; seed < 40; seed++) {
-            failed += play(successor(seed, earlier, 100, 7), 4, Result.ERROR, 0);
-            served += play(successor(seed, earlier, 100, 7), 4, Result.OK, 1);
+            failed += runRequests(successor(seed, earlier, 100, 7), 4, Result.ERROR, 0);
+            served += runRequests(successor(seed, earlier, 100, 7), 4, Result.OK, 1);
         }
         assertTrue(failed * 4 < served, failed + " of the class that it fails, " + served + " of the other");
     }
 
     @Test
-    void aSuccessorGivesAServerNoMoreRoomThanItHadBefore() {
-        Bench earlier = experienced();
+    void aSuccessorSendsAServerNoMoreThanBefore() {
+        Bench earlier = withFailingFirstServer();
         Bench bench = successor(1, earlier, 100, 7);
         for (int i = 0; i < 60; i++) {
             bench.request(i, 0);
         }
         Map<Long, Integer> sent = new HashMap<>();
-        bench.sends.forEach(one -> sent.merge(one.upstream(), 1, Integer::sum));
-        // Each of the two that are well has served some 25 a second; 0.35 of the aim of 1 s has room for 9.
+        bench.sends.forEach(call -> sent.merge(call.upstream(), 1, Integer::sum));
+        // Each of the two healthy servers has served about 25 per second; 0.35 of the aim of 1 s has room for
+        // 9.
         assertTrue(sent.values().stream().allMatch(count -> count <= 10), "sent " + sent);
     }
 }
--- a/src/test/java/cranedeal/ProjectTest.java
+++ b/src/test/java/cranedeal/ProjectTest.java
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** What the project promises about its own files. */
+/** Checks properties of the project's own files that it documents. */
 class ProjectTest {
 
     private static final Path MODULE = Path.of("src/main/java/cranedeal/LatencyWeightedBalancer.java");
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void theDeployFileNamesWhatTheBuildMakesAndTheModule() throws IOException {
+    void theDeployFileNamesTheJarAndTheModule() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         assertEquals("[\"" + MODULE.toString().replace('\\', '/') + "\"]", value(deploy, "policy"));
         Matcher jar = Pattern.compile("-jar target/(\\S+)\\.jar wire").matcher(value(deploy, "sim"));
--- a/src/test/java/cranedeal/RandomEventsTest.java
+++ b/src/test/java/cranedeal/RandomEventsTest.java
@@ -18,7 +18,7 @@
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.State;
 
-/** Random legal event sequences; the rules are checked after every step against the test's own books. */
+/** Runs random valid event sequences and checks the rules after every step against the test's own records. */
 class RandomEventsTest {
 
     @Test
@@ -35,48 +35,50 @@
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        Driver one = new Driver(77);
-        Driver two = new Driver(77);
+        Driver first = new Driver(77);
+        Driver second = new Driver(77);
         for (int step = 0; step < 500; step++) {
-            one.step();
-            two.step();
-            one.check("one");
-            two.check("two");
+            first.step();
+            second.step();
+            first.check("one");
+            second.check("two");
         }
-        assertFalse(one.bench.sends.isEmpty());
-        assertEquals(one.bench.sends, two.bench.sends);
-        assertEquals(one.bench.refused, two.bench.refused);
+        assertFalse(first.bench.sends.isEmpty());
+        assertEquals(first.bench.sends, second.bench.sends);
+        assertEquals(first.bench.refused, second.bench.refused);
     }
 
-    /** One instance under random events, with the books on which its actions are judged. */
+    /** One instance under random events, with the records that its actions are checked against. */
     private static final class Driver {
         private static final int SERVERS = 6;
-        private static final double SETTLE = 100;
+        private static final double ORDER_SETTLE = 100;
         private static final Result[] UNSERVED = {Result.ERROR, Result.FULL, Result.TIMEOUT,
             Result.CONNECT_FAILED, Result.RESET, Result.NOT_SENT};
 
         private final SplittableRandom random;
-        private final Idempotency repeat;
-        private final DedupScope group;
+        private final Idempotency idempotency;
+        private final DedupScope dedupScope;
         private final boolean parallel;
         private final boolean streamed;
         private final boolean inOrder;
-        private final boolean placed;
+        private final boolean restricted;
         private final Bench bench;
         private final Sites.Server[] servers = new Sites.Server[SERVERS];
         private final State[] states = new State[SERVERS];
-        /** Sends whose outcome has not come. */
-        private final List<Bench.Sent> out = new ArrayList<>();
+        /** Sends without an outcome so far. */
+        private final List<Bench.Sent> inFlight = new ArrayList<>();
         private final Map<Long, List<Bench.Sent>> byRequest = new HashMap<>();
-        private final Set<Bench.Sent> provenUnrun = new HashSet<>();
+        private final Set<Bench.Sent> neverRan = new HashSet<>();
         private final Map<Long, Double> deadlines = new HashMap<>();
         private final Set<Long> streaming = new HashSet<>();
         private final Set<Long> servedOrGone = new HashSet<>();
         private final Map<Long, Integer> classOf = new HashMap<>();
         private final Map<Long, Long> keyOf = new HashMap<>();
-        /** Since when no attempt of a request that was given up counts as running any more. */
-        private final Map<Long, Double> rested = new HashMap<>();
-        /** Since a server was last listed anew: its start, sends to it, what all requests earned it. */
+        /** Time from which no abandoned attempt of a request counts as running any more. */
+        private final Map<Long, Double> restsUntil = new HashMap<>();
+        /**
+         * For each server since it was last listed anew: its start, the sends to it, and its earned budget.
+         */
         private final double[] started = new double[SERVERS];
         private final int[] sentTo = new int[SERVERS];
         private final double[] earned = new double[SERVERS];
@@ -86,18 +88,18 @@
 
         Driver(long seed) {
             random = new SplittableRandom(seed);
-            repeat = Idempotency.values()[random.nextInt(3)];
-            group = DedupScope.values()[random.nextInt(3)];
+            idempotency = Idempotency.values()[random.nextInt(3)];
+            dedupScope = DedupScope.values()[random.nextInt(3)];
             parallel = random.nextBoolean();
             streamed = random.nextInt(4) == 0;
             inOrder = !streamed && random.nextBoolean();
-            placed = random.nextInt(3) == 0;
-            Sites.Builder site = Sites.plain().repeat(repeat).group(group).memory(700).parallel(parallel)
-                    .streamed(streamed).inOrder(inOrder).siblings(3)
+            restricted = random.nextInt(3) == 0;
+            Sites.Builder site = Sites.plain().idempotency(idempotency).dedupScope(dedupScope)
+                    .dedupWindow(700).parallel(parallel).streamed(streamed).inOrder(inOrder).siblings(3)
                     .lateWorth(random.nextBoolean() ? 0.3 : 0);
-            bench = new Bench((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
+            bench = new Bench((restricted ? site.onlyZones(1).onlyMachineTypes(0) : site).build(), seed);
             for (int i = 0; i < SERVERS; i++) {
-                servers[i] = Sites.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
+                servers[i] = Sites.server(i + 1).zone(i % 2).cell(i / 2).machineType(i / 4);
                 states[i] = State.READY;
             }
             bench.list(Change.CACHED, servers);
@@ -108,7 +110,7 @@
                 case 0, 1, 2, 3: arrive(); break;
                 case 4, 5, 6, 7: finishOne(); break;
                 case 8: changeList(); break;
-                case 9: leave(); break;
+                case 9: disconnect(); break;
                 case 10: stream(); break;
                 default: advance(random.nextDouble() * 200);
             }
@@ -125,19 +127,21 @@
                     keyOf.get(id));
         }
 
-        /** Whether a request's class may go to a server at all. */
-        private boolean open(int serviceClass, int server) {
-            return !placed || serviceClass == 1 || server % 2 == 1 && server / 4 == 0;
+        /** Returns true if requests of a class may be sent to a server. */
+        private boolean isAllowed(int serviceClass, int server) {
+            return !restricted || serviceClass == 1 || server % 2 == 1 && server / 4 == 0;
         }
 
-        /** A cold server earns 0.9 of its present part of what it might get, of half the fleet at least. */
+        /**
+         * Each request earns a cold server 0.9 of its current warmth, divided by at least half of the fleet.
+         */
         private void earn(int serviceClass) {
             long usable = 0;
             for (int i = 0; i < SERVERS; i++) {
-                usable += states[i] == State.READY && open(serviceClass, i) ? 1 : 0;
+                usable += states[i] == State.READY && isAllowed(serviceClass, i) ? 1 : 0;
             }
             for (int i = 0; i < SERVERS; i++) {
-                if (usable > 0 && open(serviceClass, i)) {
+                if (usable > 0 && isAllowed(serviceClass, i)) {
                     double warmth = Math.min(1, 0.2 + 0.8 * (bench.now - started[i]) / 10_000);
                     earned[i] += 0.9 * warmth / (usable / 2.0);
                 }
@@ -145,10 +149,10 @@
         }
 
         private void finishOne() {
-            if (out.isEmpty()) {
+            if (inFlight.isEmpty()) {
                 return;
             }
-            Bench.Sent sent = out.remove(random.nextInt(out.size()));
+            Bench.Sent sent = inFlight.remove(random.nextInt(inFlight.size()));
             Result result = random.nextInt(3) > 0 ? Result.OK : UNSERVED[random.nextInt(UNSERVED.length)];
             if (!bench.isOpen(sent.request())) {
                 result = random.nextBoolean() ? Result.CANCELLED : result;
@@ -161,10 +165,10 @@
 
         private void finish(Bench.Sent sent, Result result) {
             if (result.neverRan()) {
-                provenUnrun.add(sent);
+                neverRan.add(sent);
             }
             if (result == Result.TIMEOUT || result == Result.RESET || result == Result.CANCELLED) {
-                rested.put(sent.request(), bench.now + SETTLE);
+                restsUntil.put(sent.request(), bench.now + ORDER_SETTLE);
             }
             bench.finish(sent, result);
         }
@@ -189,7 +193,7 @@
                 }
                 bench.list(Change.FULL, all.toArray(Sites.Server[]::new));
             } else if (random.nextInt(5) == 0) {
-                // The change is not told yet: the state stays as it was for the books.
+                // The change is not reported yet; the records keep the previous state.
                 bench.list(Change.FAILED);
                 states[i] = State.REMOVED;
                 listedAnew(i);
@@ -204,7 +208,7 @@
             earned[server] = 0;
         }
 
-        /** Rule 4: one call at once and then what is earned. */
+        /** Rule 4: one call at once, and then as many as the budget allows. */
         private void checkColdBudget(Bench.Sent sent, String where) {
             int server = (int) sent.upstream() - 1;
             if (started[server] != 0 && sent.at() - started[server] < 10_000) {
@@ -214,7 +218,7 @@
             }
         }
 
-        private void leave() {
+        private void disconnect() {
             if (!bench.open.isEmpty() && random.nextInt(3) == 0) {
                 long id = bench.open.stream().mapToLong(Long::longValue).min().orElseThrow();
                 servedOrGone.add(id);
@@ -223,23 +227,26 @@
         }
 
         private void stream() {
-            if (streamed && !out.isEmpty()) {
-                Bench.Sent sent = out.get(random.nextInt(out.size()));
+            if (streamed && !inFlight.isEmpty()) {
+                Bench.Sent sent = inFlight.get(random.nextInt(inFlight.size()));
                 if (bench.isOpen(sent.request()) && streaming.add(sent.request())) {
                     bench.streamStarted(sent);
                 }
             }
         }
 
-        /** Time-outs fall due on the way, as the host would report them, also for what timers send. */
+        /**
+         * Advances the clock in small steps and reports attempts as timed out when due, including those that
+         * timers send.
+         */
         private void advance(double ms) {
             double until = bench.now + ms;
             while (bench.now < until) {
                 bench.advance(Math.min(5, until - bench.now));
                 check("on the way");
-                for (Bench.Sent sent : List.copyOf(out)) {
+                for (Bench.Sent sent : List.copyOf(inFlight)) {
                     boolean due = !streaming.contains(sent.request()) && expiry(sent) <= bench.now;
-                    if (due && out.remove(sent)) {
+                    if (due && inFlight.remove(sent)) {
                         finish(sent, Result.TIMEOUT);
                         check("time-out");
                     }
@@ -257,14 +264,14 @@
                 checkSend(sent, where + ": " + sent);
                 checkColdBudget(sent, where + ": " + sent);
                 byRequest.computeIfAbsent(sent.request(), k -> new ArrayList<>()).add(sent);
-                out.add(sent);
+                inFlight.add(sent);
             }
             for (; refusedSeen < bench.refused.size(); refusedSeen++) {
                 long id = bench.refused.get(refusedSeen);
                 boolean maybeRun = byRequest.getOrDefault(id, List.of()).stream()
-                        .anyMatch(s -> !provenUnrun.contains(s));
-                assertTrue(!maybeRun || repeat == Idempotency.IDEMPOTENT
-                        || repeat == Idempotency.DEDUPLICATED && group == DedupScope.ALL,
+                        .anyMatch(s -> !neverRan.contains(s));
+                assertTrue(!maybeRun || idempotency == Idempotency.IDEMPOTENT
+                        || idempotency == Idempotency.DEDUPLICATED && dedupScope == DedupScope.ALL,
                         where + ": refused " + id);
             }
             Set<Long> answered = new HashSet<>(servedOrGone);
@@ -283,44 +290,46 @@
         private void checkSend(Bench.Sent sent, String where) {
             int server = (int) sent.upstream() - 1;
             assertEquals(State.READY, states[server], where + ": rule 3");
-            assertTrue(open(classOf.get(sent.request()), server), where + ": rule 6");
+            assertTrue(isAllowed(classOf.get(sent.request()), server), where + ": rule 6");
             checkOrder(sent, where);
             assertFalse(servedOrGone.contains(sent.request()), where + ": sent after the end");
             List<Bench.Sent> earlier = byRequest.getOrDefault(sent.request(), List.of());
             assertTrue(earlier.size() < 4, where + ": too many attempts");
-            assertTrue(parallel || earlier.stream().noneMatch(out::contains), where + ": two at once");
+            assertTrue(parallel || earlier.stream().noneMatch(inFlight::contains),
+                    where + ": two attempts at once");
             for (Bench.Sent before : earlier) {
-                if (provenUnrun.contains(before) || repeat == Idempotency.IDEMPOTENT) {
+                if (neverRan.contains(before) || idempotency == Idempotency.IDEMPOTENT) {
                     continue;
                 }
-                assertTrue(repeat == Idempotency.DEDUPLICATED, where + ": unsafe repeated");
-                assertTrue(sent.at() <= before.at() + 700, where + ": outside the window");
+                assertTrue(idempotency == Idempotency.DEDUPLICATED, where + ": unsafe request repeated");
+                assertTrue(sent.at() <= before.at() + 700, where + ": outside the deduplication window");
                 int was = (int) before.upstream() - 1;
-                assertTrue(group == DedupScope.ALL || (group == DedupScope.ZONE ? was % 2 == server % 2
-                        : was / 2 == server / 2), where + ": outside the group");
+                assertTrue(dedupScope == DedupScope.ALL || (dedupScope == DedupScope.ZONE
+                        ? was % 2 == server % 2
+                        : was / 2 == server / 2), where + ": outside the deduplication scope");
             }
         }
 
-        /** Rule 5: ids rise in order of arrival; key 0 is no key. */
+        /** Rule 5: ids increase in order of arrival; key 0 stands for no key. */
         private void checkOrder(Bench.Sent sent, String where) {
             long key = keyOf.get(sent.request());
             for (long id = 0; inOrder && key != 0 && id < sent.request(); id++) {
                 long before = id;
                 if (keyOf.get(before) == key) {
                     assertFalse(bench.isOpen(before), where + ": rule 5: before " + before);
-                    assertTrue(out.stream().noneMatch(other -> other.request() == before),
-                            where + ": rule 5: while an attempt of " + before + " is out");
-                    assertTrue(sent.at() >= rested.getOrDefault(before, 0.0),
-                            where + ": rule 5: before the key has rested after " + before);
+                    assertTrue(inFlight.stream().noneMatch(other -> other.request() == before),
+                            where + ": rule 5: while an attempt of " + before + " is in flight");
+                    assertTrue(sent.at() >= restsUntil.getOrDefault(before, 0.0),
+                            where + ": rule 5: while the key is blocked after " + before);
                 }
             }
         }
 
-        /** At the end every request has had its answer. */
+        /** Lets all requests end and checks that each has had its answer. */
         private void drain(String where) {
             advance(5_000);
-            for (Bench.Sent sent : List.copyOf(out)) {
-                out.remove(sent);
+            for (Bench.Sent sent : List.copyOf(inFlight)) {
+                inFlight.remove(sent);
                 servedOrGone.add(sent.request());
                 bench.finish(sent, Result.OK);
             }
--- a/src/test/java/cranedeal/Sites.java
+++ b/src/test/java/cranedeal/Sites.java
@@ -14,7 +14,7 @@
 import cranedeal.LoadBalancer.Upstream;
 import cranedeal.LoadBalancer.WeightKind;
 
-/** Settings and server entries for tests. */
+/** Builds settings and upstream list entries for tests. */
 final class Sites {
 
     static final double AIM = 1_000;
@@ -35,7 +35,7 @@
         private final long id;
         private int zone;
         private int cell;
-        private int kind;
+        private int machineType;
         private State state = State.READY;
         private double startedAt;
 
@@ -53,8 +53,8 @@
             return this;
         }
 
-        Server kind(int value) {
-            kind = value;
+        Server machineType(int value) {
+            machineType = value;
             return this;
         }
 
@@ -69,14 +69,14 @@
         }
 
         Upstream listed() {
-            return new Upstream(id, zone, kind, cell, state, 1, startedAt);
+            return new Upstream(id, zone, machineType, cell, state, 1, startedAt);
         }
     }
 
     static final class Builder {
-        private Idempotency repeat = Idempotency.IDEMPOTENT;
-        private DedupScope group = DedupScope.ALL;
-        private double memory = 5_000;
+        private Idempotency idempotency = Idempotency.IDEMPOTENT;
+        private DedupScope dedupScope = DedupScope.ALL;
+        private double dedupWindow = 5_000;
         private double lateWorth = 0.5;
         private boolean parallel;
         private boolean subscribe;
@@ -90,38 +90,38 @@
         private boolean retriesMarked;
         private double startCapacity = 0.2;
         private List<Integer> onlyZones;
-        private List<Integer> onlyKinds;
+        private List<Integer> onlyMachineTypes;
 
-        /** Both classes take turns per key; keys rest for 100 ms. */
+        /** Orders both classes by key; a key is blocked for 100 ms after an abandoned attempt. */
         Builder inOrder(boolean value) {
             inOrder = value;
             return this;
         }
 
-        /** The first class may only go to these zones. */
+        /** Restricts the first class to these zones. */
         Builder onlyZones(Integer... values) {
             onlyZones = List.of(values);
             return this;
         }
 
-        /** The first class may only go to these machine types. */
-        Builder onlyKinds(Integer... values) {
-            onlyKinds = List.of(values);
+        /** Restricts the first class to these machine types. */
+        Builder onlyMachineTypes(Integer... values) {
+            onlyMachineTypes = List.of(values);
             return this;
         }
 
-        Builder repeat(Idempotency value) {
-            repeat = value;
+        Builder idempotency(Idempotency value) {
+            idempotency = value;
             return this;
         }
 
-        Builder group(DedupScope value) {
-            group = value;
+        Builder dedupScope(DedupScope value) {
+            dedupScope = value;
             return this;
         }
 
-        Builder memory(double value) {
-            memory = value;
+        Builder dedupWindow(double value) {
+            dedupWindow = value;
             return this;
         }
 
@@ -182,10 +182,10 @@
 
         Settings build() {
             List<ServiceClass> classes = List.of(
-                    new ServiceClass("first", AIM, 0, DEADLINE, 5, lateWorth, repeat, group, memory,
-                            streamed, inOrder, onlyZones, onlyKinds),
-                    new ServiceClass("second", AIM, 0, DEADLINE, 1, lateWorth, repeat, group, memory,
-                            streamed, inOrder, null, null));
+                    new ServiceClass("first", AIM, 0, DEADLINE, 5, lateWorth, idempotency, dedupScope,
+                            dedupWindow, streamed, inOrder, onlyZones, onlyMachineTypes),
+                    new ServiceClass("second", AIM, 0, DEADLINE, 1, lateWorth, idempotency, dedupScope,
+                            dedupWindow, streamed, inOrder, null, null));
             return new Settings(position, siblings, tier, 3, 0, 2, 2, subscribe, true, false,
                     retriesMarked, false,
                     0.1, WeightKind.NONE, ReportMode.NONE, List.of(), classes, List.of(),
--- a/src/test/java/cranedeal/SizeBenchmark.java
+++ b/src/test/java/cranedeal/SizeBenchmark.java
@@ -11,8 +11,9 @@
 import java.util.Locale;
 
 /**
- * What a request with its outcome, and a change of one upstream, cost the decision module by the length of
- * the list. Not a test: run it in pairs with another version, on a quiet machine, with the flags of service.
+ * Measures the CPU time of a request with its outcome, and of a change of one upstream, by the length of the
+ * list. Not a test: run it in pairs with another version, on a quiet machine, with the JVM flags used in
+ * service.
  */
 final class SizeBenchmark {
 
@@ -25,7 +26,7 @@
     private SizeBenchmark() {
     }
 
-    /** Keeps the last send; all else is dropped, as it is not what is measured. */
+    /** Records the last send and ignores other actions, which are not measured. */
     private static final class Host implements LoadBalancer.Actions {
 
         private long upstream;
@@ -72,20 +73,20 @@
         return new Upstream(number * 7_919L, 0, number % 2, number / 8, state, 1, 0);
     }
 
-    /** Prints a line for each size: microseconds for a request and for a change, the middle of five plays. */
+    /** Prints for each size the microseconds per request and per change, as the median of five runs. */
     public static void main(String[] args) {
         for (int size : SIZES) {
-            List<double[]> seen = new ArrayList<>();
-            for (int play = 0; play < 5; play++) {
-                seen.add(play(size, play));
+            List<double[]> results = new ArrayList<>();
+            for (int run = 0; run < 5; run++) {
+                results.add(run(size, run));
             }
             System.out.printf(Locale.ROOT, "%d upstreams: request %.1f us, change %.1f us%n", size,
-                    seen.stream().mapToDouble(one -> one[0]).sorted().toArray()[2],
-                    seen.stream().mapToDouble(one -> one[1]).sorted().toArray()[2]);
+                    results.stream().mapToDouble(result -> result[0]).sorted().toArray()[2],
+                    results.stream().mapToDouble(result -> result[1]).sorted().toArray()[2]);
         }
     }
 
-    private static double[] play(int size, long seed) {
+    private static double[] run(int size, long seed) {
         Host host = new Host();
         LoadBalancer balancer = new LatencyWeightedBalancer(host);
         balancer.start(0, Sites.plain().lateWorth(0).build(), seed);
--- a/src/test/java/cranedeal/SlowEstimateTest.java
+++ b/src/test/java/cranedeal/SlowEstimateTest.java
@@ -7,9 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A class whose calls are expected to take longer than they may. No request of it was sent any more, so that
- * nothing could show that they take less: a balancer that was overloaded once refused everything from then on
- * (unserved_no_upstream grew with each request, while draws and held stood still).
+ * Guards against a too high latency estimate that is never corrected. After an overload the expected latency
+ * exceeded the deadline, so no request was sent any more, and nothing could lower the estimate: the balancer
+ * refused everything from then on (unserved_no_upstream grew with each request, while draws and held stood
+ * still).
  */
 class SlowEstimateTest {
 
@@ -17,7 +18,7 @@
     private static final double CALM_MS = 60_000;
 
     @Test
-    void aRequestThatHasJustComeIsSentHoweverLongCallsAreExpectedToTake() {
+    void aNewRequestIsSentHoweverLongTheExpectedLatency() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.FULL, Sites.server(1));
         for (long id = 1; id <= SLOW_CALLS; id++) {
@@ -27,7 +28,7 @@
                 bench.finishAfter(bench.lastSend(), Result.OK, 10 * Sites.DEADLINE);
             }
         }
-        // Whatever pressure these have raised is gone by then.
+        // By then the pressure has decayed.
         bench.now += CALM_MS;
         int sentBefore = bench.sends.size();
         bench.request(SLOW_CALLS + 1, 0);
--- a/src/test/java/cranedeal/WarmUpEndsTest.java
+++ b/src/test/java/cranedeal/WarmUpEndsTest.java
@@ -10,31 +10,32 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many servers that started at one time, as after a zone's return. At the end of their warm-up all of them
- * were taken from one group to another in one event: that loop of ReadyServers.advance had no bound.
+ * Guards against unbounded work in one event: when many servers started at once, as after the return of a
+ * zone, the end of their warm-up regrouped all of them in one event, since that loop of ReadyServers.advance
+ * had no bound.
  */
 class WarmUpEndsTest {
 
-    private static final int MANY = 3_200;
+    private static final int SERVERS = 3_200;
     private static final double NOW = 100_000;
-    /** So many may be taken in at one event. */
-    private static final int FEW = 64;
+    /** Max servers regrouped in one event. */
+    private static final int MAX_PER_EVENT = 64;
 
     private final Settings settings = Sites.plain().build();
     private final List<Server> servers = new ArrayList<>();
     private final ReadyServers ready = readyServers();
 
     private ReadyServers readyServers() {
-        ClassRecord[] classes = new ClassRecord[settings.classes().size()];
-        Arrays.setAll(classes, i -> new ClassRecord(i, settings.classes().get(i), 1, 1, 1));
-        for (ClassRecord one : classes) {
-            one.leader = one;
+        ClassStats[] classes = new ClassStats[settings.classes().size()];
+        Arrays.setAll(classes, i -> new ClassStats(i, settings.classes().get(i), 1, 1, 1));
+        for (ClassStats serviceClass : classes) {
+            serviceClass.leader = serviceClass;
         }
-        Server.Kind[] kinds = {new Server.Kind(1)};
+        Server.MachineTypeStats[] kinds = {new Server.MachineTypeStats(1)};
         CostModel costs = new CostModel();
-        costs.retune(settings, classes);
+        costs.configure(settings, classes);
         ReadyServers all = new ReadyServers(settings, classes, kinds, costs, new DrawCounts(), NOW);
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < SERVERS; i++) {
             Server server = new Server(Sites.server(i + 1).startedAt(NOW).listed(), i, NOW, kinds[0],
                     classes.length, NOW, 0);
             servers.add(server);
@@ -49,12 +50,12 @@
     }
 
     @Test
-    void warmUpsThatEndTogetherAreTakenInAFewAtAnEvent() {
+    void warmUpsThatEndTogetherAreAppliedAFewPerEvent() {
         double later = NOW + settings.rules().warmUp();
-        for (int left = MANY; left > 0; left = cold()) {
+        for (int before = SERVERS; before > 0; before = cold()) {
             ready.advance(later);
-            assertTrue(left - cold() <= FEW, left - cold() + " taken in at one event");
-            assertTrue(cold() < left, "none taken in");
+            assertTrue(before - cold() <= MAX_PER_EVENT, before - cold() + " regrouped in one event");
+            assertTrue(cold() < before, "none regrouped");
         }
         assertEquals(0, cold());
     }
--- a/src/test/java/cranedeal/wire/SettingsParserTest.java
+++ b/src/test/java/cranedeal/wire/SettingsParserTest.java
@@ -19,7 +19,7 @@
 
 class SettingsParserTest {
 
-    /** A site of two classes; every setting that has no default. */
+    /** Settings of a site with two classes: every setting without a default. */
     static final String COMPLETE = String.join("\n",
             "position=4", "siblings=9", "tier=1", "stages=edge,core", "zone=0", "zones=north,south",
             "machineTypes=big,small", "registryMode=automatic", "worthBy=work", "weightKind=rough",
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void everySettingLandsInItsPlace() {
+    void everySettingIsParsed() {
         Settings settings = parse(COMPLETE);
         assertEquals(4, settings.position());
         assertEquals(9, settings.siblings());
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void orderPlacementAndGoalsLandInTheirPlaces() {
+    void orderPlacementAndGoalsAreParsed() {
         Settings settings = parse(COMPLETE + String.join("\n", "services.0.byArrival=true",
                 "services.0.runsIn=1", "services.1.boundTo=0,1", "services.1.runsIn=",
                 "rules.orderSettle=50.0", "goal.tail=0.2", "goal.tailMiss=0.03", "goal.logLossPart=0.3",
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void withoutOrderAndPlacementAClassIsFree() {
+    void withoutOrderAndPlacementAClassIsUnrestricted() {
         Settings settings = parse(COMPLETE);
         assertFalse(settings.classes().get(0).inOrder());
         assertTrue(settings.classes().get(0).admits(new Upstream(1, 7, 9, 0, State.READY, 1, 0)));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aBadPlaceIsNamed() {
+    void aBadPlacementValueIsNamed() {
         assertRefused("services.0.runsIn has the bad value", COMPLETE + "services.0.runsIn=0,north\n");
         assertRefused("services.1.boundTo has the bad value", COMPLETE + "services.1.boundTo=-1\n");
         assertRefused("services.0.byArrival has the bad value", COMPLETE + "services.0.byArrival=1\n");
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void settingsThatAreNotTextAreRefused() {
+    void settingsThatAreNotUtf8AreRefused() {
         assertThrows(MalformedInputException.class,
                 () -> SettingsParser.parse(new byte[] {(byte) 0xc3, (byte) 0x28}));
     }
--- a/src/test/java/cranedeal/wire/WireHostTest.java
+++ b/src/test/java/cranedeal/wire/WireHostTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import cranedeal.LoadBalancer;
 
-/** The wire, byte for byte: good frames, and what bad input gets. */
+/** Checks the wire format byte for byte: replies to valid frames, and the messages for invalid input. */
 class WireHostTest {
 
     private static final int INSTANCE = 3;
@@ -44,7 +44,7 @@
         return all.toByteArray();
     }
 
-    /** A frame from records and a tail. */
+    /** Builds a frame from records and a tail. */
     private static byte[] frame(double clock, byte[] tail, byte[]... records) {
         byte[] header = new byte[WireHost.HEADER_BYTES];
         LittleEndian.putInt(header, 0, records.length * WireHost.RECORD_BYTES + tail.length);
@@ -76,8 +76,8 @@
         return entry;
     }
 
-    /** The opening frame: one instance, its settings, a list of one upstream. */
-    private static byte[] opening() {
+    /** Builds the first frame: one instance, its settings, a list of one upstream. */
+    private static byte[] firstFrame() {
         byte[] text = settings("");
         byte[] provision = record(0, INSTANCE);
         LittleEndian.putLong(provision, 5, 42);
@@ -126,31 +126,32 @@
     }
 
     @Test
-    void aRequestIsPlacedOnTheListedUpstream() {
-        Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
+    void aRequestIsSentToTheListedUpstream() {
+        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
         assertEquals(0, run.status, run.err);
         byte[] reply = run.out;
-        // An empty reply to the opening, then one record: place, instance, request, upstream, patience.
+        // An empty reply to the first frame, then one record: send, instance, request, upstream, timeout.
         assertEquals(8 + 8 + 32, reply.length);
         assertEquals(32, LittleEndian.getInt(reply, 8));
         assertEquals(1, LittleEndian.getInt(reply, 12));
         assertEquals("03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
                 HexFormat.of().formatHex(reply, 16, 35));
-        // Nothing seen yet: twice three times the first guess of a fifth of the aim of 500 ms.
+        // No observations yet: twice three times the initial estimate of a fifth of the aim of 500 ms.
         assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
         assertEquals("0000000000", HexFormat.of().formatHex(reply, 43, 48));
     }
 
     @Test
-    void aReplyOfManyRecordsKeepsEveryOneWhole() {
-        // More finals than fit the writer's first buffer: an id written before it grew must not get lost.
+    void aReplyOfManyRecordsKeepsAllOfThemIntact() {
+        // More final answers than fit into the writer's first buffer: an id written before it grew must not
+        // be lost.
         byte[][] requests = new byte[1_500][];
         for (int i = 0; i < requests.length; i++) {
             requests[i] = incoming(i + 1);
-            // Too late to be sent anywhere.
+            // Too late to be sent to any upstream.
             LittleEndian.putDouble(requests[i], 24, 10_006);
         }
-        Run run = run(concat(opening(), frame(10_005, new byte[0], requests)));
+        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], requests)));
         assertEquals(0, run.status, run.err);
         int at = run.out.length - requests.length * ReplyWriter.RECORD_BYTES;
         for (int i = 0; i < requests.length; i++) {
@@ -172,7 +173,7 @@
                 });
         WireHost host = new WireHost(actions -> broken);
         byte[] ring = frame(10_001, new byte[0], record(6, INSTANCE));
-        host.serve(new ByteArrayInputStream(concat(opening(), ring)), out);
+        host.serve(new ByteArrayInputStream(concat(firstFrame(), ring)), out);
         byte[] reply = out.toByteArray();
         assertEquals(4, reply[16]);
         assertTrue(new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8)
@@ -180,7 +181,7 @@
     }
 
     @Test
-    void oddButLegalEventsAreQuiet() {
+    void unusualButValidEventsGiveNoError() {
         byte[] gone = record(5, INSTANCE);
         LittleEndian.putLong(gone, 5, 99);
         byte[] ring = record(6, INSTANCE);
@@ -194,10 +195,10 @@
         failed[5] = 3;
         byte[] late = incoming(5);
         LittleEndian.putDouble(late, 24, 9_000);
-        Run run = run(concat(opening(), frame(10_005, new byte[0], gone, ring, probed, headers, message,
+        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], gone, ring, probed, headers, message,
                 finished(97, 40), late), frame(10_010, new byte[0], record(9, INSTANCE))));
         assertEquals(0, run.status, run.err);
-        // Only the request whose deadline has passed is answered: refused.
+        // Only the request whose deadline has passed is answered, with a refusal.
         assertEquals(8 + 8 + 32 + 8, run.out.length);
         assertEquals(0, run.out[16]);
     }
@@ -206,7 +207,7 @@
     void badFramesEndTheRunWithAMessage() {
         byte[] none = new byte[0];
         assertRefused("inside the header", new byte[5]);
-        assertRefused("input ends after", Arrays.copyOf(opening(), 60));
+        assertRefused("input ends after", Arrays.copyOf(firstFrame(), 60));
         byte[] records = new byte[WireHost.HEADER_BYTES];
         LittleEndian.putInt(records, 4, 7);
         assertRefused("7 records do not fit", records);
@@ -220,26 +221,27 @@
     @Test
     void badRecordsEndTheRunWithAMessage() {
         byte[] none = new byte[0];
-        assertRefused("unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
-        assertRefused("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
+        assertRefused("unknown event code 11", concat(firstFrame(),
+                frame(10_001, none, record(11, INSTANCE))));
+        assertRefused("unknown instance 4", concat(firstFrame(), frame(10_001, none, record(6, 4))));
         byte[] number = record(10, 0);
         LittleEndian.putShort(number, 1, 16);
         assertRefused("list number 16", frame(1, none, number));
-        byte[] never = record(1, INSTANCE);
-        LittleEndian.putShort(never, 10, 5);
-        assertRefused("list 5 was never given", concat(opening(), frame(10_001, none, never)));
+        byte[] unknownList = record(1, INSTANCE);
+        LittleEndian.putShort(unknownList, 10, 5);
+        assertRefused("list 5 was never given", concat(firstFrame(), frame(10_001, none, unknownList)));
         byte[] offset = record(10, 0);
         LittleEndian.putInt(offset, 3, 4);
         LittleEndian.putInt(offset, 7, 1);
         assertRefused("leaves the tail", frame(1, entry(UPSTREAM), offset));
-        assertRefused("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
+        assertRefused("unknown outcome 11", concat(firstFrame(), frame(10_001, none, finished(1, 11))));
         byte[] serviceClass = incoming(1);
         serviceClass[13] = 9;
-        assertRefused("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
+        assertRefused("unknown class 9", concat(firstFrame(), frame(10_001, none, serviceClass)));
     }
 
     @Test
-    void anotherCommandLineGetsUsage() {
+    void aWrongCommandLineGetsUsage() {
         Run run = run(new byte[0], "serve");
         assertEquals(2, run.status);
         assertTrue(run.err.startsWith("usage: "));
@@ -248,7 +250,7 @@
 
     @Test
     void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
-        byte[] good = concat(opening(), frame(10_005, new byte[0], incoming(1), incoming(2)),
+        byte[] good = concat(firstFrame(), frame(10_005, new byte[0], incoming(1), incoming(2)),
                 frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
         SplittableRandom random = new SplittableRandom(20261128);
         int refused = 0;
