--- a/src/main/java/cranedeal/node/AdminEndpoint.java
+++ b/src/main/java/cranedeal/node/AdminEndpoint.java
@@ -34,68 +34,68 @@
 import java.util.logging.Level;
 
 /**
- * The operators' address. It has a thread of its own, so that it answers whatever the node is busy with: it
- * reads what the node publishes, and posts orders to the node's loop.
+ * The operators' HTTP endpoint. It has its own thread, so that it answers even while the node's loop is busy:
+ * it reads metrics that the node publishes, and posts commands to the node's loop.
  */
 final class AdminEndpoint {
 
-    /** Connections at a time; the descriptors for them are set aside. */
-    static final int CONNECTIONS = 16;
-    /** These, the one that is just accepted, the listening socket and the selector. */
-    static final int DESCRIPTORS = CONNECTIONS + 8;
-    /** How long a caller has for its call, and how long it may take to read the answer. */
-    private static final long PATIENCE_MS = 2_000;
-    /** Answers are owed in 1 s: an order that the node has not begun by then is withdrawn. */
-    private static final long ORDER_MS = 900;
-    private static final int LONGEST_BODY = 4_096;
-    private static final String OPS = "/ops/";
-    private static final String DOWN = "upstreams/down/";
-    private static final String UP = "upstreams/up/";
+    /** The maximum number of open connections; descriptors are reserved for them. */
+    static final int MAX_CONNECTIONS = 16;
+    /** Reserved for the connections, one that was just accepted, the listening socket and the selector. */
+    static final int DESCRIPTORS = MAX_CONNECTIONS + 8;
+    /** How long an operator's client may take to send its request, and again to read the answer. */
+    private static final long CALL_TIMEOUT_MS = 2_000;
+    /** Answers are due within 1 s: a command that the node has not started by then is withdrawn. */
+    private static final long COMMAND_TIMEOUT_MS = 900;
+    private static final int MAX_BODY = 4_096;
+    private static final String OPS_PREFIX = "/ops/";
+    private static final String DISABLE_PREFIX = "upstreams/down/";
+    private static final String ENABLE_PREFIX = "upstreams/up/";
 
-    /** What operators can ask of a balancer; the orders run on its loop, the rest on the door's. */
+    /** The operations of a balancer; commands run on the node's loop, the others on the endpoint's. */
     interface Operations {
 
-        /** Whether it takes clients. */
+        /** Returns true if the balancer accepts clients. */
         boolean isReady();
 
-        /** The figures, a line each. */
+        /** All metrics, one per line. */
         String stats();
 
-        /** Each order's result is true once it is in force; it fails if it could not be kept. */
+        /** A command completes with true once it is in force; it fails if it could not be saved. */
         CompletionStage<Boolean> startDrain();
 
         CompletionStage<Boolean> stopDrain();
 
-        /** Takes an upstream out of use or puts it back; the result is false for an id never listed. */
+        /** Disables or enables an upstream; completes with false for an id that was never listed. */
         CompletionStage<Boolean> ban(String id, boolean banned);
     }
 
     private final Operations operations;
-    /** Where orders run. */
-    private final EventLoop node;
+    /** The node's loop, on which commands run. */
+    private final EventLoop nodeLoop;
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
             new DefaultThreadFactory("door", true), NioIoHandler.newFactory()).next();
-    /** The connections that no call is at work on, the oldest first. */
-    private final Set<Channel> waiting = new LinkedHashSet<>();
-    private int open;
-    private Channel listening;
+    /** The connections without a call in progress, the oldest first; evicted from when there are too many. */
+    private final Set<Channel> idleConnections = new LinkedHashSet<>();
+    private int openConnections;
+    private Channel serverChannel;
 
     AdminEndpoint(Operations operations, EventLoop node) {
         this.operations = operations;
-        this.node = node;
+        this.nodeLoop = node;
     }
 
     void bind(InetSocketAddress address) throws ConfigException, InterruptedException {
         ServerBootstrap server = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                // Apart from the node's pool, which belongs to one thread.
+                // Not the node's pool, which is confined to the node's thread.
                 .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new RequestDecoder(), new HttpResponseEncoder(),
-                                new RequestAggregator(LONGEST_BODY, LONGEST_BODY),
-                                new Call((SocketChannel) channel));
+                                new RequestAggregator(MAX_BODY, MAX_BODY),
+                                new ConnectionHandler((SocketChannel) channel));
                     }
                 });
         var bound = server.bind(address).await();
@@ -103,62 +103,62 @@
             throw new ConfigException("cannot listen on " + address + " for operators: "
                     + bound.cause().getMessage());
         }
-        listening = bound.channel();
+        serverChannel = bound.channel();
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** Where what must not keep the node's loop waiting may run. */
+    /** The endpoint's loop, which also runs tasks that would block the node's loop. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Ends at once; for tests. */
+    /** Stops at once; for tests. */
     void shutdownNow() {
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** A connection, and the one call on it. */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles a connection and the single request on it. */
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private final SocketChannel channel;
-        private boolean called;
+        private boolean requestReceived;
 
-        Call(SocketChannel channel) {
+        ConnectionHandler(SocketChannel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            open++;
-            waiting.add(channel);
-            if (open > CONNECTIONS) {
-                waiting.iterator().next().close();
+            openConnections++;
+            idleConnections.add(channel);
+            if (openConnections > MAX_CONNECTIONS) {
+                idleConnections.iterator().next().close();
             }
             loop.schedule(() -> {
-                if (!called) {
+                if (!requestReceived) {
                     channel.close();
                 }
-            }, PATIENCE_MS, TimeUnit.MILLISECONDS);
+            }, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             ctx.fireChannelActive();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open--;
-            waiting.remove(channel);
+            openConnections--;
+            idleConnections.remove(channel);
             ctx.fireChannelInactive();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (called) {
+            if (requestReceived) {
                 return;
             }
-            called = true;
-            waiting.remove(channel);
+            requestReceived = true;
+            idleConnections.remove(channel);
             if (!request.decoderResult().isSuccess()) {
                 answer(HttpResponseStatus.BAD_REQUEST, "malformed HTTP\n");
                 return;
@@ -170,59 +170,59 @@
                 answer(HttpResponseStatus.BAD_REQUEST, "malformed path\n");
                 return;
             }
-            if (path.startsWith(OPS)) {
-                serve(path.substring(OPS.length()), request.method());
+            if (path.startsWith(OPS_PREFIX)) {
+                route(path.substring(OPS_PREFIX.length()), request.method());
             } else {
-                answer(HttpResponseStatus.NOT_FOUND, "no such call\n");
+                answer(HttpResponseStatus.NOT_FOUND, "unknown path\n");
             }
         }
 
-        private void serve(String call, HttpMethod method) {
+        private void route(String call, HttpMethod method) {
             boolean asks = call.equals("readiness") || call.equals("stats");
-            String down = after(DOWN, call);
-            String up = after(UP, call);
+            String down = idAfter(DISABLE_PREFIX, call);
+            String up = idAfter(ENABLE_PREFIX, call);
             boolean drains = call.equals("drain/start") || call.equals("drain/stop");
             if (!asks && !drains && down == null && up == null) {
-                answer(HttpResponseStatus.NOT_FOUND, "no such call\n");
+                answer(HttpResponseStatus.NOT_FOUND, "unknown path\n");
             } else if (!method.equals(asks ? HttpMethod.GET : HttpMethod.PUT)) {
-                answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "another method is wanted\n");
+                answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "method not allowed\n");
             } else if (call.equals("readiness")) {
                 boolean taking = operations.isReady();
                 answer(taking ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        taking ? "takes clients\n" : "takes no clients\n");
+                        taking ? "ready\n" : "not ready\n");
             } else if (call.equals("stats")) {
                 answer(HttpResponseStatus.OK, operations.stats());
             } else if (drains) {
-                order(call.equals("drain/start") ? operations::startDrain : operations::stopDrain);
+                runOnNode(call.equals("drain/start") ? operations::startDrain : operations::stopDrain);
             } else {
-                order(() -> operations.ban(down == null ? up : down, down != null));
+                runOnNode(() -> operations.ban(down == null ? up : down, down != null));
             }
         }
 
         /** The id that follows a prefix; null if there is none. */
-        private String after(String prefix, String call) {
+        private String idAfter(String prefix, String call) {
             return call.startsWith(prefix) && call.length() > prefix.length()
                     ? call.substring(prefix.length()) : null;
         }
 
-        /** Has the node carry out an order, and answers once it has; a false result is a no to the id. */
-        private void order(Supplier<CompletionStage<Boolean>> order) {
+        /** Runs a command on the node's loop and answers when it completes; false means an unknown id. */
+        private void runOnNode(Supplier<CompletionStage<Boolean>> order) {
             AtomicBoolean settled = new AtomicBoolean();
-            node.execute(() -> {
+            nodeLoop.execute(() -> {
                 if (settled.compareAndSet(false, true)) {
-                    carryOut(order).handle(this::status)
+                    execute(order).handle(this::status)
                             .thenAccept(status -> loop.execute(
                                     () -> answer(status, status.reasonPhrase() + "\n")));
                 }
             });
             loop.schedule(() -> {
                 if (settled.compareAndSet(false, true)) {
-                    answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy, nothing was changed\n");
+                    answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "node is busy; nothing was changed\n");
                 }
-            }, ORDER_MS, TimeUnit.MILLISECONDS);
+            }, COMMAND_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        private CompletionStage<Boolean> carryOut(Supplier<CompletionStage<Boolean>> order) {
+        private CompletionStage<Boolean> execute(Supplier<CompletionStage<Boolean>> order) {
             try {
                 return order.get();
             } catch (RuntimeException e) {
@@ -232,7 +232,7 @@
 
         private HttpResponseStatus status(Boolean known, Throwable failure) {
             if (failure != null) {
-                Node.LOG.log(Level.WARNING, "an operator's order failed", failure);
+                Node.LOG.log(Level.WARNING, "an operator's command failed", failure);
                 return HttpResponseStatus.INTERNAL_SERVER_ERROR;
             }
             return known ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND;
@@ -243,10 +243,10 @@
                     Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             response.headers().set("Content-Type", "text/plain; charset=utf-8")
                     .set("Content-Length", response.content().readableBytes()).set("Connection", "close");
-            // To close on bytes that are still coming in would reset the connection under the answer.
+            // Closing while bytes still arrive would reset the connection before the answer is read.
             channel.writeAndFlush(response).addListener(written -> channel.shutdownOutput());
-            waiting.add(channel);
-            loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
+            idleConnections.add(channel);
+            loop.schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/cranedeal/node/AtomicFile.java
+++ b/src/main/java/cranedeal/node/AtomicFile.java
@@ -5,18 +5,18 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** A file that is only ever replaced whole, so that no reader sees half of it. It is not forced to disk. */
+/** Replaces files atomically, so that no reader sees a partial file. Files are not synced to disk. */
 final class AtomicFile {
 
-    /** Not {@code .new}: a store in the same folder deletes what has that ending. */
-    private static final String UNFINISHED = ".next";
+    /** Not {@code .new}: a store in the same folder deletes files with that suffix. */
+    private static final String TEMP_SUFFIX = ".next";
 
     private AtomicFile() {
     }
 
-    /** Replaces a file in one step; one process at a time. */
+    /** Replaces a file atomically; only one process may do so at a time. */
     static void replace(Path file, byte[] bytes) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + UNFINISHED);
+        Path fresh = file.resolveSibling(file.getFileName() + TEMP_SUFFIX);
         Files.write(fresh, bytes);
         Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
--- a/src/main/java/cranedeal/node/Clock.java
+++ b/src/main/java/cranedeal/node/Clock.java
@@ -1,8 +1,8 @@
 package cranedeal.node;
 
 /**
- * The time in ms since 1970, read off the monotonic clock. It is set by the system's clock once, at the
- * start, so that later corrections of that clock neither stretch a time-out nor let time run backwards.
+ * The time in ms since 1970, derived from the monotonic clock. It is synchronized with the system clock once,
+ * at the start, so that later corrections of that clock neither stretch a timeout nor make time go backwards.
  */
 final class Clock {
 
@@ -15,7 +15,7 @@
         return wallMillis + (System.nanoTime() - nanos) / NANOS_PER_MS;
     }
 
-    /** The delay from now, in ns, until a point in time; 0 if it has passed. */
+    /** The delay from now until a point in time, in ns; 0 if it has passed. */
     long nanosUntil(double at) {
         return (long) Math.ceil(Math.max(0, at - now()) * NANOS_PER_MS);
     }
--- a/src/main/java/cranedeal/node/ConfigException.java
+++ b/src/main/java/cranedeal/node/ConfigException.java
@@ -1,6 +1,6 @@
 package cranedeal.node;
 
-/** The node was started with a configuration that it cannot run on; the message is for its operator. */
+/** Thrown for an invalid configuration of the node; the message is meant for its operator. */
 final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cranedeal/node/DiscoveryWatch.java
+++ b/src/main/java/cranedeal/node/DiscoveryWatch.java
@@ -10,8 +10,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * A balancer's watch of discovery without the balancer, for measuring what it costs there and on the way. It
- * is {@link DiscoveryClient} as the program has it, with the list pushed.
+ * A balancer's watch of discovery without the balancer, to measure its cost at discovery and on the network.
+ * It uses the program's {@link DiscoveryClient}, with the watch always open.
  */
 public final class DiscoveryWatch implements AutoCloseable {
 
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Begins to watch.
+     * Starts a watch.
      *
-     * @param config a balancer's whole configuration, of which it takes what concerns discovery
-     * @param listener given the version of each list or change that comes, on the loop
-     * @throws IOException if the configuration can't be read; it names file and key
+     * @param config a balancer's complete configuration, of which only the part about discovery is used
+     * @param listener called on the loop with the version of each list or change that arrives
+     * @throws IOException if the configuration can't be read; the message names file and key
      */
     public static DiscoveryWatch open(EventLoop loop, Path config, LongConsumer listener) throws IOException {
         NodeConfig read;
@@ -47,14 +47,14 @@
 
                     @Override
                     public void callFailed(CallEnd how) {
-                        // The watch goes on by itself.
+                        // The client retries by itself.
                     }
                 });
         loop.execute(() -> client.setPushed(true));
         return new DiscoveryWatch(loop, client);
     }
 
-    /** Ends it; returns at once. */
+    /** Ends the watch; returns immediately. */
     @Override
     public void close() {
         loop.execute(() -> client.setPushed(false));
--- a/src/main/java/cranedeal/node/Fleet.java
+++ b/src/main/java/cranedeal/node/Fleet.java
@@ -22,53 +22,55 @@
 import java.util.regex.Pattern;
 
 /**
- * The one class of this package that knows the fleet's packages. It is loaded only where they are asked for,
- * so that a balancer without them starts as fast and as small as ever.
+ * The only class of this package that uses the fleet packages. It is loaded only if a fleet or a state folder
+ * is configured or another subcommand is run, so that a plain balancer starts fast and uses little memory.
  */
 final class Fleet {
 
-    /** A balancer's memory holds so many with ease. */
-    private static final int MOST_MEMBERS = 2_000;
-    /** The key in what is said of a configuration that can't be gone by. */
+    /** The maximum number of fleet members that a balancer keeps track of; they fit easily in its memory. */
+    private static final int MAX_MEMBERS = 2_000;
+    /** Finds the key in the error message of an invalid configuration. */
     private static final Pattern KEY = Pattern.compile("\\bsetting ([\\w.]+) |"
             + "\\b(discovery|settings[\\w.]*)");
 
     private Fleet() {
     }
 
-    /** Runs the command line; {@code serve} and {@code wire} are brought along. */
+    /** Runs the command line, to which {@code serve} and {@code wire} are added. */
     static int run(Callable<Integer> serve, Callable<Integer> wire, String... args) {
         String serves = "Runs one balancer; PROXY_CONFIG names its configuration.";
-        String hosts = "Hosts the decisions on the simulator's wire.";
+        String hosts = "Hosts the decision code for the simulator.";
         return Program.run(Map.of("serve", new Program.SuppliedCommand(serves, serve),
                 "wire", new Program.SuppliedCommand(hosts, wire)), args);
     }
 
     /**
-     * Orders that outlast a power loss, in a folder of the configuration's.
+     * Opens a store of overrides in a folder of the configuration; it survives a power loss.
      *
-     * @param old the folder where they were kept before, and are taken over from once; may be null
+     * @param old the folder that held the overrides before, from which they are migrated once; may be null
      */
     static OverrideStore overrideStore(Path folder, Path old) {
-        return new KeptOrders(folder, old);
+        return new StoredOverrides(folder, old);
     }
 
-    /** Throws {@link IllegalArgumentException} for what is no name of a fleet or of a member. */
+    /** Throws {@link IllegalArgumentException} for an invalid name of a fleet or member. */
     static void requireName(String name) {
         Member.requireName(name);
     }
 
-    /** Takes what the fleet has published for a balancer's service. */
+    /** Receives the configuration section that the fleet publishes for a balancer's service. */
     interface PublishedConfigListener {
 
-        /** Goes by it; null for nothing. Throws {@link ConfigException}, and then all is as before. */
+        /**
+         * Applies a section; null removes it. Throws {@link ConfigException} if invalid, without any change.
+         */
         void apply(JsonNode section) throws ConfigException, InterruptedException;
     }
 
     /**
-     * Makes this process a member of a fleet, as the configuration wants it.
+     * Makes this process a member of the configured fleet.
      *
-     * @param to told what the fleet publishes, if the configuration names a service
+     * @param to receives the published sections, if the configuration names a service
      */
     static MembershipHandle join(NodeConfig config, PublishedConfigListener to) {
         FleetConfig given = config.fleet();
@@ -79,7 +81,7 @@
         FleetMember member = new FleetMember(new FleetMember.Config(given.name(), config.name(),
                 given.listen(), given.advertise(), given.seeds(), "serve",
                 version == null ? "unpacked" : version,
-                new Settings(given.periodMs(), Settings.DEFAULTS.forgetMs(), MOST_MEMBERS, true, true),
+                new Settings(given.periodMs(), Settings.DEFAULTS.forgetMs(), MAX_MEMBERS, true, true),
                 new SecureRandom().nextLong()), peers == null ? PeerStore.NONE : new PeerStore() {
 
                     @Override
@@ -95,8 +97,8 @@
         if (given.service() != null) {
             new ConfigMember(member, ConfigFollower.Settings.defaults(given.service(), given.zone()),
                     given.stateDir() == null ? ConfigMember.StateStore.NONE
-                    : new KeptConfig(given.stateDir()),
-                    section -> take(section, to), new SecureRandom().nextLong());
+                    : new StoredConfig(given.stateDir()),
+                    section -> applySection(section, to), new SecureRandom().nextLong());
         }
         member.start();
         return new MembershipHandle() {
@@ -118,7 +120,7 @@
         };
     }
 
-    private static void take(byte[] section, PublishedConfigListener to)
+    private static void applySection(byte[] section, PublishedConfigListener to)
             throws ConfigMember.RefusedException {
         try {
             to.apply(section == null ? null : NodeConfig.JSON.readTree(section));
@@ -128,64 +130,64 @@
                     : named.group(2);
             throw new ConfigMember.RefusedException(key, e.getMessage());
         } catch (IOException e) {
-            throw new ConfigMember.RefusedException("", "it is no JSON: " + e.getMessage());
+            throw new ConfigMember.RefusedException("", "it is not valid JSON: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new ConfigMember.RefusedException("", "interrupted");
         }
     }
 
-    /** The configuration that a member has, in a store. */
-    private static final class KeptConfig implements ConfigMember.StateStore {
+    /** Stores the configuration that a member has in force. */
+    private static final class StoredConfig implements ConfigMember.StateStore {
 
-        private final DurableValue kept;
+        private final DurableValue store;
 
-        KeptConfig(Path stateDir) {
-            kept = new DurableValue(stateDir.resolve("config"), Node.LOG::warning);
+        StoredConfig(Path stateDir) {
+            store = new DurableValue(stateDir.resolve("config"), Node.LOG::warning);
         }
 
         @Override
         public byte[] read() throws IOException {
-            return kept.read();
+            return store.read();
         }
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            kept.update(before -> bytes);
+            store.update(before -> bytes);
         }
     }
 
-    /** Orders in a store: each record has them whole, and the last one holds. */
-    private static final class KeptOrders implements OverrideStore {
+    /** Stores the overrides: each record holds all of them, and the last record is the current one. */
+    private static final class StoredOverrides implements OverrideStore {
 
-        private static final int FORM = 1;
+        private static final int FORMAT_VERSION = 1;
 
-        private final DurableValue kept;
-        private final Path old;
+        private final DurableValue store;
+        private final Path legacyFolder;
 
-        KeptOrders(Path folder, Path old) {
-            kept = new DurableValue(folder, Node.LOG::warning);
-            this.old = old;
+        StoredOverrides(Path folder, Path old) {
+            store = new DurableValue(folder, Node.LOG::warning);
+            this.legacyFolder = old;
         }
 
         @Override
         public OperatorOverrides read() throws IOException {
-            return orders(kept.read());
+            return decode(store.read());
         }
 
         @Override
         public OperatorOverrides change(UnaryOperator<OperatorOverrides> change) throws IOException {
-            return orders(kept.update(before -> bytes(change.apply(orders(before)))));
+            return decode(store.update(before -> encode(change.apply(decode(before)))));
         }
 
-        private OperatorOverrides orders(byte[] bytes) throws IOException {
+        private OperatorOverrides decode(byte[] bytes) throws IOException {
             if (bytes == null) {
-                return old == null ? OperatorOverrides.NONE : OperatorOverrides.read(old);
+                return legacyFolder == null ? OperatorOverrides.NONE : OperatorOverrides.read(legacyFolder);
             }
             JsonNode whole = NodeConfig.JSON.readTree(bytes);
-            if (whole.path("form").asInt() > FORM) {
-                throw new IOException("orders of form " + whole.path("form").asInt()
-                        + " are of a later version");
+            if (whole.path("form").asInt() > FORMAT_VERSION) {
+                throw new IOException("operator overrides of format " + whole.path("form").asInt()
+                        + " were written by a later version");
             }
             Set<String> out = new TreeSet<>();
             whole.path("out").forEach(id -> out.add(id.asText()));
@@ -193,8 +195,8 @@
                     whole.path("reloads").asLong());
         }
 
-        private static byte[] bytes(OperatorOverrides orders) throws IOException {
-            ObjectNode whole = NodeConfig.JSON.createObjectNode().put("form", FORM)
+        private static byte[] encode(OperatorOverrides orders) throws IOException {
+            ObjectNode whole = NodeConfig.JSON.createObjectNode().put("form", FORMAT_VERSION)
                     .put("draining", orders.draining()).put("reloads", orders.reloads());
             orders.disabledUpstreams().forEach(whole.putArray("out")::add);
             return NodeConfig.JSON.writeValueAsBytes(whole);
--- a/src/main/java/cranedeal/node/FleetConfig.java
+++ b/src/main/java/cranedeal/node/FleetConfig.java
@@ -9,38 +9,38 @@
 import java.util.Set;
 
 /**
- * What the object {@code fleet} in a balancer's configuration says.
+ * The object {@code fleet} of a balancer's configuration.
  *
- * @param name of the fleet
- * @param listen where datagrams and calls of other members come in
- * @param advertise where the others are told to reach it
- * @param seeds where others may be
- * @param stateDir where the members that it knew are kept; null if they are not
- * @param periodMs how often it probes another member
- * @param service whose section of the fleet's configuration it goes by; null if by none
- * @param zone where it runs, as the settings say; empty if they don't
+ * @param name the name of the fleet
+ * @param listen the address that receives datagrams and calls of other members
+ * @param advertise the address that other members are told to use
+ * @param seeds addresses of members to contact first
+ * @param stateDir the folder in which known members are saved; null if they are not
+ * @param periodMs the interval between probes of other members
+ * @param service the service whose section of the fleet's configuration applies here; null if none
+ * @param zone the zone of this balancer by the settings; empty if they name none
  */
 record FleetConfig(String name, InetSocketAddress listen, InetSocketAddress advertise,
         List<InetSocketAddress> seeds, Path stateDir, double periodMs, String service, String zone) {
 
     private static final Set<String> KEYS = Set.of("name", "listen", "advertise", "seeds", "state_dir",
             "probe_period_ms", "service");
-    private static final double USUAL_PERIOD_MS = 1_000;
-    private static final double SHORTEST_PERIOD_MS = 100;
-    private static final double LONGEST_PERIOD_MS = 60_000;
+    private static final double DEFAULT_PERIOD_MS = 1_000;
+    private static final double MIN_PERIOD_MS = 100;
+    private static final double MAX_PERIOD_MS = 60_000;
 
-    /** Reads it; null if there is none. Throws {@link IllegalArgumentException} that names the key. */
+    /** Parses it; null if absent. Throws {@link IllegalArgumentException}, whose message names the key. */
     static FleetConfig parse(JsonNode root) {
         JsonNode given = root.path("fleet");
         if (given.isMissingNode()) {
             return null;
         }
         if (!given.isObject()) {
-            throw new IllegalArgumentException("fleet is no object");
+            throw new IllegalArgumentException("fleet must be an object");
         }
         given.fieldNames().forEachRemaining(key -> {
             if (!KEYS.contains(key)) {
-                throw new IllegalArgumentException("fleet." + key + " is no key of fleet");
+                throw new IllegalArgumentException("fleet." + key + " is an unknown key");
             }
         });
         String name = given.path("name").asText("");
@@ -51,10 +51,10 @@
         for (JsonNode seed : given.path("seeds")) {
             seeds.add(address(seed, "fleet.seeds[" + seeds.size() + "]"));
         }
-        double period = given.path("probe_period_ms").asDouble(USUAL_PERIOD_MS);
-        if (!(period >= SHORTEST_PERIOD_MS && period <= LONGEST_PERIOD_MS)) {
-            throw new IllegalArgumentException("fleet.probe_period_ms is no number from "
-                    + (int) SHORTEST_PERIOD_MS + " to " + (int) LONGEST_PERIOD_MS);
+        double period = given.path("probe_period_ms").asDouble(DEFAULT_PERIOD_MS);
+        if (!(period >= MIN_PERIOD_MS && period <= MAX_PERIOD_MS)) {
+            throw new IllegalArgumentException("fleet.probe_period_ms must be a number from "
+                    + (int) MIN_PERIOD_MS + " to " + (int) MAX_PERIOD_MS);
         }
         return new FleetConfig(name, listen, given.has("advertise")
                 ? address(given.path("advertise"), "fleet.advertise") : listen, List.copyOf(seeds),
@@ -69,7 +69,7 @@
         return given.path("service").textValue();
     }
 
-    /** Only says who is near, so one that can't be told stops nothing. */
+    /** The zone only serves to prefer near members, so an invalid one is not an error. */
     private static String zone(JsonNode settings) {
         String zone = settings.path("zones").path(settings.path("zone").asInt(-1)).asText("");
         try {
@@ -106,6 +106,6 @@
             throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
         }
         throw new IllegalArgumentException(key + ": '" + given.asText()
-                + "' is no loopback address with a port");
+                + "' is not a loopback address with a port");
     }
 }
--- a/src/main/java/cranedeal/node/LoadReport.java
+++ b/src/main/java/cranedeal/node/LoadReport.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** An upstream's load report: {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Parser of an upstream's load report, such as {@code TEXT inflight=7, queue=2, util=0.61}. */
 final class LoadReport {
 
     private static final String PREFIX = "TEXT";
@@ -11,7 +11,7 @@
     private LoadReport() {
     }
 
-    /** The values of the given fields in their order; null unless the text holds them all. */
+    /** Returns the values of the given fields in their order; null unless the text has all of them. */
     static double[] parse(String text, List<String> fields) {
         if (text == null || fields.isEmpty()) {
             return null;
--- a/src/main/java/cranedeal/node/LoopMonitor.java
+++ b/src/main/java/cranedeal/node/LoopMonitor.java
@@ -9,44 +9,46 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Measures how far the node's loop is behind: it stands around the part of the loop that waits for sockets
- * ("a look"), and learns how long the loop was busy between two looks, or was not given the processor. What
- * is read in a look may have come at any time since the look before, if the loop did not wait in between.
+ * Measures the lag of the node's event loop. It wraps the part of the loop that polls the sockets, and
+ * measures how long the loop was busy, or had no CPU, between two polls. If a poll did not have to wait, the
+ * data read in it may have arrived at any time since the previous poll.
  */
 final class LoopMonitor implements IoHandler {
 
-    /** The delay in ms from which on the loop is late. */
+    /** The lag in ms above which the loop counts as late. */
     static final double LATE_THRESHOLD_MS = 50;
-    /** A look that found nothing for so long has waited for it to come. */
-    private static final double WAITED_MS = 1;
-    /** The selector rounds its waits to ms. */
+    /** A poll that took at least this long has waited for the data to arrive. */
+    private static final double MIN_WAIT_MS = 1;
+    /** The selector rounds its timeouts to ms. */
     private static final double ROUNDING_MS = 1;
     private static final double NANOS_PER_MS = 1e6;
 
     private final IoHandler handler;
     private final DoubleSupplier clock;
-    /** Whether a look is under way. */
-    private boolean looking;
-    /** When the present look found the first of what it reads; NaN before. */
+    /** Whether a poll is in progress, including the handling of its events. */
+    private boolean polling;
+    /** When the current poll returned its first event; NaN before. */
     private double foundAt = Double.NaN;
-    /** Whether the present look takes only what is there already. */
-    private boolean immediate;
-    private double lookAt;
-    /** When the present look ought to have ended at the latest, found something or not. */
-    private double wakeAt;
-    /** When the look before had found what was there: the rest has come since. */
-    private double lookedAt;
+    /** Whether the current poll is non-blocking. */
+    private boolean nonBlocking;
+    private double pollStartedAt;
+    /** The latest time at which the current poll should have returned, with or without an event. */
+    private double latestWakeAt;
+    /** When the previous poll had found all events present then; other events have arrived since. */
+    private double lastPolledAt;
     private double longestBusy;
-    private double spare;
+    private double idleTime;
 
     private LoopMonitor(IoHandler handler, DoubleSupplier clock) {
         this.handler = handler;
         this.clock = clock;
-        lookAt = clock.getAsDouble();
-        lookedAt = lookAt;
+        pollStartedAt = clock.getAsDouble();
+        lastPolledAt = pollStartedAt;
     }
 
-    /** Makes another factory's handlers with a monitor around each, and tells of that; times are in ms. */
+    /**
+     * Wraps each handler of a factory in a monitor, and passes the monitor to {@code made}; times are in ms.
+     */
     static IoHandlerFactory wrap(IoHandlerFactory factory, DoubleSupplier clock,
             Consumer<LoopMonitor> made) {
         return executor -> {
@@ -56,30 +58,30 @@
         };
     }
 
-    /** How long something that is read now has lain unread, in ms; 0 while the loop is not late. */
+    /** How long data that is read now may have been waiting, in ms; 0 while the loop is not late. */
     double lag() {
         double delay = clock.getAsDouble() - unreadSince();
         return delay > LATE_THRESHOLD_MS ? delay : 0;
     }
 
-    /** Since when something that is read now may have waited to be read, in ms of the clock. */
+    /** The time since when data that is read now may have been waiting. */
     private double unreadSince() {
-        if (!looking) {
-            return lookedAt;
+        if (!polling) {
+            return lastPolledAt;
         }
         if (Double.isNaN(foundAt)) {
             foundAt = clock.getAsDouble();
         }
-        boolean waited = !immediate && foundAt - lookAt >= WAITED_MS;
-        return waited ? Math.min(foundAt, wakeAt) : lookedAt;
+        boolean waited = !nonBlocking && foundAt - pollStartedAt >= MIN_WAIT_MS;
+        return waited ? Math.min(foundAt, latestWakeAt) : lastPolledAt;
     }
 
-    /** For how long the loop has had nothing to do since its start, in ms. */
+    /** The total time for which the loop was idle since its start, in ms. */
     double idleTime() {
-        return spare;
+        return idleTime;
     }
 
-    /** The longest time in ms between two looks since this was last asked, waits left out. */
+    /** Returns and resets the longest busy time between two polls, in ms, without the polls' own waits. */
     double takeLongestBusy() {
         double longest = longestBusy;
         longestBusy = 0;
@@ -88,21 +90,21 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        lookAt = clock.getAsDouble();
-        longestBusy = Math.max(longestBusy, lookAt - lookedAt);
-        immediate = !context.canBlock();
-        wakeAt = immediate ? lookAt : lookAt + ROUNDING_MS + mostWaitMs(context);
+        pollStartedAt = clock.getAsDouble();
+        longestBusy = Math.max(longestBusy, pollStartedAt - lastPolledAt);
+        nonBlocking = !context.canBlock();
+        latestWakeAt = nonBlocking ? pollStartedAt : pollStartedAt + ROUNDING_MS + maxWaitMs(context);
         foundAt = Double.NaN;
-        looking = true;
+        polling = true;
         int handled = handler.run(context);
-        looking = false;
+        polling = false;
         double found = Double.isNaN(foundAt) ? clock.getAsDouble() : foundAt;
-        lookedAt = immediate ? lookAt : Math.min(found, wakeAt);
-        spare += lookedAt - lookAt;
+        lastPolledAt = nonBlocking ? pollStartedAt : Math.min(found, latestWakeAt);
+        idleTime += lastPolledAt - pollStartedAt;
         return handled;
     }
 
-    private static double mostWaitMs(IoHandlerContext context) {
+    private static double maxWaitMs(IoHandlerContext context) {
         return Math.max(0, context.delayNanos(System.nanoTime()) / NANOS_PER_MS);
     }
 
--- a/src/main/java/cranedeal/node/Main.java
+++ b/src/main/java/cranedeal/node/Main.java
@@ -7,8 +7,8 @@
 import java.util.logging.Level;
 
 /**
- * Where the program starts: {@code serve} runs one balancer, {@code wire} the same decisions for the
- * simulator. All else is the command line's.
+ * Entry point of the program: {@code serve} runs one balancer, {@code wire} hosts the same decision code for
+ * the simulator. All other arguments are handled by the command line of {@link Fleet}.
  */
 public final class Main {
 
@@ -17,7 +17,7 @@
 
     /** Runs the subcommand that the arguments name. */
     public static void main(String[] args) throws InterruptedException {
-        // These two start without the command line's classes, as fast and as small as they can.
+        // These two bypass the command-line classes, so that they start fast and use little memory.
         if (args.length == 1 && args[0].equals("wire")) {
             wire();
         } else if (args.length == 1 && args[0].equals("serve")) {
@@ -33,7 +33,7 @@
     }
 
     private static int serve() throws InterruptedException {
-        // Whoever sees it serve may send signals, so they are provided for before it does.
+        // Signals may arrive as soon as the node serves, so their handlers are installed first.
         CompletableFuture<Node> started = new CompletableFuture<>();
         drainAtShutdown(started);
         reloadAtHangup(started);
@@ -42,18 +42,18 @@
         } catch (ConfigException e) {
             exit("sablehinge: " + e.getMessage(), 1);
         }
-        // The node's own threads are daemons, so that the end of the shutdown hook ends the process.
+        // The node's threads are daemon threads, so the process exits when the shutdown hook returns.
         new CountDownLatch(1).await();
         return 0;
     }
 
-    /** The one folder that may be written to. */
+    /** The folder shared by the processes of a hot restart; null if {@code TMPDIR} is not set. */
     private static Path folder() {
         String folder = System.getenv("TMPDIR");
         return folder == null || folder.isEmpty() ? null : Path.of(folder);
     }
 
-    /** SIGTERM starts the hook, and the virtual machine lives on until the hook returns. */
+    /** SIGTERM runs the shutdown hook, and the virtual machine exits when the hook returns. */
     private static void drainAtShutdown(CompletableFuture<Node> started) {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Without a handler of its own, SIGHUP would end the virtual machine. Only sun.misc.Signal can set one,
-     * and the compiler takes no mention of that without a warning, so it is looked up.
+     * Without a handler, SIGHUP would end the virtual machine. Only sun.misc.Signal can install one, and
+     * naming it makes the compiler warn, so it is used by reflection.
      */
     private static void reloadAtHangup(CompletableFuture<Node> started) {
         try {
@@ -83,7 +83,7 @@
             signal.getMethod("handle", signal, handler).invoke(null,
                     signal.getConstructor(String.class).newInstance("HUP"), reload);
         } catch (ReflectiveOperationException e) {
-            Node.LOG.log(Level.WARNING, "SIGHUP will end this process", e);
+            Node.LOG.log(Level.WARNING, "cannot handle SIGHUP; it will end this process", e);
         }
     }
 
--- a/src/main/java/cranedeal/node/MembershipHandle.java
+++ b/src/main/java/cranedeal/node/MembershipHandle.java
@@ -2,18 +2,18 @@
 
 import java.util.Map;
 
-/** This process's place among the members of a fleet. Nothing here waits for the network. */
+/** This process's membership of a fleet. No method blocks on the network. */
 interface MembershipHandle {
 
-    /** How many descriptors it takes at most. */
+    /** The maximum number of descriptors that it uses. */
     int DESCRIPTORS = 32;
 
-    /** Leaves it to another process of this balancer. */
+    /** Hands the membership over to another process of this balancer. */
     void handOver();
 
-    /** Tells the others that this balancer leaves. */
+    /** Announces to the other members that this balancer leaves. */
     void leave();
 
-    /** The figures by their names. */
+    /** The metrics by name. */
     Map<String, Long> metrics();
 }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -49,40 +49,49 @@
 import java.util.logging.Logger;
 
 /**
- * One balancer: owns the decision module, tells it what happens on the sockets and carries out what it asks
- * for. It decides nothing itself. All of it runs on one event loop thread, so nothing is locked.
+ * One balancer process: owns the decision module, passes socket events to it and carries out the actions
+ * that it requests. The node makes no balancing decisions itself. All of its state is confined to one event
+ * loop thread, so it needs no locks.
  */
 final class Node implements LoadBalancer.Actions, AdminEndpoint.Operations {
 
     static final Logger LOG = Logger.getLogger("sablehinge");
-    /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
-    private static final int PAGE = 8_192;
+    /** Netty's pool of direct memory: one arena, since there is one thread, in chunks of 512 KiB. */
+    private static final int PAGE_SIZE = 8_192;
     private static final int CHUNK_ORDER = 6;
-    private static final int CACHED = 32;
-    /** How long new connections may still come after SIGTERM, with time to spare. */
+    private static final int CACHED_BUFFERS = 32;
+    /** How long new connections may still arrive after SIGTERM, with a margin. */
     private static final long LATE_CONNECTIONS_MS = 550;
     private static final long DRAIN_CHECK_MS = 10;
-    /** How often to look what another process of this balancer does. */
-    private static final long LOOK_AROUND_MS = 250;
-    private static final long LARGE_CHECK_MS = 1_000;
-    private static final double TELL_EVERY_MS = 10_000;
-    /** How many upstreams are remembered as listed at some time. */
-    private static final int MOST_KNOWN = 10_000;
-    /** SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more: less is used of it. */
-    private static final double LONGEST_DRAIN_MS = 3_000;
+    /** How often to check the state of the other process of this balancer. */
+    private static final long PROCESS_CHECK_MS = 250;
+    private static final long BODY_CHECK_MS = 1_000;
+    private static final double LOG_INTERVAL_MS = 10_000;
+    /** Upper bound of the number of upstreams remembered in {@link #everListed}. */
+    private static final int MAX_KNOWN_UPSTREAMS = 10_000;
+    /**
+     * SIGKILL follows no sooner than the longest deadline (at most 3 s) plus 0.7 s; a drain uses less than
+     * that.
+     */
+    private static final double MAX_DRAIN_MS = 3_000;
     private static final double DRAIN_SLACK_MS = 400;
     /**
-     * How long after that the last answers may take to go out and their connections to end in order. As much
-     * is left then until SIGKILL may come, since a process may be held up for 150 ms.
+     * How long after the drain's end the last answers may take to be written and their connections to be
+     * closed in order. The same time then remains before SIGKILL, since a process may be paused for 150 ms.
+     */
+    private static final double FINAL_ANSWERS_MS = 150;
+    /**
+     * How long before the drain's end the node starts to close callers' connections. Requests that arrive
+     * until then still have time to be served.
      */
-    private static final double LAST_WORDS_MS = 150;
-    /** How long before that callers are sent away: what comes until then still has time to be served. */
-    private static final double SEND_AWAY_MS = 1_200;
+    private static final double CLOSE_CALLERS_MS = 1_200;
 
     private volatile NodeConfig config;
     private final EventLoop loop;
-    /** The processes of an upgrade; null where there are none. */
-    private final ProcessHandover succession;
+    /**
+     * Coordinates this process with the other one during a hot restart; null if hot restart is unavailable.
+     */
+    private final ProcessHandover handover;
     private final Clock clock;
     private final LoopMonitor monitor;
     private final LoadBalancer balancer;
@@ -90,49 +99,49 @@
     private final DiscoveryClient discovery;
     private final Frontend frontend;
     private final SocketBudget sockets;
-    private final NodeMetrics figures = new NodeMetrics();
-    /** The operators' door; null if the configuration names none. */
-    private final AdminEndpoint door;
+    private final NodeMetrics metrics = new NodeMetrics();
+    /** The operators' HTTP endpoint; null if none is configured. */
+    private final AdminEndpoint admin;
     private volatile boolean serving;
     private volatile boolean draining;
-    /** Where what operators want is kept on disk; null if the configuration names no folder for it. */
-    private final OverrideStore book;
-    /** Keeps what the module learns for the next process; null if there is no folder for it. */
-    private final WarmStateSaver keeper;
-    /** Its place among the members of a fleet; null if it is of none. */
-    private volatile MembershipHandle presence;
-    /** What the fleet has published for this balancer's service; null if nothing is in force. */
+    /** Persists the operators' overrides; null if no state folder is configured. */
+    private final OverrideStore overrideStore;
+    /** Saves the module's warm-start state for the next process; null if no state folder is configured. */
+    private final WarmStateSaver warmStateSaver;
+    /** This process's membership of a fleet; null if it belongs to none. */
+    private volatile MembershipHandle membership;
+    /** The configuration section that the fleet has published for this balancer's service; null if none. */
     private JsonNode published;
-    /** What operators want. */
-    private OperatorOverrides orders = OperatorOverrides.NONE;
-    /** Where the orders are kept, with {@link #succession}. */
-    private final Path folder;
-    /** Whether another process of this balancer lived at the last look. */
-    private boolean hadOther;
-    /** When it was last told that this could not be seen. */
-    private volatile double unknownToldAt = Double.NEGATIVE_INFINITY;
+    /** The operators' overrides in force. */
+    private OperatorOverrides overrides = OperatorOverrides.NONE;
+    /** The folder shared by the processes of a hot restart. It holds the overrides if there is no store. */
+    private final Path sharedFolder;
+    /** Whether another process of this balancer was alive at the last check. */
+    private boolean hadOtherProcess;
+    /** When the last failure to read the other process's state was logged. */
+    private volatile double unknownLoggedAt = Double.NEGATIVE_INFINITY;
     private final StartTimes startTimes = new StartTimes();
-    /** The upstreams that were ever listed, those of late. */
+    /** The upstreams that were ever listed, bounded to the most recently listed ones. */
     private final Map<Long, Boolean> everListed = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > MOST_KNOWN;
+            return size() > MAX_KNOWN_UPSTREAMS;
         }
     };
-    /** Closes what becomes idle while operators drain this balancer; null while they don't. */
-    private Future<?> handDrain;
-    /** Whether SIGTERM has come. */
-    private boolean ending;
+    /** Periodically closes idle connections while operators drain this balancer; null otherwise. */
+    private Future<?> operatorDrain;
+    /** Whether SIGTERM was received. */
+    private boolean terminating;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private long lastId;
     private boolean deciding;
-    /** The request that the module's present call is about, if it is about one. */
-    private Exchange subject;
+    /** The request that the module is handling at present; null if the event concerns none. */
+    private Exchange currentExchange;
 
-    /** Something to tell the module, and the request that it is about or null. */
+    /** A queued call of the module, and the request that it concerns or null. */
     private record Event(Exchange about, Runnable call) { }
 
     private Node(NodeConfig config, EventLoop loop, Clock clock, LoopMonitor monitor,
@@ -142,36 +151,36 @@
         this.loop = loop;
         this.clock = clock;
         this.monitor = monitor;
-        this.succession = succession;
-        this.folder = folder;
-        this.book = book;
-        keeper = config.stateDir() == null ? null
+        this.handover = succession;
+        this.sharedFolder = folder;
+        this.overrideStore = book;
+        warmStateSaver = config.stateDir() == null ? null
                 : new WarmStateSaver(new WarmStateFile(config.stateDir()), clock);
-        PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
-                CACHED, false);
+        PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE_SIZE, CHUNK_ORDER,
+                CACHED_BUFFERS, CACHED_BUFFERS, false);
         sockets = new SocketBudget(config.maxDescriptors()
                 - (config.admin() == null ? 0 : AdminEndpoint.DESCRIPTORS)
                 - (config.fleet() == null ? 0 : MembershipHandle.DESCRIPTORS));
         balancer = module.apply(this);
-        upstreams = new UpstreamClient(loop, clock, monitor::lag, config.settings(), sockets, figures,
+        upstreams = new UpstreamClient(loop, clock, monitor::lag, config.settings(), sockets, metrics,
                 memory);
         discovery = new DiscoveryClient(loop, clock::now, config.discoveryOptions(), this::parseList, memory,
                 new ListUpdates());
-        frontend = new Frontend(loop, config, sockets, memory, this, figures, monitor, clock);
-        figures.registerClasses(config.classes());
-        door = config.admin() == null ? null : new AdminEndpoint(this, loop);
+        frontend = new Frontend(loop, config, sockets, memory, this, metrics, monitor, clock);
+        metrics.registerClasses(config.classes());
+        admin = config.admin() == null ? null : new AdminEndpoint(this, loop);
     }
 
     /**
      * Starts a balancer.
      *
-     * @param folder what the processes of an upgrade share; null where there are no upgrades
+     * @param folder the folder shared by the processes of a hot restart; null if there are no hot restarts
      */
     static Node start(NodeConfig config, Path folder) throws ConfigException, InterruptedException {
         return start(config, folder, LatencyWeightedBalancer::new);
     }
 
-    /** Starts a balancer with the given module; it serves once this returns. */
+    /** Starts a balancer with the given decision module; it is serving when this returns. */
     static Node start(NodeConfig config, Path folder, Function<LoadBalancer.Actions, LoadBalancer> module)
             throws ConfigException, InterruptedException {
         Clock clock = new Clock();
@@ -179,124 +188,130 @@
         EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
                 new DefaultThreadFactory("node", true), LoopMonitor.wrap(NioIoHandler.newFactory(),
                         clock::now, made -> monitor[0] = made)).next();
-        ProcessHandover succession = folder == null || config.admin() == null ? null : join(folder);
+        ProcessHandover succession = folder == null || config.admin() == null ? null : joinHandover(folder);
         OverrideStore book = config.stateDir() == null ? null
                 : Fleet.overrideStore(config.stateDir(), folder);
         Node node = new Node(config, loop, clock, monitor[0], succession, folder, book,
                 module);
-        if (node.door != null) {
-            node.door.bind(config.admin());
+        if (node.admin != null) {
+            node.admin.bind(config.admin());
         }
-        OperatorOverrides kept = book == null ? OperatorOverrides.NONE : node.kept();
-        WarmStateFile.Snapshot learnt = node.keeper == null ? null : node.keeper.read();
-        loop.submit(() -> node.begin(kept, learnt)).sync();
+        OperatorOverrides kept = book == null ? OperatorOverrides.NONE : node.readSavedOverrides();
+        WarmStateFile.Snapshot learnt = node.warmStateSaver == null ? null : node.warmStateSaver.read();
+        loop.submit(() -> node.startModule(kept, learnt)).sync();
         node.frontend.bind(succession != null);
         node.serving = true;
         if (succession != null) {
-            node.inSuccession(ProcessHandover::markServing);
+            node.withHandover(ProcessHandover::markServing);
         }
         if (config.fleet() != null) {
-            node.presence = Fleet.join(config, node::applyPublished);
+            node.membership = Fleet.join(config, node::applyPublished);
         }
         return node;
     }
 
-    /** What is kept from before; a disk that can't tell stops no balancer, but is no secret either. */
-    private OperatorOverrides kept() {
+    /**
+     * Reads the overrides saved by an earlier process. A failure doesn't keep the balancer from starting; it
+     * is logged and shown in the metrics.
+     */
+    private OperatorOverrides readSavedOverrides() {
         try {
-            OperatorOverrides kept = book.read();
-            figures.overridesKnown(true);
+            OperatorOverrides kept = overrideStore.read();
+            metrics.overridesKnown(true);
             return kept;
         } catch (IOException | RuntimeException e) {
-            LOG.severe("serves without the orders of before: " + e.getMessage());
-            figures.overridesKnown(false);
+            LOG.severe("starting without the saved operator overrides: " + e.getMessage());
+            metrics.overridesKnown(false);
             return OperatorOverrides.NONE;
         }
     }
 
-    private static ProcessHandover join(Path folder) {
+    private static ProcessHandover joinHandover(Path folder) {
         try {
             return ProcessHandover.join(folder);
         } catch (IOException e) {
-            LOG.warning("no upgrade of this process is possible: " + e);
+            LOG.warning("hot restart is not available for this process: " + e);
             return null;
         }
     }
 
-    /** Something to ask or to tell the other process of this balancer. */
-    private interface SuccessionCall {
-        void in(ProcessHandover succession) throws IOException;
+    /** An operation on the files shared with the other process of this balancer. */
+    private interface HandoverCall {
+        void run(ProcessHandover succession) throws IOException;
     }
 
-    private void inSuccession(SuccessionCall call) {
+    private void withHandover(HandoverCall call) {
         try {
-            call.in(succession);
+            call.run(handover);
         } catch (IOException e) {
-            unknown("another process of this balancer", e);
+            logUnknown("the state of the other process of this balancer", e);
         }
     }
 
-    private void unknown(String of, Exception why) {
+    private void logUnknown(String of, Exception why) {
         double now = clock.now();
-        if (now >= unknownToldAt + TELL_EVERY_MS) {
-            LOG.warning("nothing is known of " + of + ": " + why);
-            unknownToldAt = now;
+        if (now >= unknownLoggedAt + LOG_INTERVAL_MS) {
+            LOG.warning("cannot determine " + of + ": " + why);
+            unknownLoggedAt = now;
         }
     }
 
-    private void begin(OperatorOverrides kept, WarmStateFile.Snapshot learnt) {
+    private void startModule(OperatorOverrides kept, WarmStateFile.Snapshot learnt) {
         UpstreamList known = new UpstreamList(config.knownUpstreams().version(), true,
                 config.knownUpstreams().members());
         upstreams.update(known);
         discovery.setPushed(!config.settings().subscribe());
         tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
         if (learnt != null) {
-            tell(null, () -> keeper.recall(learnt, balancer));
+            tell(null, () -> warmStateSaver.restore(learnt, balancer));
         }
         tell(null, () -> listChanged(Change.CACHED, entries(known)));
         known.members().forEach(member -> everListed.put(member.upstream().id(), true));
-        obey(kept, kept.reloads());
-        if (succession != null) {
-            hadOther = true;
-            lookAround();
-            loop.scheduleAtFixedRate(this::lookAround, LOOK_AROUND_MS, LOOK_AROUND_MS, TimeUnit.MILLISECONDS);
+        applyOverrides(kept, kept.reloads());
+        if (handover != null) {
+            hadOtherProcess = true;
+            checkOtherProcess();
+            loop.scheduleAtFixedRate(this::checkOtherProcess, PROCESS_CHECK_MS, PROCESS_CHECK_MS,
+                    TimeUnit.MILLISECONDS);
         }
-        if (keeper != null) {
-            Executor writer = door != null ? door.loop()
+        if (warmStateSaver != null) {
+            Executor writer = admin != null ? admin.loop()
                     : new DefaultEventExecutor(new DefaultThreadFactory("keeper", true));
-            keeper.keep(loop, writer, this::learnt, () -> !hasSuccessor());
+            warmStateSaver.start(loop, writer, this::exportWarmState, () -> !hasSuccessor());
         }
     }
 
-    private LoadBalancer.WarmState learnt() {
+    private LoadBalancer.WarmState exportWarmState() {
         try {
             return balancer.warmState(clock.now());
         } catch (RuntimeException e) {
-            broken(null, e);
+            moduleFailed(null, e);
             return LoadBalancer.WarmState.EMPTY;
         }
     }
 
-    /** Whether a later process of this balancer serves. */
+    /** Returns true if a later process of this balancer is serving. */
     private boolean hasSuccessor() {
         boolean[] has = new boolean[1];
-        if (succession != null) {
-            inSuccession(processes -> has[0] = processes.hasSuccessor());
+        if (handover != null) {
+            withHandover(processes -> has[0] = processes.hasSuccessor());
         }
         return has[0];
     }
 
-    /** Looks whether another process of this balancer lives, and what operators have ordered there. */
-    private void lookAround() {
-        inSuccession(processes -> {
+    /**
+     * Checks whether another process of this balancer is alive, and applies overrides that were set there.
+     */
+    private void checkOtherProcess() {
+        withHandover(processes -> {
             boolean other = processes.hasOtherProcess();
             sockets.setShared(other);
-            if ((other || hadOther) && book == null) {
-                obey(OperatorOverrides.read(folder), 0);
-            } else if (other || hadOther) {
-                door.loop().execute(this::obeyBook);
+            if ((other || hadOtherProcess) && overrideStore == null) {
+                applyOverrides(OperatorOverrides.read(sharedFolder), 0);
+            } else if (other || hadOtherProcess) {
+                admin.loop().execute(this::applyStoredOverrides);
             }
-            hadOther = other;
+            hadOtherProcess = other;
         });
     }
 
@@ -306,7 +321,7 @@
         List<Upstream> entries = new ArrayList<>(list.members().size());
         for (UpstreamList.Member member : list.members()) {
             Upstream listed = member.upstream();
-            double startedAt = startTimes.of(listed.id(), listed.startedAt(), now, unix);
+            double startedAt = startTimes.toNodeClock(listed.id(), listed.startedAt(), now, unix);
             entries.add(startedAt == listed.startedAt() ? listed : new Upstream(listed.id(), listed.zone(),
                     listed.machineType(), listed.cell(), listed.state(), listed.weight(), startedAt));
         }
@@ -320,50 +335,50 @@
 
     @Override
     public String stats() {
-        MembershipHandle member = presence;
-        return figures.text() + NodeMetrics.text(discovery.figures().values())
+        MembershipHandle member = membership;
+        return metrics.text() + NodeMetrics.text(discovery.metrics().values())
                 + (member == null ? "" : NodeMetrics.text(member.metrics()));
     }
 
-    /** Sends callers away as SIGTERM does, but goes on: {@link #stopDrain} undoes it. */
+    /** Closes callers' connections as SIGTERM does, but keeps running: {@link #stopDrain} undoes it. */
     @Override
     public CompletionStage<Boolean> startDrain() {
-        return order(given -> given.withDraining(true));
+        return updateOverrides(given -> given.withDraining(true));
     }
 
     @Override
     public CompletionStage<Boolean> stopDrain() {
-        return order(given -> given.withDraining(false));
+        return updateOverrides(given -> given.withDraining(false));
     }
 
     @Override
     public CompletionStage<Boolean> ban(String id, boolean banned) {
         long upstream = UpstreamList.numericId(id);
         if (!everListed.containsKey(upstream) && !upstreams.isListed(upstream)
-                && !orders.disabledUpstreams().contains(id)) {
+                && !overrides.disabledUpstreams().contains(id)) {
             return CompletableFuture.completedFuture(false);
         }
-        return order(given -> given.withUpstream(id, banned));
+        return updateOverrides(given -> given.withUpstream(id, banned));
     }
 
-    /** Changes what operators want, without a wait of this loop for a disk. */
-    private CompletionStage<Boolean> order(UnaryOperator<OperatorOverrides> change) {
+    /** Changes the overrides without blocking this loop on disk writes. */
+    private CompletionStage<Boolean> updateOverrides(UnaryOperator<OperatorOverrides> change) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        if (book == null) {
+        if (overrideStore == null) {
             try {
-                order(change, 0);
+                updateOverrides(change, 0);
                 done.complete(true);
             } catch (IOException e) {
                 done.completeExceptionally(e);
             }
             return done;
         }
-        door.loop().execute(() -> {
+        admin.loop().execute(() -> {
             try {
-                OperatorOverrides changed = book.change(change);
+                OperatorOverrides changed = overrideStore.change(change);
                 loop.execute(() -> {
-                    figures.overridesKnown(true);
-                    obey(changed, 0);
+                    metrics.overridesKnown(true);
+                    applyOverrides(changed, 0);
                     done.complete(true);
                 });
             } catch (IOException | RuntimeException e) {
@@ -373,126 +388,126 @@
         return done;
     }
 
-    /** Obeys what is kept, which another process of this balancer may have changed. */
-    private void obeyBook() {
+    /** Applies the stored overrides, which another process of this balancer may have changed. */
+    private void applyStoredOverrides() {
         try {
-            OperatorOverrides kept = book.read();
-            loop.execute(() -> obey(kept, 0));
+            OperatorOverrides kept = overrideStore.read();
+            loop.execute(() -> applyOverrides(kept, 0));
         } catch (IOException | RuntimeException e) {
-            unknown("what was ordered at another process of this balancer", e);
+            logUnknown("the operator overrides set at the other process of this balancer", e);
         }
     }
 
-    /** Changes what operators want; if that can't be kept, nothing changes. */
-    private void order(UnaryOperator<OperatorOverrides> change, int own) throws IOException {
-        if (succession == null) {
-            obey(change.apply(orders), 0);
+    /** Changes the overrides; if they can't be written to disk, nothing changes. */
+    private void updateOverrides(UnaryOperator<OperatorOverrides> change, int own) throws IOException {
+        if (handover == null) {
+            applyOverrides(change.apply(overrides), 0);
             return;
         }
         OperatorOverrides changed;
-        FileLock lock = succession.lockShared();
+        FileLock lock = handover.lockShared();
         try {
-            changed = change.apply(OperatorOverrides.read(folder));
-            changed.write(folder);
+            changed = change.apply(OperatorOverrides.read(sharedFolder));
+            changed.write(sharedFolder);
         } finally {
             lock.close();
         }
-        obey(changed, own);
+        applyOverrides(changed, own);
     }
 
-    /** Does what operators want; {@code own} of the reloads were this process's. */
-    private void obey(OperatorOverrides given, long own) {
-        OperatorOverrides before = orders;
-        orders = given;
+    /** Applies overrides; {@code own} is how many of the counted reloads this process did itself. */
+    private void applyOverrides(OperatorOverrides given, long own) {
+        OperatorOverrides before = overrides;
+        overrides = given;
         given.disabledUpstreams().stream().filter(id -> !before.disabledUpstreams().contains(id))
-                .forEach(id -> use(id, false));
+                .forEach(id -> setInUse(id, false));
         if (given.reloads() - own > before.reloads()) {
-            follow();
+            reloadLikeOtherProcess();
         }
         before.disabledUpstreams().stream().filter(id -> !given.disabledUpstreams().contains(id))
-                .forEach(id -> use(id, true));
-        // What SIGTERM has begun, no order undoes.
-        if (given.draining() && !ending) {
-            beginHandDrain();
-        } else if (!ending) {
-            stopHandDrain();
+                .forEach(id -> setInUse(id, true));
+        // Operators can't undo the drain that SIGTERM has started.
+        if (given.draining() && !terminating) {
+            startOperatorDrain();
+        } else if (!terminating) {
+            stopOperatorDrain();
         }
     }
 
-    private void use(String id, boolean used) {
-        LOG.info(id + (used ? " is put back to use" : " is taken out of use") + " by hand");
+    private void setInUse(String id, boolean used) {
+        LOG.info(id + (used ? " was enabled" : " was disabled") + " by an operator");
         long upstream = UpstreamList.numericId(id);
         upstreams.ban(upstream, !used);
         tell(null, () -> {
             balancer.upstreamDisabled(clock.now(), upstream, !used);
-            figures.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
+            metrics.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
         });
     }
 
-    private void beginHandDrain() {
-        if (handDrain == null) {
-            LOG.info("drains by hand");
+    private void startOperatorDrain() {
+        if (operatorDrain == null) {
+            LOG.info("draining on an operator's request");
             draining = true;
             frontend.startDrain(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            handDrain = loop.scheduleAtFixedRate(frontend::closeIdle, LATE_CONNECTIONS_MS, DRAIN_CHECK_MS,
+            operatorDrain = loop.scheduleAtFixedRate(frontend::closeIdle, LATE_CONNECTIONS_MS, DRAIN_CHECK_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void stopHandDrain() {
-        if (handDrain != null) {
-            LOG.info("the drain by hand is over");
-            handDrain.cancel(false);
-            handDrain = null;
+    private void stopOperatorDrain() {
+        if (operatorDrain != null) {
+            LOG.info("the operator's drain has ended");
+            operatorDrain.cancel(false);
+            operatorDrain = null;
             frontend.stopDrain();
             draining = false;
         }
     }
 
-    /** Where operators call; for tests. */
+    /** The address of the operators' endpoint; for tests. */
     InetSocketAddress adminAddress() {
-        return door.address();
+        return admin.address();
     }
 
-    /** Where it listens. */
+    /** The address that callers connect to. */
     InetSocketAddress address() {
         return frontend.address();
     }
 
     /**
-     * Stops as SIGTERM wants it: goes on serving on the connections that callers have, as there may be nobody
-     * else to go to yet, then sends them away until all that was taken is answered. Returns when the process
-     * may end.
+     * Shuts down gracefully after SIGTERM: keeps serving on the callers' connections at first, as there may
+     * be no other balancer to take them yet, then closes them as soon as the accepted requests are answered.
+     * Returns when the process may exit.
      */
     void drain() throws InterruptedException {
         double longest = config.settings().classes().stream().mapToDouble(ServiceClass::deadline).max()
                 .orElse(0);
         double begun = clock.now();
-        double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
+        double latest = begun + Math.min(longest, MAX_DRAIN_MS) + DRAIN_SLACK_MS;
         serving = false;
-        // Operators who have sent callers away already gave them the time to find another balancer.
-        boolean already = loop.submit(this::endHandDrain).sync().getNow();
-        double sendAway = already ? begun : Math.max(begun, latest - DRAIN_SLACK_MS - SEND_AWAY_MS);
+        // If an operator's drain was in force, callers have already had the time to find another balancer.
+        boolean already = loop.submit(this::supersedeOperatorDrain).sync().getNow();
+        double sendAway = already ? begun : Math.max(begun, latest - DRAIN_SLACK_MS - CLOSE_CALLERS_MS);
         boolean succeeded = handOver();
-        if (presence != null && succeeded) {
-            presence.handOver();
-        } else if (presence != null) {
-            presence.leave();
+        if (membership != null && succeeded) {
+            membership.handOver();
+        } else if (membership != null) {
+            membership.leave();
         }
         while (clock.now() < sendAway) {
             Thread.sleep(DRAIN_CHECK_MS);
             succeeded = succeeded || handOver();
         }
         loop.submit(() -> frontend.startDrain(HttpResponseStatus.OK)).sync();
-        // Those that come late come to the successor, where there is one.
+        // With a successor, late connections go to it, so there is no need to wait for them.
         double idleFrom = succeeded ? sendAway : sendAway + LATE_CONNECTIONS_MS;
         while (clock.now() < idleFrom) {
             Thread.sleep(DRAIN_CHECK_MS);
         }
-        // Who waits in the queue of a socket that ends with its process would be reset.
+        // Connections left in the accept queue of a socket that closes with its process would be reset.
         loop.submit(frontend::stopListening).sync();
-        boolean done = awaitEnd(latest);
-        // What SIGKILL found unanswered would be lost; a failure is an answer.
+        boolean done = awaitDrained(latest);
+        // Requests that are unanswered at SIGKILL would be lost, so they are answered as failed.
         loop.submit(() -> {
             frontend.refuseQueuedAndCloseIdle();
             List.copyOf(exchanges.values()).stream().filter(Exchange::isOpen)
@@ -500,12 +515,12 @@
                             NodeMetrics.FailureReason.ENDING));
         }).sync();
         if (!done) {
-            awaitEnd(latest + LAST_WORDS_MS);
+            awaitDrained(latest + FINAL_ANSWERS_MS);
         }
     }
 
-    /** Closes what becomes idle until nothing is left or the time has come; whether nothing is left. */
-    private boolean awaitEnd(double latest) throws InterruptedException {
+    /** Closes idle connections until none is left or the time is over; returns true if none is left. */
+    private boolean awaitDrained(double latest) throws InterruptedException {
         boolean done = false;
         while (!done && clock.now() < latest) {
             Thread.sleep(DRAIN_CHECK_MS);
@@ -514,7 +529,7 @@
         return done;
     }
 
-    /** Leaves callers to another process, if one serves where this one is to end. */
+    /** Hands callers over to a later process of this balancer; returns false if none is serving. */
     private boolean handOver() throws InterruptedException {
         boolean succeeded = hasSuccessor();
         if (succeeded) {
@@ -523,104 +538,110 @@
         return succeeded;
     }
 
-    /** Leaves a drain by hand to the one of SIGTERM; whether there was one. */
-    private boolean endHandDrain() {
-        ending = true;
-        boolean drains = handDrain != null;
+    /** Lets the drain of SIGTERM replace an operator's drain; returns true if there was one. */
+    private boolean supersedeOperatorDrain() {
+        terminating = true;
+        boolean drains = operatorDrain != null;
         if (drains) {
-            handDrain.cancel(false);
+            operatorDrain.cancel(false);
         }
         return drains;
     }
 
     /**
-     * Reads the configuration again, which may have been replaced, and goes by it from now on, or not at all.
-     * Signals come on threads of their own; what was read later must be taken later.
+     * Reads the configuration file again and applies it as a whole, or not at all if it is invalid. Each
+     * signal arrives on its own thread, so reading and applying is synchronized: a later file is applied
+     * later.
      */
     void reload(String path) throws InterruptedException {
-        figures.configReloaded(read(path));
-        if (succession != null && book == null) {
-            loop.submit(() -> inSuccession(processes -> order(OperatorOverrides::withReload, 1))).sync();
-        } else if (succession != null) {
+        metrics.configReloaded(reloadConfig(path));
+        if (handover != null && overrideStore == null) {
+            loop.submit(() -> withHandover(
+                    processes -> updateOverrides(OperatorOverrides::withReload, 1))).sync();
+        } else if (handover != null) {
             try {
-                OperatorOverrides changed = book.change(OperatorOverrides::withReload);
-                loop.submit(() -> obey(changed, 1)).sync();
+                OperatorOverrides changed = overrideStore.change(OperatorOverrides::withReload);
+                loop.submit(() -> applyOverrides(changed, 1)).sync();
             } catch (IOException | RuntimeException e) {
-                LOG.warning("the other process of this balancer, if there is one, does not hear of this: "
+                LOG.warning("cannot pass the reload on to the other process of this balancer, if any: "
                         + e);
             }
         }
     }
 
-    private synchronized boolean read(String path) throws InterruptedException {
+    private synchronized boolean reloadConfig(String path) throws InterruptedException {
         try {
             NodeConfig replaced = NodeConfig.read(path, config, published);
-            loop.submit(() -> retune(replaced)).sync();
+            loop.submit(() -> applyConfig(replaced)).sync();
             return true;
         } catch (ConfigException e) {
-            LOG.warning("the old configuration holds: " + e.getMessage());
+            LOG.warning("keeping the old configuration: " + e.getMessage());
             return false;
         }
     }
 
     /**
-     * Lays what the fleet has published for this balancer's service over its own file, as from now on each
-     * reload does; null for nothing. Throws {@link ConfigException}, and then all is as before.
+     * Merges the section that the fleet has published for this balancer's service over its own file, now and
+     * at each later reload; null removes it. Throws {@link ConfigException} if the result is invalid, and
+     * then changes nothing.
      */
     synchronized void applyPublished(JsonNode section) throws ConfigException, InterruptedException {
         NodeConfig replaced = NodeConfig.read(config.path(), config, section);
-        loop.submit(() -> retune(replaced)).sync();
+        loop.submit(() -> applyConfig(replaced)).sync();
         published = section;
     }
 
-    /** The other process of this balancer has heard a signal, and this one may not. */
-    private void follow() {
-        // Not on the node's loop, which is to serve meanwhile.
-        door.loop().execute(() -> {
+    /**
+     * Reloads the file because the other process of this balancer got a SIGHUP, which this one may have
+     * missed.
+     */
+    private void reloadLikeOtherProcess() {
+        // Not on the node's loop, so that it keeps serving meanwhile.
+        admin.loop().execute(() -> {
             try {
-                read(config.path());
+                reloadConfig(config.path());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
     }
 
-    private void retune(NodeConfig replaced) {
+    private void applyConfig(NodeConfig replaced) {
         config = replaced;
-        figures.registerClasses(replaced.classes());
+        metrics.registerClasses(replaced.classes());
         upstreams.settingsChanged(replaced.settings());
         frontend.settingsChanged(replaced);
-        // Before the module, which may begin to ask for itself.
+        // Before the module is told, since it may start its own watch.
         discovery.setPushed(!replaced.settings().subscribe());
         tell(null, () -> balancer.settingsChanged(clock.now(), replaced.settings()));
         discovery.moveTo(replaced.discovery());
         LOG.info("goes by a new configuration; discovery is at " + replaced.discovery());
     }
 
-    /** Closes callers' connections that are idle; whether none is left. */
+    /** Closes callers' idle connections; returns true if no connection is left. */
     boolean closeIdleCallers() throws InterruptedException {
         return loop.submit(frontend::closeIdle).sync().getNow();
     }
 
-    /** Ends at once, whatever is under way; for tests. */
+    /** Stops at once, without waiting for requests in progress; for tests. */
     void shutdownNow() {
-        if (door != null) {
-            door.shutdownNow();
+        if (admin != null) {
+            admin.shutdownNow();
         }
-        if (presence != null) {
-            presence.handOver();
+        if (membership != null) {
+            membership.handOver();
         }
-        if (succession != null) {
-            inSuccession(ProcessHandover::leave);
+        if (handover != null) {
+            withHandover(ProcessHandover::leave);
         }
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    // ---- What happens ------------------------------------------------------------------------------
+    // ---- Events for the module ---------------------------------------------------------------------
 
     /**
-     * Tells the module of an event. An action may cause an event at once, such as a connection that is
-     * refused; it waits here until the module has returned from the call in which it acted.
+     * Passes an event to the module. An action of the module may cause another event at once, such as a
+     * refused connection; that event is queued until the module has returned from its current call.
      */
     private void tell(Exchange about, Runnable call) {
         events.add(new Event(about, call));
@@ -630,39 +651,39 @@
         deciding = true;
         try {
             for (Event event = events.poll(); event != null; event = events.poll()) {
-                subject = event.about();
+                currentExchange = event.about();
                 try {
                     event.call().run();
                 } catch (Throwable e) {
-                    broken(event.about(), e);
+                    moduleFailed(event.about(), e);
                 }
             }
         } finally {
-            subject = null;
+            currentExchange = null;
             deciding = false;
         }
     }
 
-    /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
-    private void broken(Exchange about, Throwable cause) {
+    /** The module threw an exception: the request concerned fails, since its state is unknown. */
+    private void moduleFailed(Exchange about, Throwable cause) {
         LOG.log(Level.SEVERE, "the decision module failed", cause);
         if (about != null && about.isOpen()) {
             fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR, NodeMetrics.FailureReason.DECISION_ERROR);
         }
     }
 
-    /** Fails a request over the module's head and tells it that the client waits no more. */
+    /** Fails a request without a decision of the module, then notifies it that the client is gone. */
     private void fail(Exchange exchange, HttpResponseStatus status, NodeMetrics.FailureReason why) {
-        figures.failed(why);
+        metrics.failed(why);
         exchange.answer(status, Unpooled.EMPTY_BUFFER, 0);
-        leave(exchange);
+        abandon(exchange);
     }
 
     private UpstreamList parseList(InputStream body) throws IOException {
         return config.parseList(body);
     }
 
-    /** Passes on what discovery tells. */
+    /** Passes on lists and failures of discovery. */
     private final class ListUpdates implements DiscoveryClient.Listener {
 
         @Override
@@ -672,7 +693,7 @@
             upstreams.update(list);
             list.members().forEach(member -> everListed.put(member.upstream().id(), true));
             tell(null, () -> listChanged(list.full() ? Change.FULL : Change.DELTA, entries));
-            figures.listInForce(list.version(), clock.now() - arrivedAt);
+            metrics.listInForce(list.version(), clock.now() - arrivedAt);
         }
 
         @Override
@@ -683,29 +704,29 @@
 
     private void listChanged(Change change, List<Upstream> entries) {
         balancer.upstreamsChanged(clock.now(), change, entries);
-        figures.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
+        metrics.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
     }
 
-    /** Takes a request in; the node owns a reference to {@code message} from here on. */
+    /** Accepts a request; the node takes over the caller's reference to {@code message}. */
     Exchange acceptRequest(Function<Long, Request> description, FullHttpRequest message,
             Exchange.Caller caller) {
         Request request = description.apply(++lastId);
         Exchange exchange = new Exchange(request.id(), config.classes().get(request.serviceClass()),
                 config.settings().classes().get(request.serviceClass()), message, request.deadline(), caller,
-                clock.now(), figures);
+                clock.now(), metrics);
         exchanges.put(exchange.id, exchange);
         exchange.receivedAt = clock.now();
         if (exchange.upload == null) {
             watch(exchange);
             tell(exchange, () -> balancer.request(clock.now(), request));
         } else {
-            receive(exchange, request);
+            receiveBody(exchange, request);
         }
         return exchange;
     }
 
-    /** Takes in a request whose body comes on its own: its client's time counts from the last byte. */
-    private void receive(Exchange exchange, Request request) {
+    /** Accepts a request whose body is streamed: its deadline counts from the last byte of the body. */
+    private void receiveBody(Exchange exchange, Request request) {
         double patience = request.deadline() - exchange.receivedAt;
         watch(exchange);
         exchange.deadline = Double.POSITIVE_INFINITY;
@@ -731,27 +752,27 @@
                 if (exchange.isOpen() && !exchange.isStreaming()) {
                     frontend.countBadRequest();
                     exchange.reject(Frontend.errorStatus(cause), Unpooled.EMPTY_BUFFER);
-                    leave(exchange);
+                    abandon(exchange);
                 }
             }
         });
     }
 
-    /** Sees to it that a request has its answer, soon after its time is over at the latest. */
+    /** Schedules the check that a request was answered by shortly after its deadline. */
     private void watch(Exchange exchange) {
         double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
         exchange.deadlineTimer = loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest),
                 TimeUnit.NANOSECONDS);
     }
 
-    /** The module has left a request without its answer; it must not stay so. */
+    /** Fails a request that the module has left unanswered past its deadline. */
     private void overdue(Exchange exchange) {
         if (exchange.isOpen() && Double.isNaN(exchange.receivedAt) && exchange.attemptsInFlight > 0) {
-            // An attempt takes its body, and is watched for whether that moves on.
+            // An attempt is sending the body, and its own timeout ends it if that makes no progress.
             exchange.deadlineTimer = loop.schedule(() ->
-                    overdue(exchange), LARGE_CHECK_MS, TimeUnit.MILLISECONDS);
+                    overdue(exchange), BODY_CHECK_MS, TimeUnit.MILLISECONDS);
         } else if (exchange.isOpen()) {
-            LOG.warning("a request was left without an answer");
+            LOG.warning("the decision module left a request unanswered");
             fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, NodeMetrics.FailureReason.DEADLINE);
         }
     }
@@ -762,19 +783,19 @@
             boolean large = exchange.upload != null || exchange.isStreaming();
             exchange.close();
             if (large) {
-                leave(exchange);
+                abandon(exchange);
             } else {
                 tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
-                settle(exchange);
+                releaseIfDone(exchange);
             }
         }
     }
 
-    /** Ends what is under way for a client that waits no more, and tells the module so. */
-    private void leave(Exchange exchange) {
+    /** Cancels the attempts for a client that no longer waits, and notifies the module. */
+    private void abandon(Exchange exchange) {
         exchange.attempts.forEach(Node::cancel);
         tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
-        settle(exchange);
+        releaseIfDone(exchange);
     }
 
     private void finished(Exchange exchange, int number, long upstream, double sentAt, Result result,
@@ -787,7 +808,7 @@
             if (result == Result.OK) {
                 exchange.endStream();
             } else {
-                figures.failed(NodeMetrics.FailureReason.BROKEN_ANSWER);
+                metrics.failed(NodeMetrics.FailureReason.BROKEN_ANSWER);
                 exchange.answer(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
             }
         } else if (result == Result.OK) {
@@ -795,12 +816,12 @@
         }
         tell(exchange, () -> balancer.attemptFinished(clock.now(), new Outcome(exchange.id, number, upstream,
                 result, !exchange.isOpen(), elapsed(exchange, number, sentAt), report)));
-        settle(exchange);
+        releaseIfDone(exchange);
     }
 
     /**
-     * How long an upstream has had a request: it can't begin before it has the whole body. While the loop is
-     * late its answer lies unread, and that is no work of the upstream's.
+     * How long an upstream took for a request. Its time starts when it has the whole body, and the time for
+     * which a late loop left its answer unread is not counted.
      */
     private double elapsed(Exchange exchange, int number, double sentAt) {
         if (Double.isNaN(exchange.receivedAt)) {
@@ -810,7 +831,7 @@
         return Math.max(0, since - exchange.localDelay(number) - monitor.lag());
     }
 
-    /** An answer too large to be held has begun; null if nobody waits for it. */
+    /** An answer too large to be buffered has started; returns null if nobody waits for it any more. */
     private ResponseSink begun(Exchange exchange, int number, double sentAt, UpstreamClient.Attempt attempt,
             long length) {
         if (!exchange.isOpen() || exchange.isStreaming()) {
@@ -822,8 +843,8 @@
         return download;
     }
 
-    /** Forgets a request once nothing more can come of it. */
-    private void settle(Exchange exchange) {
+    /** Releases a request once it is answered and no attempt is running. */
+    private void releaseIfDone(Exchange exchange) {
         if (!exchange.isOpen() && exchange.attemptsInFlight == 0 && exchanges.remove(exchange.id) != null) {
             exchange.request.release();
             if (exchange.upload != null) {
@@ -836,12 +857,12 @@
         return clock.now();
     }
 
-    /** What the module's decisions have cost so far. */
+    /** The cost of the module's decisions so far. */
     LoadBalancer.DecisionStats work() {
         return balancer.stats();
     }
 
-    // ---- What the module asks for ------------------------------------------------------------------
+    // ---- Actions of the module ---------------------------------------------------------------------
 
     @Override
     public void send(long requestId, long upstream, double timeout) {
@@ -853,7 +874,7 @@
         int number = exchange.attemptsRequested++;
         exchange.attemptsInFlight++;
         if (number > 0) {
-            figures.requestRetried(exchange.lastResult);
+            metrics.requestRetried(exchange.lastResult);
         }
         if (!exchange.isCallerWaiting(now) || now >= exchange.deadline
                 || number >= config.settings().limits().maxAttempts()
@@ -889,7 +910,7 @@
 
     @Override
     public void fail(long requestId) {
-        figures.failed(NodeMetrics.FailureReason.UPSTREAMS);
+        metrics.failed(NodeMetrics.FailureReason.UPSTREAMS);
         answer(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
@@ -897,7 +918,7 @@
         Exchange exchange = exchanges.get(requestId);
         if (exchange != null) {
             exchange.answer(status, Unpooled.EMPTY_BUFFER, retryAfter);
-            settle(exchange);
+            releaseIfDone(exchange);
         }
     }
 
@@ -956,25 +977,25 @@
 
     @Override
     public void setTimer(long token, double at) {
-        Exchange about = subject;
+        Exchange about = currentExchange;
         loop.schedule(() -> {
             if (clock.now() > at + LoopMonitor.LATE_THRESHOLD_MS) {
-                // The loop is late: the sockets have their turn first, and with them what ends the wait.
-                loop.schedule(() -> ring(about, token), 1, TimeUnit.NANOSECONDS);
+                // The loop is late: read the sockets first, as the awaited event may be there already.
+                loop.schedule(() -> fireTimer(about, token), 1, TimeUnit.NANOSECONDS);
             } else {
-                ring(about, token);
+                fireTimer(about, token);
             }
         }, clock.nanosUntil(at), TimeUnit.NANOSECONDS);
     }
 
-    private void ring(Exchange about, long token) {
+    private void fireTimer(Exchange about, long token) {
         tell(about, () -> balancer.timer(clock.now(), token));
     }
 
-    /** Balancers of this deployment have no way to talk to each other. */
+    /** Not supported: balancers of this deployment have no channel between each other. */
     @Override
     public void sendToPeer(int peer, byte[] payload) {
-        LOG.warning("the module wants to talk to its peers, which it can't here");
+        LOG.warning("the module sent a message to a peer, which is not supported here");
     }
 
     @Override
--- a/src/main/java/cranedeal/node/NodeConfig.java
+++ b/src/main/java/cranedeal/node/NodeConfig.java
@@ -22,17 +22,18 @@
 import java.util.Set;
 
 /**
- * What the platform tells a balancer in the file that {@code PROXY_CONFIG} names.
+ * The configuration of a balancer, read from the file that {@code PROXY_CONFIG} names.
  *
- * @param path where it was read
- * @param admin where operators call; null if they don't
+ * @param path the file that it was read from
+ * @param admin the address of the operators' endpoint; null if there is none
  * @param maxDescriptors how many file descriptors the process may hold
- * @param zones the names of the zones, by the index that the module uses; likewise the others
- * @param keys the keys that the file itself has, in the settings' classes only those that all with one effect
- *     have
- * @param knownUpstreams the upstreams as this balancer last had them
- * @param stateDir where what must outlast a power loss is kept; null if nothing is
- * @param fleet of which fleet it is a member; null if of none
+ * @param zones the names of the zones, by the index that the module uses; likewise machine types, classes and
+ *     tenants
+ * @param keys the keys present in the file itself, which a later file must have too; for service classes,
+ *     those that all classes of the same idempotency have
+ * @param knownUpstreams the upstreams to start with, as this balancer last knew them
+ * @param stateDir the folder of the state that must survive a power loss; null if none is kept
+ * @param fleet the fleet that it is a member of; null if none
  */
 record NodeConfig(String path, String name, InetSocketAddress listen, InetSocketAddress admin,
         InetSocketAddress discovery, long seed, int maxDescriptors, Settings settings, List<String> zones,
@@ -41,30 +42,32 @@
 
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
-    private static final String CLASS = "a class that is ";
+    private static final String CLASS_KEY_PREFIX = "a class that is ";
 
-    /** What a client of discovery begins with. */
+    /** The options of the discovery client. */
     DiscoveryClient.Options discoveryOptions() {
         return new DiscoveryClient.Options(discovery, knownUpstreams.version(), seed,
                 DiscoveryClient.MAX_WAIT_MS);
     }
 
-    /** Reads a list as discovery answers with it, by the names of zones and kinds in the settings. */
+    /**
+     * Parses discovery's answer, mapping names of zones and machine types to their indexes in the settings.
+     */
     UpstreamList parseList(InputStream body) throws IOException {
         return UpstreamList.parse(JSON.readTree(body), zones, machineTypes);
     }
 
     /**
-     * Reads a file that is to replace the one in force: whatever that has, it must have too.
+     * Reads a file that is to replace the one in force: it must have all keys that the one in force has.
      *
-     * @param section what the fleet has published, which goes before the file; null if nothing
+     * @param section the section that the fleet has published, which overrides the file; null if none
      */
     static NodeConfig read(String path, NodeConfig inForce, JsonNode section) throws ConfigException {
         NodeConfig config = read(path, section);
         requireKeys(path, inForce.keys, config.keys);
         if (!startsWith(config.zones, inForce.zones)
                 || !startsWith(config.machineTypes, inForce.machineTypes)) {
-            throw new ConfigException(path + ": zones and machine types in use can't change in service");
+            throw new ConfigException(path + ": zones and machine types in use cannot change at a reload");
         }
         return config;
     }
@@ -72,8 +75,8 @@
     private static void requireKeys(String path, Set<String> wanted, Set<String> given)
             throws ConfigException {
         for (String key : wanted) {
-            // There need not be a class with each effect.
-            String effect = key.startsWith(CLASS) ? key.substring(0, key.lastIndexOf('.')) : null;
+            // A configuration need not have a class of each idempotency.
+            String effect = key.startsWith(CLASS_KEY_PREFIX) ? key.substring(0, key.lastIndexOf('.')) : null;
             if ((effect == null || given.contains(effect + ".idempotency")) && !given.contains(key)) {
                 throw new ConfigException(path + ": " + key + " is missing");
             }
@@ -90,14 +93,14 @@
 
     private static NodeConfig read(String path, JsonNode section) throws ConfigException {
         if (path == null || path.isEmpty()) {
-            throw new ConfigException("PROXY_CONFIG names no file");
+            throw new ConfigException("PROXY_CONFIG is not set");
         }
         try {
             JsonNode root = JSON.readTree(Path.of(path).toFile());
-            // What the file has has to be there with the section too, and the section's can go again.
+            // The section must keep the file's keys; keys that only the section has may disappear later.
             Set<String> keys = keys(root);
             if (section != null && root instanceof ObjectNode own) {
-                lay(section, own);
+                mergeInto(section, own);
                 requireKeys(path, keys, keys(root));
             }
             return parse(path, root, keys);
@@ -109,11 +112,11 @@
         }
     }
 
-    /** Puts one object's values in place of another's; objects within are laid likewise, lists as a whole. */
-    private static void lay(JsonNode section, ObjectNode over) {
+    /** Merges one object into another: nested objects recursively, while lists are replaced as a whole. */
+    private static void mergeInto(JsonNode section, ObjectNode over) {
         for (Map.Entry<String, JsonNode> field : section.properties()) {
             if (field.getValue().isObject() && over.get(field.getKey()) instanceof ObjectNode inner) {
-                lay(field.getValue(), inner);
+                mergeInto(field.getValue(), inner);
             } else {
                 over.set(field.getKey(), field.getValue());
             }
@@ -131,7 +134,7 @@
         }
         List<String> classes = names(given.path("services"));
         if (Set.copyOf(classes).size() < classes.size()) {
-            throw new IllegalArgumentException("two classes have one name");
+            throw new IllegalArgumentException("two classes have the same name");
         }
         StringBuilder lines = new StringBuilder();
         flatten("", given, lines);
@@ -148,7 +151,7 @@
 
     private static void positive(JsonNode value, String name) {
         if (!value.isNumber() || !(value.doubleValue() > 0 && Double.isFinite(value.doubleValue()))) {
-            throw new IllegalArgumentException(name + " is no number above 0");
+            throw new IllegalArgumentException(name + " must be a number above 0");
         }
     }
 
@@ -160,12 +163,13 @@
         for (JsonNode service : root.path("settings").path("services")) {
             Set<String> own = new HashSet<>();
             service.fieldNames().forEachRemaining(own::add);
-            // Where a class may run is its own affair.
+            // The placement of a class is optional.
             own.removeAll(List.of("runsIn", "boundTo"));
             byEffect.computeIfAbsent(service.path("idempotency").asText(), effect -> new HashSet<>(own))
                     .retainAll(own);
         }
-        byEffect.forEach((effect, own) -> own.forEach(key -> keys.add(CLASS + effect + "." + key)));
+        byEffect.forEach((effect, own) -> own.forEach(
+                key -> keys.add(CLASS_KEY_PREFIX + effect + "." + key)));
         return Set.copyOf(keys);
     }
 
@@ -186,7 +190,7 @@
         }
     }
 
-    /** The environment's word, which is this process's alone, goes before that of the file. */
+    /** The environment variable, which is set for this process alone, overrides the file. */
     private static InetSocketAddress admin(JsonNode root) {
         String given = System.getenv("PROXY_ADMIN_ADDR");
         if (given != null && !given.isEmpty()) {
@@ -199,14 +203,14 @@
         return root.path("admin_addr").asText("").isEmpty() ? null : address(root, "admin_addr");
     }
 
-    /** The folder that a key names; null without that key. */
+    /** The folder that a key names; null if the key is absent. */
     static Path folder(JsonNode object, String key) {
         JsonNode given = object.path(key);
         if (given.isMissingNode()) {
             return null;
         }
         if (!given.isTextual() || given.textValue().isBlank()) {
-            throw new IllegalArgumentException(key + " names no folder");
+            throw new IllegalArgumentException(key + " must name a folder");
         }
         return Path.of(given.textValue());
     }
@@ -215,18 +219,18 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("seed '" + text + "' is no hexadecimal number", e);
+            throw new IllegalArgumentException("seed '" + text + "' is not a hexadecimal number", e);
         }
     }
 
-    /** The names in a list, or those of the objects in it. */
+    /** The names in a list of strings or of objects with a key {@code name}. */
     private static List<String> names(JsonNode list) {
         List<String> names = new ArrayList<>();
         list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
         return List.copyOf(names);
     }
 
-    /** Writes nested settings as the {@code path=value} lines of the simulator's first message. */
+    /** Flattens nested settings to the {@code path=value} lines of the simulator's first message. */
     private static void flatten(String path, JsonNode value, StringBuilder lines) {
         if (value.isObject()) {
             for (Map.Entry<String, JsonNode> field : value.properties()) {
@@ -234,24 +238,24 @@
                 flatten(name, field.getValue(), lines);
             }
         } else if (value.isArray() && value.size() > 0 && value.get(0).isObject()) {
-            line(path + ".count", Integer.toString(value.size()), lines);
+            appendLine(path + ".count", Integer.toString(value.size()), lines);
             for (int i = 0; i < value.size(); i++) {
                 flatten(path + "." + i, value.get(i), lines);
             }
         } else if (value.isArray()) {
             List<String> items = new ArrayList<>();
-            value.forEach(item -> items.add(plain(item)));
-            line(path, String.join(",", items), lines);
+            value.forEach(item -> items.add(sanitize(item)));
+            appendLine(path, String.join(",", items), lines);
         } else if (!value.isNull() && !value.isMissingNode()) {
-            line(path, plain(value), lines);
+            appendLine(path, sanitize(value), lines);
         }
     }
 
-    private static String plain(JsonNode value) {
+    private static String sanitize(JsonNode value) {
         return value.asText().replaceAll("[\\s,]", "_");
     }
 
-    private static void line(String path, String value, StringBuilder lines) {
+    private static void appendLine(String path, String value, StringBuilder lines) {
         lines.append(path).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/cranedeal/node/NodeMetrics.java
+++ b/src/main/java/cranedeal/node/NodeMetrics.java
@@ -12,49 +12,49 @@
 import java.util.stream.Stream;
 
 /**
- * What a balancer counts, from 0 at its start. The node's loop feeds it where an event happens; any thread
- * may read.
+ * The metrics of a balancer, counted from its start. The node's loop updates them where an event happens; any
+ * thread may read them.
  */
 final class NodeMetrics {
 
-    /** The one control character that is not below the blank. */
+    /** The one ASCII control character above the space. */
     private static final int DELETE = 0x7f;
     private static final String PREFIX = "edge_proxy.";
     private static final double PERCENT = 100;
 
-    /** Why a request was refused before the decision module had it. */
+    /** Why a request was refused before it reached the decision module. */
     enum RefusalReason { PROCESSOR, ENDING }
 
-    /** Why a connection was closed, or none was taken. */
+    /** Why a connection was closed or not accepted. */
     enum CloseReason {
         CALLER_FOR_ROOM, SILENT_CALLER_FOR_ROOM, CALLER_NOT_TAKEN, ACCEPT_FAILED, UPSTREAM_FOR_ROOM,
         UPSTREAM_IDLE
     }
 
-    /** Why a connection to an upstream did not come up. */
+    /** Why a connection to an upstream could not be established. */
     enum ConnectFailure { NO_DESCRIPTOR, NO_SOCKET, NOT_UP }
 
     /**
-     * Why a request was answered as failed: its attempts failed, an answer that had begun broke off, it had
-     * no answer when its time was over, the decision module or the handling of its message threw, or the
-     * process ended.
+     * Why a request was answered as failed: its attempts failed, an answer broke off after it had started,
+     * the request was unanswered at its deadline, the decision module or the request handler threw an
+     * exception, or the process shut down.
      */
     enum FailureReason { UPSTREAMS, BROKEN_ANSWER, DEADLINE, DECISION_ERROR, HANDLER_ERROR, ENDING }
 
-    /** How the requests of one class ended. */
-    private static final class Answers {
+    /** The results of the requests of one service class. */
+    private static final class ClassCounts {
         final AtomicLong success = new AtomicLong();
         final AtomicLong overload = new AtomicLong();
         final AtomicLong error = new AtomicLong();
     }
 
-    /** By class; one that has left the settings keeps its counts. */
-    private final Map<String, Answers> answers = new ConcurrentSkipListMap<>();
+    /** By class name; a class that was removed from the settings keeps its counts. */
+    private final Map<String, ClassCounts> countsByClass = new ConcurrentSkipListMap<>();
     private final AtomicInteger concurrent = new AtomicInteger();
     private final AtomicLong dispatches = new AtomicLong();
     private volatile int targets;
     private volatile int targetsDisabled;
-    /** Whether what operators ordered before is known; null where nothing is kept of that. */
+    /** Whether the saved overrides could be read; null if none are saved. */
     private volatile Boolean ordersKnown;
     private final Map<Enum<?>, AtomicLong> causes = new ConcurrentHashMap<>();
     private final AtomicLong connections = new AtomicLong();
@@ -65,24 +65,24 @@
     private final AtomicLong reloadSuccess = new AtomicLong();
     private final AtomicLong reloadFailure = new AtomicLong();
 
-    /** Names classes that are to be shown, also before their first request. */
+    /** Registers classes, so that they are shown before their first request. */
     void registerClasses(Collection<String> classes) {
-        classes.forEach(name -> answers.computeIfAbsent(name, absent -> new Answers()));
+        classes.forEach(name -> countsByClass.computeIfAbsent(name, absent -> new ClassCounts()));
     }
 
-    /** A request was taken. */
+    /** A request was accepted. */
     void requestStarted() {
         concurrent.incrementAndGet();
     }
 
-    /** A request that was taken has its answer, or nobody waits for one any more. */
+    /** An accepted request was answered, or its client is gone. */
     void requestEnded() {
         concurrent.decrementAndGet();
     }
 
-    /** A request has its final answer, whoever worded it. */
+    /** A request got its final answer, from an upstream or from the balancer itself. */
     void requestAnswered(String serviceClass, HttpResponseStatus status) {
-        Answers counts = answers.computeIfAbsent(serviceClass, absent -> new Answers());
+        ClassCounts counts = countsByClass.computeIfAbsent(serviceClass, absent -> new ClassCounts());
         if (status.code() == 200) {
             counts.success.incrementAndGet();
         } else if (status.code() == 429 || status.code() == 503) {
@@ -92,162 +92,166 @@
         }
     }
 
-    /** An attempt was written whole to an upstream. */
+    /** An attempt was written completely to an upstream. */
     void attemptSent() {
         dispatches.incrementAndGet();
     }
 
     /**
-     * How late the loop is.
+     * The delay of the event loop.
      *
-     * @param busyMs the longest between two looks at the sockets in the last quarter of a second
-     * @param waitMs the longest that a request waited for its turn in that time
-     * @param waiting requests that wait for their turn
-     * @param longestMs the greatest of all {@code busyMs} since the start
+     * @param busyMs the longest time between two polls of the sockets in the last quarter of a second
+     * @param waitMs the longest time that a request was queued in that time
+     * @param waiting the number of queued requests
+     * @param longestMs the maximum of {@code busyMs} since the start
      */
     private record LoopDelay(double busyMs, double waitMs, int waiting, double longestMs) { }
 
-    /** Descriptors by use: callers, those of them that rest, all connections, and how many there may be. */
-    private record Descriptors(int callers, int resting, int open, int limit) { }
+    /** Descriptors in use: callers, idle ones among them, all connections, and the limit. */
+    private record Descriptors(int callers, int idle, int open, int limit) { }
 
-    /** The version of the list in force, and how long that took once it had been read, in ms. */
-    private record ListInForce(long version, double tookMs) { }
+    /** The version of the list in force, and the time from its arrival until it was in force, in ms. */
+    private record ListInForce(long version, double appliedInMs) { }
 
-    /** How late the loop was since this was last told. */
+    /** Sets the loop's delay since the last update. */
     void loopDelay(double busyMs, double waitMs, int waiting) {
         loopDelay = new LoopDelay(busyMs, waitMs, waiting, Math.max(loopDelay.longestMs(), busyMs));
     }
 
-    /** Who holds descriptors now. */
+    /** Sets the descriptors in use. */
     void descriptorUse(int callers, int resting, int open, int limit) {
         descriptors = new Descriptors(callers, resting, open, limit);
     }
 
-    /** A list is in force. */
+    /** A new list is in force. */
     void listInForce(long version, double tookMs) {
         list = new ListInForce(version, tookMs);
     }
 
-    /** What the decisions have cost so far. */
+    /** Sets the cost of the decisions so far. */
     void decisionWork(LoadBalancer.DecisionStats cost) {
         work = cost;
     }
 
-    /** A request was refused before the module had it. */
+    /** A request was refused before it reached the module. */
     void requestRefused(RefusalReason why) {
-        count(why);
+        increment(why);
     }
 
-    /** A connection was closed, or none was taken. */
+    /** A connection was closed or not accepted. */
     void connectionClosed(CloseReason why) {
-        count(why);
+        increment(why);
     }
 
-    /** A connection to an upstream did not come up. */
+    /** A connection to an upstream could not be established. */
     void failed(ConnectFailure why) {
-        count(why);
+        increment(why);
     }
 
     /** A request was answered as failed. */
     void failed(FailureReason why) {
-        count(why);
+        increment(why);
     }
 
-    /** An attempt after the first was asked for, as the one before ended so. */
+    /** A further attempt was requested after the previous one ended with the given result. */
     void requestRetried(LoadBalancer.Result after) {
-        count(after);
+        increment(after);
     }
 
-    /** A connection to an upstream was begun. */
+    /** A connection attempt to an upstream was started. */
     void connectionStarted() {
         connections.incrementAndGet();
     }
 
-    private void count(Enum<?> cause) {
+    private void increment(Enum<?> cause) {
         causes.computeIfAbsent(cause, absent -> new AtomicLong()).incrementAndGet();
     }
 
-    private long counted(Enum<?> cause) {
+    private long countOf(Enum<?> cause) {
         AtomicLong count = causes.get(cause);
         return count == null ? 0 : count.get();
     }
 
-    private void lines(StringBuilder text, String prefix, Enum<?>... values) {
+    private void appendCauses(StringBuilder text, String prefix, Enum<?>... values) {
         for (Enum<?> cause : values) {
-            line(text, prefix + cause.name().toLowerCase(Locale.ROOT), counted(cause));
+            appendLine(text, prefix + cause.name().toLowerCase(Locale.ROOT), countOf(cause));
         }
     }
 
-    /** What tells of a balancer in trouble: how late it is, and why it refused, closed and tried again. */
-    private void operation(StringBuilder text) {
+    /**
+     * Appends the metrics for diagnosis: loop delay, and reasons of refusals, closed connections and retries.
+     */
+    private void appendOperational(StringBuilder text) {
         LoopDelay delay = loopDelay;
-        line(text, "loop_busy_ms", Math.round(delay.busyMs()));
-        line(text, "loop_busy_longest_ms", Math.round(delay.longestMs()));
-        line(text, "arrivals_wait_ms", Math.round(delay.waitMs()));
-        line(text, "arrivals_waiting", delay.waiting());
+        appendLine(text, "loop_busy_ms", Math.round(delay.busyMs()));
+        appendLine(text, "loop_busy_longest_ms", Math.round(delay.longestMs()));
+        appendLine(text, "arrivals_wait_ms", Math.round(delay.waitMs()));
+        appendLine(text, "arrivals_waiting", delay.waiting());
         Descriptors held = descriptors;
-        line(text, "connections_callers", held.callers());
-        line(text, "connections_callers_resting", held.resting());
-        line(text, "connections_all", held.open());
-        line(text, "connections_limit", held.limit());
-        line(text, "connects", connections.get());
-        line(text, "list_version", list.version());
-        line(text, "list_in_force_ms", Math.round(list.tookMs()));
-        line(text, "draws", work.draws());
-        line(text, "draws_examined", work.examined());
-        line(text, "held", work.queued());
-        line(text, "pressure_percent", Math.round(PERCENT * work.pressure()));
-        line(text, "unserved_shed", work.unserved().shed());
-        line(text, "unserved_no_upstream", work.unserved().noUpstream());
-        line(text, "unserved_attempts_failed", work.unserved().attemptsFailed());
-        line(text, "retries", Stream.of(LoadBalancer.Result.values()).mapToLong(this::counted).sum());
-        lines(text, "retried_after_", LoadBalancer.Result.values());
-        lines(text, "refused_for_", RefusalReason.values());
-        lines(text, "failed_for_", FailureReason.values());
-        lines(text, "closed_", CloseReason.values());
-        lines(text, "connect_failed_", ConnectFailure.values());
+        appendLine(text, "connections_callers", held.callers());
+        appendLine(text, "connections_callers_resting", held.idle());
+        appendLine(text, "connections_all", held.open());
+        appendLine(text, "connections_limit", held.limit());
+        appendLine(text, "connects", connections.get());
+        appendLine(text, "list_version", list.version());
+        appendLine(text, "list_in_force_ms", Math.round(list.appliedInMs()));
+        appendLine(text, "draws", work.draws());
+        appendLine(text, "draws_examined", work.examined());
+        appendLine(text, "held", work.queued());
+        appendLine(text, "pressure_percent", Math.round(PERCENT * work.pressure()));
+        appendLine(text, "unserved_shed", work.unserved().shed());
+        appendLine(text, "unserved_no_upstream", work.unserved().noUpstream());
+        appendLine(text, "unserved_attempts_failed", work.unserved().attemptsFailed());
+        appendLine(text, "retries", Stream.of(LoadBalancer.Result.values()).mapToLong(this::countOf).sum());
+        appendCauses(text, "retried_after_", LoadBalancer.Result.values());
+        appendCauses(text, "refused_for_", RefusalReason.values());
+        appendCauses(text, "failed_for_", FailureReason.values());
+        appendCauses(text, "closed_", CloseReason.values());
+        appendCauses(text, "connect_failed_", ConnectFailure.values());
     }
 
-    /** How many upstreams the list has, and how many of them the module avoids now. */
+    /** Sets how many upstreams are listed, and how many of them the module avoids at present. */
     void upstreamCounts(int listed, int avoided) {
         targets = listed;
         targetsDisabled = avoided;
     }
 
-    /** What operators ordered before could be read from disk, or could not. */
+    /** Sets whether the saved overrides could be read from disk. */
     void overridesKnown(boolean known) {
         ordersKnown = known;
     }
 
-    /** A configuration was taken at SIGHUP, or turned down. */
+    /** A configuration was applied or rejected at SIGHUP. */
     void configReloaded(boolean taken) {
         (taken ? reloadSuccess : reloadFailure).incrementAndGet();
     }
 
-    /** All figures, a line each. */
+    /** All metrics, one per line. */
     String text() {
         StringBuilder text = new StringBuilder();
-        answers.forEach((name, counts) -> {
-            String shown = shown(name);
-            line(text, "success." + shown, counts.success.get());
-            line(text, "overload." + shown, counts.overload.get());
-            line(text, "error." + shown, counts.error.get());
+        countsByClass.forEach((name, counts) -> {
+            String shown = escape(name);
+            appendLine(text, "success." + shown, counts.success.get());
+            appendLine(text, "overload." + shown, counts.overload.get());
+            appendLine(text, "error." + shown, counts.error.get());
         });
-        line(text, "dispatches", dispatches.get());
-        line(text, "concurrent", concurrent.get());
-        line(text, "targets", targets);
-        line(text, "targets_disabled", targetsDisabled);
-        line(text, "reload_success", reloadSuccess.get());
-        line(text, "reload_failure", reloadFailure.get());
-        operation(text);
+        appendLine(text, "dispatches", dispatches.get());
+        appendLine(text, "concurrent", concurrent.get());
+        appendLine(text, "targets", targets);
+        appendLine(text, "targets_disabled", targetsDisabled);
+        appendLine(text, "reload_success", reloadSuccess.get());
+        appendLine(text, "reload_failure", reloadFailure.get());
+        appendOperational(text);
         if (ordersKnown != null) {
-            line(text, "orders_unknown", ordersKnown ? 0 : 1);
+            appendLine(text, "orders_unknown", ordersKnown ? 0 : 1);
         }
         return text.toString();
     }
 
-    /** A class's name; what would break its line is written as in a URL: blanks, controls, '=', '%'. */
-    private static String shown(String name) {
+    /**
+     * Percent-encodes the characters of a class name that would break its line: blanks, controls, '=', '%'.
+     */
+    private static String escape(String name) {
         StringBuilder shown = new StringBuilder();
         name.codePoints().forEach(c -> {
             if (c <= ' ' || c == '=' || c == '%' || c == DELETE) {
@@ -259,14 +263,14 @@
         return shown.toString();
     }
 
-    /** Figures of another part, a line each. */
+    /** Formats metrics of another component, one per line. */
     static String text(Map<String, Long> others) {
         StringBuilder text = new StringBuilder();
-        others.forEach((name, value) -> line(text, name, value));
+        others.forEach((name, value) -> appendLine(text, name, value));
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/cranedeal/node/OperatorOverrides.java
+++ b/src/main/java/cranedeal/node/OperatorOverrides.java
@@ -14,27 +14,26 @@
 import java.util.TreeSet;
 
 /**
- * What operators have ordered and not taken back: which upstreams are out of use, and whether callers are
- * sent away.
+ * The overrides set by operators: which upstreams are disabled, and whether the balancer drains its callers.
  *
- * @param disabledUpstreams the ids of the upstreams, as discovery has them
- * @param reloads how often a process was told to read its configuration again
+ * @param disabledUpstreams the ids of the upstreams, as listed by discovery
+ * @param reloads how many reloads of the configuration were requested, over all processes
  */
 record OperatorOverrides(Set<String> disabledUpstreams, boolean draining, long reloads) {
 
     static final OperatorOverrides NONE = new OperatorOverrides(Set.of(), false, 0);
     private static final String FILE = "orders";
-    private static final String OUT = "out ";
-    private static final String DRAIN = "drain";
-    private static final String RELOADS = "reloads ";
-    /** Far more than operators will ever have out; a file that is larger is none of ours. */
-    private static final long LONGEST = 1 << 20;
+    private static final String DISABLED_PREFIX = "out ";
+    private static final String DRAIN_LINE = "drain";
+    private static final String RELOADS_PREFIX = "reloads ";
+    /** Far more than operators will ever disable; a larger file is not one written by this class. */
+    private static final long MAX_FILE_SIZE = 1 << 20;
 
     OperatorOverrides {
         disabledUpstreams = Collections.unmodifiableSet(new TreeSet<>(disabledUpstreams));
     }
 
-    /** The orders with one upstream taken out of use or put back. */
+    /** Returns the overrides with one upstream disabled or enabled. */
     OperatorOverrides withUpstream(String id, boolean banned) {
         Set<String> changed = new TreeSet<>(disabledUpstreams);
         if (banned) {
@@ -53,23 +52,23 @@
         return new OperatorOverrides(disabledUpstreams, draining, reloads + 1);
     }
 
-    /** Reads what was kept in a folder: nothing if there is no such file, and no line that makes no sense. */
+    /** Reads the file in a folder. Returns {@link #NONE} if there is none, and skips malformed lines. */
     static OperatorOverrides read(Path folder) throws IOException {
         Path file = folder.resolve(FILE);
         try {
-            if (Files.size(file) > LONGEST) {
+            if (Files.size(file) > MAX_FILE_SIZE) {
                 return NONE;
             }
             Set<String> out = new TreeSet<>();
             boolean draining = false;
             long reloads = 0;
-            // Any bytes make text this way; what is damaged is skipped.
+            // ISO 8859-1 decodes any bytes, so a damaged file can't fail here; damaged lines are skipped.
             for (String line : Files.readString(file, StandardCharsets.ISO_8859_1).split("\n")) {
-                if (line.startsWith(OUT) && line.length() > OUT.length()) {
-                    out.add(decode(line.substring(OUT.length())));
+                if (line.startsWith(DISABLED_PREFIX) && line.length() > DISABLED_PREFIX.length()) {
+                    out.add(decode(line.substring(DISABLED_PREFIX.length())));
                 }
-                draining |= line.equals(DRAIN);
-                reloads = Math.max(reloads, line.startsWith(RELOADS) ? count(line) : 0);
+                draining |= line.equals(DRAIN_LINE);
+                reloads = Math.max(reloads, line.startsWith(RELOADS_PREFIX) ? count(line) : 0);
             }
             return new OperatorOverrides(out, draining, reloads);
         } catch (NoSuchFileException e) {
@@ -77,27 +76,27 @@
         }
     }
 
-    /** Replaces what is kept in a folder in one step; one process at a time. */
+    /** Replaces the file in a folder atomically; only one process may do so at a time. */
     void write(Path folder) throws IOException {
         List<String> lines = new ArrayList<>();
-        disabledUpstreams.forEach(id -> lines.add(OUT + encode(id)));
+        disabledUpstreams.forEach(id -> lines.add(DISABLED_PREFIX + encode(id)));
         if (draining) {
-            lines.add(DRAIN);
+            lines.add(DRAIN_LINE);
         }
-        lines.add(RELOADS + reloads);
+        lines.add(RELOADS_PREFIX + reloads);
         AtomicFile.replace(folder.resolve(FILE),
                 (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     private static long count(String line) {
         try {
-            return Long.parseLong(line.substring(RELOADS.length()));
+            return Long.parseLong(line.substring(RELOADS_PREFIX.length()));
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
-    /** An id may hold any character, also one that would end its line. */
+    /** Encodes an id, which may contain any character, even a line break. */
     private static String encode(String id) {
         return URLEncoder.encode(id, StandardCharsets.UTF_8);
     }
--- a/src/main/java/cranedeal/node/OverrideStore.java
+++ b/src/main/java/cranedeal/node/OverrideStore.java
@@ -3,12 +3,14 @@
 import java.io.IOException;
 import java.util.function.UnaryOperator;
 
-/** Where what operators have ordered is kept. It may wait for a disk, so no loop that serves may call it. */
+/**
+ * Persists the operators' overrides. Its methods may block on disk, so the node's loop must not call them.
+ */
 interface OverrideStore {
 
-    /** What is ordered now. */
+    /** Returns the current overrides. */
     OperatorOverrides read() throws IOException;
 
-    /** Changes what is ordered in one step, and returns once that is kept; if it throws, nothing changed. */
+    /** Changes the overrides atomically, and returns once they are saved; if it throws, nothing changed. */
     OperatorOverrides change(UnaryOperator<OperatorOverrides> change) throws IOException;
 }
--- a/src/main/java/cranedeal/node/ProcessHandover.java
+++ b/src/main/java/cranedeal/node/ProcessHandover.java
@@ -7,35 +7,40 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The processes of one balancer: while it is upgraded there are two, the later one to replace the earlier.
- * Each has a place in their order, and locks a byte of a file that they share at that place while it lives,
- * and a second one while it serves. The system drops the locks of a process that ends, however it ends.
+ * Coordinates the two processes of one balancer during a hot restart, in which the later one replaces the
+ * earlier. Each process has a position in their order. It locks the byte at that position of a shared file
+ * while it is alive, and a second byte while it is serving. The operating system releases the locks of a
+ * process that ends, however it ends.
  */
 final class ProcessHandover {
 
     private static final String FILE = "succession";
-    /** The bytes from here on tell who serves, those before who lives; nothing is ever written to them. */
-    private static final long SERVING = 1L << 40;
-    /** The byte that is locked while something else that is shared is changed. */
-    private static final long SHARED = SERVING << 1;
-    /** How often to try for a place that another process asks about or takes at that moment. */
-    private static final int TRIES = 1_000;
+    /**
+     * Locks from this offset on mark serving processes, those below it live ones; no byte is ever written.
+     */
+    private static final long SERVING_OFFSET = 1L << 40;
+    /** The byte that is locked while a process changes other shared files. */
+    private static final long SHARED_LOCK_OFFSET = SERVING_OFFSET << 1;
+    /**
+     * How often to retry a lock that another process holds for a moment while it checks or takes a position.
+     */
+    private static final int MAX_LOCK_ATTEMPTS = 1_000;
 
     private final FileChannel file;
-    private final long place;
+    private final long position;
 
     private ProcessHandover(FileChannel file, long place) {
         this.file = file;
-        this.place = place;
+        this.position = place;
     }
 
-    /** Takes the place behind all that live. */
+    /** Takes the first position that no live process holds. */
     static ProcessHandover join(Path folder) throws IOException {
         FileChannel file = FileChannel.open(folder.resolve(FILE), StandardOpenOption.CREATE,
                 StandardOpenOption.READ, StandardOpenOption.WRITE);
         long place = 0;
-        for (int i = 0; i < TRIES; i++) {
-            while (isHeld(file, place, SERVING - place)) {
+        for (int i = 0; i < MAX_LOCK_ATTEMPTS; i++) {
+            while (isLockedByOther(file, place, SERVING_OFFSET - place)) {
                 place++;
             }
             if (file.tryLock(place, 1, false) != null) {
@@ -44,14 +49,15 @@
             Thread.onSpinWait();
         }
         file.close();
-        throw new IOException("no place among the processes of this balancer");
+        throw new IOException("cannot lock a position among the processes of this balancer");
     }
 
     /**
-     * Whether another process has locked any of these bytes. One thread at a time: to the virtual machine two
-     * of them at the same bytes are an error.
+     * Returns true if another process has locked any of these bytes. Synchronized, since the virtual machine
+     * throws an exception if two of its threads lock overlapping bytes.
      */
-    private static synchronized boolean isHeld(FileChannel file, long from, long size) throws IOException {
+    private static synchronized boolean isLockedByOther(FileChannel file, long from, long size)
+            throws IOException {
         if (size == 0) {
             return false;
         }
@@ -60,33 +66,34 @@
         }
     }
 
-    /** From now on this process serves. */
+    /** Marks this process as serving. */
     void markServing() throws IOException {
-        for (int i = 0; i < TRIES; i++) {
-            if (file.tryLock(SERVING + place, 1, false) != null) {
+        for (int i = 0; i < MAX_LOCK_ATTEMPTS; i++) {
+            if (file.tryLock(SERVING_OFFSET + position, 1, false) != null) {
                 return;
             }
             Thread.onSpinWait();
         }
-        throw new IOException("cannot tell that this process serves");
+        throw new IOException("cannot mark this process as serving");
     }
 
-    /** Whether a later process serves. */
+    /** Returns true if a later process is serving. */
     boolean hasSuccessor() throws IOException {
-        return isHeld(file, SERVING + place + 1, SERVING - place - 1);
+        return isLockedByOther(file, SERVING_OFFSET + position + 1, SERVING_OFFSET - position - 1);
     }
 
-    /** Whether another process of this balancer lives, earlier or later. */
+    /** Returns true if another process of this balancer is alive, earlier or later. */
     boolean hasOtherProcess() throws IOException {
-        return isHeld(file, 0, place) || isHeld(file, place + 1, SERVING - place - 1);
+        return isLockedByOther(file, 0, position)
+                || isLockedByOther(file, position + 1, SERVING_OFFSET - position - 1);
     }
 
-    /** Keeps the other process out of what they share until the lock is closed. */
+    /** Locks the shared files against the other process until the lock is closed. */
     FileLock lockShared() throws IOException {
-        return file.lock(SHARED, 1, false);
+        return file.lock(SHARED_LOCK_OFFSET, 1, false);
     }
 
-    /** Leaves; the system does so for a process that ends. */
+    /** Gives up the position; the operating system does so for a process that ends. */
     void leave() throws IOException {
         file.close();
     }
--- a/src/main/java/cranedeal/node/WarmStateFile.java
+++ b/src/main/java/cranedeal/node/WarmStateFile.java
@@ -18,19 +18,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * What the module has learnt, in a file of one process for the next. The first line is a checksum of the
- * rest, which is JSON. It is replaced in one step and never forced: what a power loss takes has faded before
- * the machine is back.
+ * The file with the module's warm-start state, written by one process for the next. The first line is a
+ * checksum of the rest, which is JSON. The file is replaced atomically and never synced to disk: state lost
+ * in a power failure would be outdated by the time the machine is back.
  */
 final class WarmStateFile {
 
-    /** How many upstreams it tells of: those that most is known of. */
+    /** The maximum number of upstreams in the file: those with the most attempts are kept. */
     static final int MAX_UPSTREAMS = 2_000;
-    private static final int MOST_CLASSES = 1_000;
+    private static final int MAX_CLASSES = 1_000;
     private static final String FILE = "learnt";
-    private static final int FORM = 1;
-    private static final int LONGEST = 1 << 24;
-    private static final int SUM = 9;
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_FILE_SIZE = 1 << 24;
+    private static final int CHECKSUM_LENGTH = 9;
 
     private final Path folder;
 
@@ -38,27 +38,29 @@
         this.folder = folder;
     }
 
-    /** What was learnt, and when, in ms since 1970. */
+    /** Warm-start state and the time at which it was taken, in ms since 1970. */
     record Snapshot(double savedAt, WarmState state) { }
 
-    /** What was written last; null if nothing was. Throws {@link IOException} for what can't be trusted. */
+    /** Reads the last snapshot; null if there is none. Throws {@link IOException} if the file is invalid. */
     Snapshot read() throws IOException {
         Path file = folder.resolve(FILE);
         byte[] bytes;
         try {
-            if (Files.size(file) > LONGEST) {
-                throw new IOException(file + " is longer than " + LONGEST + " bytes");
+            if (Files.size(file) > MAX_FILE_SIZE) {
+                throw new IOException(file + " is longer than " + MAX_FILE_SIZE + " bytes");
             }
             bytes = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
             return null;
         }
-        if (bytes.length < SUM || !sum(bytes).equals(new String(bytes, 0, SUM, StandardCharsets.US_ASCII))) {
+        if (bytes.length < CHECKSUM_LENGTH
+                || !checksum(bytes).equals(
+                        new String(bytes, 0, CHECKSUM_LENGTH, StandardCharsets.US_ASCII))) {
             throw new IOException(file + " is damaged");
         }
-        JsonNode root = NodeConfig.JSON.readTree(bytes, SUM, bytes.length - SUM);
-        if (root.path("form").asInt() != FORM) {
-            throw new IOException(file + " has form " + root.path("form") + ", which is not known here");
+        JsonNode root = NodeConfig.JSON.readTree(bytes, CHECKSUM_LENGTH, bytes.length - CHECKSUM_LENGTH);
+        if (root.path("form").asInt() != FORMAT_VERSION) {
+            throw new IOException(file + " has unknown format version " + root.path("form"));
         }
         try {
             List<ClassState> classes = new ArrayList<>();
@@ -79,18 +81,18 @@
         }
     }
 
-    /** Replaces what was written. */
+    /** Replaces the file with a new snapshot. */
     void write(Snapshot kept) throws IOException {
         Files.createDirectories(folder);
-        AtomicFile.replace(folder.resolve(FILE), encode(kept.savedAt(), bounded(kept.state())));
+        AtomicFile.replace(folder.resolve(FILE), encode(kept.savedAt(), limited(kept.state())));
     }
 
     private static byte[] encode(double at, WarmState learnt) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.write(new byte[SUM]);
+        bytes.write(new byte[CHECKSUM_LENGTH]);
         try (JsonGenerator json = NodeConfig.JSON.createGenerator(bytes)) {
             json.writeStartObject();
-            json.writeNumberField("form", FORM);
+            json.writeNumberField("form", FORMAT_VERSION);
             json.writeNumberField("at", at);
             json.writeArrayFieldStart("classes");
             for (ClassState one : learnt.classes()) {
@@ -110,7 +112,7 @@
             json.writeEndObject();
         }
         byte[] whole = bytes.toByteArray();
-        System.arraycopy(sum(whole).getBytes(StandardCharsets.US_ASCII), 0, whole, 0, SUM);
+        System.arraycopy(checksum(whole).getBytes(StandardCharsets.US_ASCII), 0, whole, 0, CHECKSUM_LENGTH);
         return whole;
     }
 
@@ -131,8 +133,8 @@
         json.writeEndObject();
     }
 
-    private static WarmState bounded(WarmState all) {
-        if (all.classes().size() > MOST_CLASSES) {
+    private static WarmState limited(WarmState all) {
+        if (all.classes().size() > MAX_CLASSES) {
             return WarmState.EMPTY;
         }
         if (all.upstreams().size() <= MAX_UPSTREAMS) {
@@ -143,30 +145,30 @@
                 .limit(MAX_UPSTREAMS).toList());
     }
 
-    private static String sum(byte[] bytes) {
+    private static String checksum(byte[] bytes) {
         CRC32C sum = new CRC32C();
-        sum.update(bytes, SUM, bytes.length - SUM);
+        sum.update(bytes, CHECKSUM_LENGTH, bytes.length - CHECKSUM_LENGTH);
         return String.format("%08x\n", sum.getValue());
     }
 
     private static double number(JsonNode of, String key) {
-        return checked(of.path(key), key);
+        return nonNegative(of.path(key), key);
     }
 
     private static double[] numbers(JsonNode of, String key, int count) {
         JsonNode list = of.path(key);
         if (list.size() != count) {
-            throw new IllegalArgumentException(key + " has not one number for each class");
+            throw new IllegalArgumentException(key + " must have one number for each class");
         }
         double[] numbers = new double[count];
-        Arrays.setAll(numbers, i -> checked(list.get(i), key));
+        Arrays.setAll(numbers, i -> nonNegative(list.get(i), key));
         return numbers;
     }
 
-    private static double checked(JsonNode number, String key) {
+    private static double nonNegative(JsonNode number, String key) {
         double value = number.doubleValue();
         if (!number.isNumber() || !(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new IllegalArgumentException(key + " is no number from 0 on");
+            throw new IllegalArgumentException(key + " must be a finite number of at least 0");
         }
         return value;
     }
--- a/src/main/java/cranedeal/node/WarmStateSaver.java
+++ b/src/main/java/cranedeal/node/WarmStateSaver.java
@@ -10,68 +10,68 @@
 import java.util.function.Supplier;
 
 /**
- * Has what the module learns written down now and then, and reads it at the next start. It asks the module on
- * the node's loop, and writes elsewhere.
+ * Saves the module's warm-start state periodically, and restores it at the next start. The state is taken
+ * from the module on the node's loop, and written to disk on another thread.
  */
 final class WarmStateSaver {
 
-    private static final long LEAST_EVERY_MS = 1_000;
-    /** The pause after a write is so many times as long as that took, which bounds its share of the core. */
-    private static final long PAUSE = 200;
-    /** Told only so often, however often it fails. */
-    private static final double TELL_EVERY_MS = 60_000;
+    private static final long MIN_INTERVAL_MS = 1_000;
+    /** The pause after a write is this many times the duration of the write, which bounds its CPU share. */
+    private static final long PAUSE_FACTOR = 200;
+    /** The minimum interval between two log lines about failed writes. */
+    private static final double LOG_INTERVAL_MS = 60_000;
 
     private final WarmStateFile file;
     private final Clock clock;
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private double lastLoggedAt = Double.NEGATIVE_INFINITY;
 
     WarmStateSaver(WarmStateFile file, Clock clock) {
         this.file = file;
         this.clock = clock;
     }
 
-    /** Tells the module what an earlier process had learnt; a file that can't be trusted is only told of. */
+    /** Reads the state of an earlier process; null if there is none. An invalid file is only logged. */
     WarmStateFile.Snapshot read() {
         try {
             WarmStateFile.Snapshot kept = file.read();
             if (kept != null && kept.savedAt() > clock.now()) {
-                throw new IOException("it was written in the future, so its age is not known");
+                throw new IOException("its timestamp is in the future, so its age is unknown");
             }
             return kept;
         } catch (IOException e) {
-            Node.LOG.warning("starts with nothing learnt: " + e.getMessage());
+            Node.LOG.warning("starting without warm-start state: " + e.getMessage());
             return null;
         }
     }
 
-    /** Gives the module what was read, before its first list. */
-    void recall(WarmStateFile.Snapshot kept, LoadBalancer balancer) {
+    /** Passes a snapshot to the module; must be called before its first list. */
+    void restore(WarmStateFile.Snapshot kept, LoadBalancer balancer) {
         double now = clock.now();
         double age = now - kept.savedAt();
         balancer.restoreWarmState(now, kept.state(), age);
-        Node.LOG.info(String.format("recalls what was learnt %.0f ms ago of %d upstreams", age,
+        Node.LOG.info(String.format("restored warm-start state saved %.0f ms ago of %d upstreams", age,
                 kept.state().upstreams().size()));
     }
 
     /**
-     * Writes down what the module learns, again and again.
+     * Starts to save the module's state periodically.
      *
-     * @param loop where the module may be asked
-     * @param writer where a disk may be waited for
-     * @param last whether this is the last of the processes of its balancer, whose word counts
+     * @param loop the loop on which the module may be called
+     * @param writer an executor whose tasks may block on disk
+     * @param last returns true if no later process of this balancer is serving; only then the state is saved
      */
-    void keep(EventLoop loop, Executor writer, Supplier<WarmState> learnt, BooleanSupplier last) {
-        again(LEAST_EVERY_MS, loop, writer, learnt, last);
+    void start(EventLoop loop, Executor writer, Supplier<WarmState> learnt, BooleanSupplier last) {
+        schedule(MIN_INTERVAL_MS, loop, writer, learnt, last);
     }
 
-    private void again(long afterMs, EventLoop loop, Executor writer, Supplier<WarmState> learnt,
+    private void schedule(long afterMs, EventLoop loop, Executor writer, Supplier<WarmState> learnt,
             BooleanSupplier last) {
         if (loop.isShuttingDown()) {
             return;
         }
         loop.schedule(() -> {
             if (!last.getAsBoolean()) {
-                again(LEAST_EVERY_MS, loop, writer, learnt, last);
+                schedule(MIN_INTERVAL_MS, loop, writer, learnt, last);
                 return;
             }
             WarmStateFile.Snapshot kept = new WarmStateFile.Snapshot(clock.now(), learnt.get());
@@ -79,7 +79,7 @@
                 double begun = clock.now();
                 write(kept);
                 long took = (long) (clock.now() - begun);
-                again(Math.max(LEAST_EVERY_MS, PAUSE * took), loop, writer, learnt, last);
+                schedule(Math.max(MIN_INTERVAL_MS, PAUSE_FACTOR * took), loop, writer, learnt, last);
             });
         }, afterMs, TimeUnit.MILLISECONDS);
     }
@@ -90,9 +90,9 @@
                 file.write(kept);
             }
         } catch (IOException e) {
-            if (clock.now() >= toldAt + TELL_EVERY_MS) {
-                toldAt = clock.now();
-                Node.LOG.warning("what is learnt can't be kept for the next start: " + e);
+            if (clock.now() >= lastLoggedAt + LOG_INTERVAL_MS) {
+                lastLoggedAt = clock.now();
+                Node.LOG.warning("cannot save the warm-start state for the next start: " + e);
             }
         }
     }
--- a/src/main/java/cranedeal/node/discovery/CallRecord.java
+++ b/src/main/java/cranedeal/node/discovery/CallRecord.java
@@ -6,16 +6,16 @@
  * A call to discovery that has ended.
  *
  * @param id the number of the call, counted from the start of the process
- * @param index the version that it told discovery; negative where it asked for the whole list
- * @param waitMs for how long discovery was to wait for news
- * @param bytes how many bytes of an answer have come
- * @param tookMs from its start to its end
+ * @param index the list version that it sent to discovery; negative if it requested the whole list
+ * @param waitMs how long discovery was asked to wait for changes
+ * @param bytes the number of bytes of the answer's body that were received
+ * @param durationMs the time from its start to its end
  */
-public record CallRecord(long id, long index, int waitMs, long bytes, double tookMs, CallEnd end) {
+public record CallRecord(long id, long index, int waitMs, long bytes, double durationMs, CallEnd end) {
 
-    /** The call as a line of a log. */
-    public String text() {
+    /** Formats the call as a log line. */
+    public String toLogLine() {
         return String.format(Locale.ROOT, "discovery call id=%d index=%d wait=%d bytes=%d ms=%.0f end=%s", id,
-                index, waitMs, bytes, tookMs, end);
+                index, waitMs, bytes, durationMs, end);
     }
 }
--- a/src/main/java/cranedeal/node/discovery/DiscoveryCall.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryCall.java
@@ -22,21 +22,21 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Level;
 
-/** One call to discovery, over a connection that it has to itself until it ends. It has no time limit. */
+/** One call to discovery. It uses its connection exclusively until it ends, and has no timeout of its own. */
 final class DiscoveryCall {
 
     private static final int MAX_LIST = 4 * 1024 * 1024;
 
-    /** What is told of a call; either of the last two comes once, unless the call is given up. */
+    /** Receives a call's events; one of the last two follows exactly once, unless the call is cancelled. */
     interface Listener {
 
-        /** A first part of the answer has come. */
-        void begun();
+        /** The first part of the answer has arrived. */
+        void answerStarted();
 
-        /** A whole list has come. */
+        /** A complete, valid answer has arrived. */
         void answered(UpstreamList list);
 
-        /** Nothing comes any more. */
+        /** The call has failed. */
         void failed(CallEnd how);
     }
 
@@ -49,9 +49,9 @@
     private final double startedAt;
     private Channel channel;
     private long bytes;
-    private boolean over;
+    private boolean done;
 
-    /** A call for what is newer than a version, or for the whole list where that is negative. */
+    /** Creates a call for changes since version {@code index}, or for the whole list if that is negative. */
     DiscoveryCall(long id, long index, int waitMs, DoubleSupplier clock, ListParser parser,
             Listener listener) {
         this.id = id;
@@ -63,16 +63,16 @@
         startedAt = clock.getAsDouble();
     }
 
-    /** Makes a new connection able to carry calls. */
+    /** Adds the handlers for calls to the pipeline of a new connection. */
     static void prepare(ChannelPipeline pipeline) {
-        pipeline.addLast(new HttpClientCodec(), new Parts(), new HttpObjectAggregator(MAX_LIST),
-                new Answers());
+        pipeline.addLast(new HttpClientCodec(), new PartHandler(), new HttpObjectAggregator(MAX_LIST),
+                new AnswerHandler());
     }
 
-    /** Sends the request once a connection is up. */
+    /** Sends the request once a connection is established. */
     void start(ChannelFuture connect, String host) {
         connect.addListener((ChannelFuture up) -> {
-            if (over) {
+            if (done) {
                 up.channel().close();
             } else if (up.isSuccess()) {
                 start(up.channel(), host);
@@ -82,11 +82,11 @@
         });
     }
 
-    /** Sends the request over a connection that stands. */
+    /** Sends the request over an established connection. */
     void start(Channel connection, String host) {
         channel = connection;
-        channel.pipeline().get(Answers.class).call = this;
-        channel.pipeline().get(Parts.class).call = this;
+        channel.pipeline().get(AnswerHandler.class).call = this;
+        channel.pipeline().get(PartHandler.class).call = this;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                 "/catalog/members" + (index < 0 ? "" : "?index=" + index + "&wait=" + waitMs),
                 Unpooled.EMPTY_BUFFER);
@@ -98,42 +98,42 @@
         });
     }
 
-    /** Handles at once what has come and was not read yet. */
+    /** Reads and handles data that has arrived but was not read yet. */
     void readNow() {
-        if (channel != null && !over) {
+        if (channel != null && !done) {
             Channels.readNow(channel);
         }
     }
 
-    /** Ends it without a word to its listener. */
-    void giveUp() {
-        over = true;
+    /** Cancels the call without notifying its listener. */
+    void cancel() {
+        done = true;
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** Ends it as failed, unless it is over. */
+    /** Fails the call, unless it has ended. */
     void fail(CallEnd how) {
-        if (!over) {
-            giveUp();
+        if (!done) {
+            cancel();
             listener.failed(how);
         }
     }
 
-    /** The connection that carried it; null if none came up. */
+    /** The connection of the call; null if none was established. */
     Channel channel() {
         return channel;
     }
 
-    /** What is to be logged of it, as it ends. */
+    /** The record of the call, for the log and the metrics, as it ends. */
     CallRecord record(CallEnd end) {
         return new CallRecord(id, index, waitMs, bytes, clock.getAsDouble() - startedAt, end);
     }
 
-    private void partCame(Object part) {
-        if (bytes == 0 && !over) {
-            listener.begun();
+    private void onPart(Object part) {
+        if (bytes == 0 && !done) {
+            listener.answerStarted();
         }
         if (part instanceof HttpContent content) {
             bytes += content.content().readableBytes();
@@ -141,18 +141,18 @@
     }
 
     private void answered(FullHttpResponse response) {
-        if (over) {
+        if (done) {
             return;
         }
         UpstreamList list;
         try {
             list = parse(response);
         } catch (IOException | IllegalArgumentException e) {
-            DiscoveryClient.LOG.warning("discovery's answer is of no use: " + e.getMessage());
+            DiscoveryClient.LOG.warning("invalid answer from discovery: " + e.getMessage());
             fail(CallEnd.BAD_ANSWER);
             return;
         }
-        over = true;
+        done = true;
         listener.answered(list);
     }
 
@@ -165,22 +165,22 @@
         }
     }
 
-    /** Tells a call of each part of its answer. */
-    private static final class Parts extends ChannelInboundHandlerAdapter {
+    /** Notifies a call of each part of its answer. */
+    private static final class PartHandler extends ChannelInboundHandlerAdapter {
 
         private DiscoveryCall call;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object part) {
             if (call != null) {
-                call.partCame(part);
+                call.onPart(part);
             }
             ctx.fireChannelRead(part);
         }
     }
 
-    /** Hands the whole answer on a connection to the call that waits for it. */
-    private static final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Passes the complete answer on a connection to the call that waits for it. */
+    private static final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private DiscoveryCall call;
 
--- a/src/main/java/cranedeal/node/discovery/DiscoveryClient.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryClient.java
@@ -20,37 +20,39 @@
 import java.util.logging.Logger;
 
 /**
- * Watches discovery for changes of the list of upstreams: carries out on sockets what {@link WatchSchedule}
- * decides. Whatever goes wrong with a call, the old list holds, and the schedule calls again by itself.
+ * Watches discovery for changes of the list of upstreams: performs the calls that {@link WatchSchedule}
+ * decides on. If a call fails, the old list stays in force, and the schedule retries by itself.
  */
 public final class DiscoveryClient {
 
-    /** The longest that a watch waits for news, in ms; to go on with it costs discovery little. */
+    /**
+     * The longest time that a watch call waits for changes, in ms; renewing the call costs discovery little.
+     */
     public static final int MAX_WAIT_MS = 2_500;
     static final Logger LOG = Logger.getLogger("sablehinge");
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** How long the whole list is waited for where it is asked for on its own. */
+    /** The timeout of a separate call for the whole list. */
     private static final long FETCH_TIMEOUT_MS = 60_000;
     private static final long NO_INDEX = -1;
     private static final double NANOS_PER_MS = 1e6;
 
-    /** What the list is told to. */
+    /** Receives lists and failures. */
     public interface Listener {
 
-        /** A whole list, or what has changed. */
+        /** A whole list or a list of changes has arrived. */
         void changed(UpstreamList list);
 
-        /** A call has failed; the old list holds. */
+        /** A call has failed; the old list stays in force. */
         void callFailed(CallEnd how);
     }
 
     /**
-     * What a client begins with.
+     * The options of a client.
      *
-     * @param address where discovery listens
-     * @param version of the list that is known
-     * @param seed of the waits that are drawn
-     * @param maxWaitMs the longest that a watch waits for news
+     * @param address the address of discovery
+     * @param version the version of the list known at the start
+     * @param seed the seed of the random jitter of waits
+     * @param maxWaitMs the longest time that a watch call waits for changes
      */
     public record Options(InetSocketAddress address, long version, long seed, int maxWaitMs) { }
 
@@ -59,22 +61,22 @@
     private final ListParser parser;
     private final Listener listener;
     private final Bootstrap bootstrap;
-    private final DiscoveryMetrics figures;
+    private final DiscoveryMetrics metrics;
     private final WatchSchedule schedule;
-    /** The calls of the watch that are out, by their numbers. */
+    /** The calls of the watch in flight, by their ids. */
     private final Map<Long, DiscoveryCall> calls = new HashMap<>();
     private InetSocketAddress address;
-    /** Whether the list is to come on its own, as the settings have it; nobody hears of failures then. */
+    /** Whether the settings say that lists are pushed; the listener is not notified of failures then. */
     private boolean pushed;
-    /** A connection whose call was answered, for the next one; null if there is none. */
+    /** A connection kept for the next call; null if there is none. */
     private Channel idle;
     private Future<?> wake;
 
     /**
-     * A client that does nothing yet.
+     * Creates a client that makes no calls yet.
      *
-     * @param clock in milliseconds; it never goes back
-     * @param start where discovery is, and what is known of the list
+     * @param clock a monotonic clock in milliseconds
+     * @param start the address of discovery and the version of the known list
      */
     public DiscoveryClient(EventLoop loop, DoubleSupplier clock, Options start, ListParser parser,
             ByteBufAllocator memory, Listener listener) {
@@ -83,8 +85,8 @@
         this.parser = parser;
         this.listener = listener;
         address = start.address();
-        figures = new DiscoveryMetrics(clock, start.version(), LOG::info);
-        schedule = new WatchSchedule(new Carrier(), start.maxWaitMs(), start.version(), start.seed());
+        metrics = new DiscoveryMetrics(clock, start.version(), LOG::info);
+        schedule = new WatchSchedule(new ScheduleActions(), start.maxWaitMs(), start.version(), start.seed());
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -96,26 +98,28 @@
                 });
     }
 
-    /** What is counted of the calls, and the age of the list. */
-    public DiscoveryMetrics figures() {
-        return figures;
+    /** The metrics of the calls and of the list's age. */
+    public DiscoveryMetrics metrics() {
+        return metrics;
     }
 
-    /** Keeps the watch open where settings have lists pushed, or leaves that to {@link #watch}. */
+    /**
+     * Keeps the watch open if the settings say that lists are pushed; otherwise {@link #watch} controls it.
+     */
     public void setPushed(boolean on) {
         if (on != pushed) {
             pushed = on;
-            schedule.setRetriesAtOnce(on);
+            schedule.setConstantRetry(on);
             watch(on);
         }
     }
 
-    /** Begins the watch, or ends it. */
+    /** Starts or ends the watch. */
     public void watch(boolean on) {
         schedule.watch(clock.getAsDouble(), on);
     }
 
-    /** Calls at another address from now on. What is out at the old one would only be cut off. */
+    /** Uses another address from now on. Calls in flight to the old address are cancelled. */
     public void moveTo(InetSocketAddress replaced) {
         if (replaced.equals(address)) {
             return;
@@ -128,13 +132,13 @@
         schedule.addressChanged(clock.getAsDouble());
     }
 
-    /** Asks once for the whole list. */
+    /** Requests the whole list once. */
     public void fetch() {
-        Fetch fetch = new Fetch();
+        FetchListener fetch = new FetchListener();
         fetch.call = new DiscoveryCall(0, NO_INDEX, 0, clock, parser, fetch);
         fetch.expiry = loop.schedule(() -> fetch.call.fail(CallEnd.TIMED_OUT), FETCH_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-        figures.begun();
+        metrics.callStarted();
         connect(fetch.call);
     }
 
@@ -147,18 +151,18 @@
         }
     }
 
-    /** Whether a list could be taken in; one that its listener can't take must not end the watch for good. */
-    private boolean tell(UpstreamList list) {
+    /** Returns false if the listener throws an exception for a list, which must not end the watch. */
+    private boolean notifyListener(UpstreamList list) {
         try {
             listener.changed(list);
             return true;
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a list of upstreams could not be taken in", e);
+            LOG.log(Level.SEVERE, "a list of upstreams could not be applied", e);
             return false;
         }
     }
 
-    private void tellFailure(CallEnd how) {
+    private void notifyFailure(CallEnd how) {
         if (!pushed) {
             listener.callFailed(how);
         }
@@ -168,21 +172,23 @@
         return (long) Math.ceil(Math.max(0, at - clock.getAsDouble()) * NANOS_PER_MS);
     }
 
-    /** A loop that is late handles timers before it looks at its sockets, so what has come is read first. */
+    /**
+     * A late loop runs its timers before it polls its sockets, so data that has arrived is read here first.
+     */
     private void wake() {
         List.copyOf(calls.values()).forEach(DiscoveryCall::readNow);
         schedule.timer(clock.getAsDouble());
     }
 
-    /** Carries out what the schedule asks for. */
-    private final class Carrier implements WatchSchedule.Actions {
+    /** Performs the actions of the schedule. */
+    private final class ScheduleActions implements WatchSchedule.Actions {
 
         @Override
         public void call(long id, long index, int waitMs) {
             DiscoveryCall call = new DiscoveryCall(id, index, waitMs, clock, parser,
-                    new Watching(id));
+                    new WatchCallListener(id));
             calls.put(id, call);
-            figures.begun();
+            metrics.callStarted();
             Channel connection = idle;
             idle = null;
             if (connection != null && connection.isActive()) {
@@ -193,12 +199,12 @@
         }
 
         @Override
-        public void giveUp(long id, CallEnd why) {
+        public void cancel(long id, CallEnd why) {
             DiscoveryCall call = calls.remove(id);
-            call.giveUp();
-            figures.ended(call.record(why));
+            call.cancel();
+            metrics.callEnded(call.record(why));
             if (why.isFailure()) {
-                loop.execute(() -> tellFailure(why));
+                loop.execute(() -> notifyFailure(why));
             }
         }
 
@@ -212,17 +218,17 @@
         }
     }
 
-    /** A call of the watch. */
-    private final class Watching implements DiscoveryCall.Listener {
+    /** Handles the events of a watch call. */
+    private final class WatchCallListener implements DiscoveryCall.Listener {
 
         private final long id;
 
-        Watching(long id) {
+        WatchCallListener(long id) {
             this.id = id;
         }
 
         @Override
-        public void begun() {
+        public void answerStarted() {
             schedule.answerStarted(clock.getAsDouble(), id);
         }
 
@@ -231,23 +237,23 @@
             DiscoveryCall call = calls.remove(id);
             keep(call.channel());
             boolean accepted = schedule.accepts(id, list.version(), list.full());
-            figures.ended(call.record(accepted ? CallEnd.ANSWERED : CallEnd.OUTDATED));
+            metrics.callEnded(call.record(accepted ? CallEnd.ANSWERED : CallEnd.OUTDATED));
             if (!accepted) {
                 schedule.outdated(clock.getAsDouble(), id);
-            } else if (tell(list)) {
+            } else if (notifyListener(list)) {
                 schedule.answered(clock.getAsDouble(), id, list.version(), !list.members().isEmpty());
             } else {
                 schedule.failed(clock.getAsDouble(), id);
-                tellFailure(CallEnd.BAD_ANSWER);
+                notifyFailure(CallEnd.BAD_ANSWER);
             }
-            figures.confirmed(schedule.version(), schedule.confirmedAt());
+            metrics.listConfirmed(schedule.version(), schedule.confirmedAt());
         }
 
         @Override
         public void failed(CallEnd how) {
-            figures.ended(calls.remove(id).record(how));
+            metrics.callEnded(calls.remove(id).record(how));
             schedule.failed(clock.getAsDouble(), id);
-            tellFailure(how);
+            notifyFailure(how);
         }
 
         private void keep(Channel connection) {
@@ -258,34 +264,34 @@
         }
     }
 
-    /** A call for the whole list, beside the watch. */
-    private final class Fetch implements DiscoveryCall.Listener {
+    /** A separate call for the whole list, and the handling of its events. */
+    private final class FetchListener implements DiscoveryCall.Listener {
 
         private DiscoveryCall call;
         private Future<?> expiry;
 
         @Override
-        public void begun() {
-            // Nobody is in a hurry.
+        public void answerStarted() {
+            // The call has only its overall timeout.
         }
 
         @Override
         public void answered(UpstreamList list) {
             expiry.cancel(false);
-            // Changes are no answer to a call for the whole list, nor is one older than what is known.
-            boolean taken = list.full() && list.version() >= schedule.version() && tell(list);
-            figures.ended(call.record(taken ? CallEnd.ANSWERED : CallEnd.BAD_ANSWER));
+            // Only a whole list that is no older than the known one is a valid answer.
+            boolean taken = list.full() && list.version() >= schedule.version() && notifyListener(list);
+            metrics.callEnded(call.record(taken ? CallEnd.ANSWERED : CallEnd.BAD_ANSWER));
             call.channel().close();
             if (!taken) {
-                tellFailure(CallEnd.BAD_ANSWER);
+                notifyFailure(CallEnd.BAD_ANSWER);
             }
         }
 
         @Override
         public void failed(CallEnd how) {
             expiry.cancel(false);
-            figures.ended(call.record(how));
-            tellFailure(how);
+            metrics.callEnded(call.record(how));
+            notifyFailure(how);
         }
     }
 }
--- a/src/main/java/cranedeal/node/discovery/StartTimes.java
+++ b/src/main/java/cranedeal/node/discovery/StartTimes.java
@@ -4,18 +4,20 @@
 import java.util.Map;
 
 /**
- * When upstreams have started, by the node's clock. Discovery has it in Unix time, which may be stepped while
- * the node's clock runs on evenly; so it is taken by the age that it means at the moment of the first list
- * that has it, and stays so in later lists.
+ * Converts the start times of upstreams to the node's clock. Discovery lists them in Unix time, which may be
+ * stepped, while the node's clock is monotonic. So the upstream's age is computed when its start time is
+ * first listed, and the result is kept for later lists.
  */
 public final class StartTimes {
 
-    /** Clocks that differ by less than this, in ms, are the same: they are read one after the other. */
-    private static final double SAME_MS = 1_000;
-    /** Upstreams that are remembered, those listed last. */
-    private static final int MOST_KNOWN = 10_000;
+    /**
+     * Clocks that differ by less than this, in ms, count as equal, as they are not read at the same moment.
+     */
+    private static final double MAX_CLOCK_DIFFERENCE_MS = 1_000;
+    /** The maximum number of upstreams remembered; the least recently listed ones are dropped. */
+    private static final int MAX_ENTRIES = 10_000;
 
-    /** A start as listed, and by the node's clock. */
+    /** A start time as listed, and by the node's clock. */
     private record Start(double listed, double at) { }
 
     private final Map<Long, Start> known = new LinkedHashMap<>(16, 0.75f, true) {
@@ -23,24 +25,25 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Start> eldest) {
-            return size() > MOST_KNOWN;
+            return size() > MAX_ENTRIES;
         }
     };
 
     /**
-     * When an upstream has started, in ms of the node's clock.
+     * Returns the start time of an upstream in ms of the node's clock.
      *
-     * @param listed as discovery has it, in ms of Unix time; 0 for long ago
-     * @param now the node's clock
+     * @param listed the start time as listed, in ms of Unix time; 0 for long ago
+     * @param now the time of the node's clock
      * @param unix the Unix time at the same moment
      */
-    public double of(long upstream, double listed, double now, double unix) {
+    public double toNodeClock(long upstream, double listed, double now, double unix) {
         Start before = known.get(upstream);
         if (before != null && before.listed() == listed) {
             return before.at();
         }
         double stepped = unix - now;
-        double at = listed == 0 || Math.abs(stepped) < SAME_MS ? listed : Math.min(now, listed - stepped);
+        double at = listed == 0 || Math.abs(stepped) < MAX_CLOCK_DIFFERENCE_MS ? listed
+                : Math.min(now, listed - stepped);
         known.put(upstream, new Start(listed, at));
         return at;
     }
--- a/src/main/java/cranedeal/node/discovery/UpstreamList.java
+++ b/src/main/java/cranedeal/node/discovery/UpstreamList.java
@@ -13,18 +13,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * A list of upstreams in discovery's form.
+ * A list of upstreams as sent by discovery.
  *
- * @param full whether it is the whole list; otherwise it has what has changed
+ * @param full whether it is the whole list; otherwise it has only the changes
  */
 public record UpstreamList(long version, boolean full, List<Member> members) {
 
-    /** An upstream, and where it listens; null for one that is gone and has no address. */
+    /** An upstream and its address; the address may be null for a removed upstream. */
     public record Member(Upstream upstream, InetSocketAddress address) { }
 
     /**
-     * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a list
-     * would drop upstreams that are well.
+     * Parses a list. Throws {@link IllegalArgumentException} if any part of it is invalid, since accepting
+     * only a part of it would drop working upstreams.
      */
     public static UpstreamList parse(JsonNode list, List<String> zones, List<String> kinds) {
         JsonNode servers = list.get("servers");
@@ -41,48 +41,48 @@
     private static Member member(JsonNode entry, List<String> zones, List<String> kinds) {
         String id = entry.path("id").asText("");
         if (id.isEmpty()) {
-            throw new IllegalArgumentException("an upstream without an id");
+            throw new IllegalArgumentException("an upstream has no id");
         }
         State state = switch (entry.path("state").asText("")) {
             case "up" -> State.READY;
             case "draining" -> State.DRAINING;
             case "removed" -> State.REMOVED;
-            default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
+            default -> throw new IllegalArgumentException("upstream " + id + " has an unknown state");
         };
-        Upstream upstream = new Upstream(numericId(id), index(zones, entry.path("zone").asText("")),
-                index(kinds, entry.path("kind").asText("")), entry.path("cell").asInt(0), state,
+        Upstream upstream = new Upstream(numericId(id), indexOf(zones, entry.path("zone").asText("")),
+                indexOf(kinds, entry.path("kind").asText("")), entry.path("cell").asInt(0), state,
                 entry.path("weight").asDouble(1), entry.path("started_ms").asDouble(0));
         String address = entry.path("addr").asText("");
-        // Who is gone needs no address.
+        // A removed upstream needs no address.
         return new Member(upstream, address.isEmpty() && state == State.REMOVED ? null : address(address));
     }
 
-    /** The same number for an id at every balancer, as the module's subsets rest on it. */
+    /** Hashes an id to the same number at every balancer, since the module's subsets depend on it. */
     public static long numericId(String id) {
         CRC32C low = new CRC32C();
         low.update(id.getBytes(StandardCharsets.UTF_8));
         return (long) id.hashCode() << Integer.SIZE | low.getValue();
     }
 
-    /** A name that the settings lack gets a place of its own behind those that they have. */
-    private static int index(List<String> names, String name) {
+    /** The index of a name in the settings; unknown names get the index after the last one. */
+    private static int indexOf(List<String> names, String name) {
         int at = names.indexOf(name);
         return at < 0 ? names.size() : at;
     }
 
-    /** A numeric address with its port; there is no DNS to ask for any other. */
+    /** Parses a numeric address with a port; host names are not supported, since there is no DNS. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(
                 colon < 0 ? text : text.substring(0, colon));
         if (ip == null) {
-            throw new IllegalArgumentException("'" + text + "' is no address with a port");
+            throw new IllegalArgumentException("'" + text + "' is not a numeric address with a port");
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(ip),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (UnknownHostException | IllegalArgumentException e) {
-            throw new IllegalArgumentException("'" + text + "' is no address with a port", e);
+            throw new IllegalArgumentException("'" + text + "' is not a numeric address with a port", e);
         }
     }
 }
