--- a/src/main/java/cranedeal/node/discovery/WatchSchedule.java
+++ b/src/main/java/cranedeal/node/discovery/WatchSchedule.java
@@ -5,177 +5,182 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when a watch of discovery calls, and which answers count. It has no socket, clock or thread: events
- * come in with their time, in milliseconds, and {@link Actions} go out.
+ * Decides when a watch of discovery makes calls, and which answers are accepted. It has no socket, clock or
+ * thread: its methods receive events with their time in milliseconds, and it requests {@link Actions}.
  *
- * <p>A call that is out on a standing connection is kept, however long it takes, since a slow discovery may
- * be about to answer it. What bounds the age of the list is a further call beside it, which goes out early
- * enough for its answer to come within {@link #BOUND_MS}, by the time that answers have been seen to take.
- * At most {@link #MAX_CONCURRENT_CALLS} calls are out at a time, and one that was sent first is kept for
- * the longest, so that an answer is heard however slow discovery is.
+ * <p>A call in flight on an established connection is kept, however long it takes, since a slow discovery may
+ * be about to answer it. The age of the list is bounded by an extra call beside it, which is sent early
+ * enough for its answer to arrive within {@link #MAX_STALENESS_MS}, judging by how long earlier answers took.
+ * At most {@link #MAX_CONCURRENT_CALLS} calls are in flight at a time, and the oldest of them is never the
+ * one cancelled to make room, so that an answer arrives however slow discovery is.
  */
 public final class WatchSchedule {
 
-    /** How many calls are out at one time at most. */
+    /** The maximum number of calls in flight. */
     public static final int MAX_CONCURRENT_CALLS = 3;
-    /** Within this time of a change it should be known; some time less than it counts as told. */
-    static final double BOUND_MS = 5_500;
-    /** The same for the first call to another address, by when all that is listed there counts as told. */
-    static final double MOVED_BOUND_MS = 4_500;
-    /** How long a call waits for news where it is to tell whether discovery answers. */
-    static final int GLANCE_MS = 250;
-    /** How long after its call's wait an answer may come before a further call goes out. */
-    private static final double LATE_MS = 1_500;
-    /** The same in times of an answer, as far as a further answer then is in time. */
-    private static final double LATE_ANSWERS = 1.25;
-    private static final double LONGEST_GAP_MS = 5_000;
-    /** The same, and the time that an answer is taken to need, before any was seen. */
-    private static final double UNSEEN_LATE_MS = 2_000;
-    private static final double UNSEEN_ANSWER_MS = 1_000;
-    /** How long an answer that has begun may take before a further call goes out. */
+    /** A change should be known within this time, which leaves a margin to the time required by operators. */
+    static final double MAX_STALENESS_MS = 5_500;
+    /** The same for the first call to a new address, within which everything listed there should be known. */
+    static final double MAX_STALENESS_AFTER_MOVE_MS = 4_500;
+    /** The wait for changes of a call that is to find out whether discovery answers at all. */
+    static final int SHORT_WAIT_MS = 250;
+    /** How late an answer may be, after its call's wait, before an extra call is sent. */
+    private static final double MIN_LATE_MS = 1_500;
+    /** The same as a multiple of the answer time, as long as the extra call's answer can still be in time. */
+    private static final double LATE_ANSWER_FACTOR = 1.25;
+    private static final double MAX_GAP_MS = 5_000;
+    /** The allowed lateness and the assumed answer time before any answer has arrived. */
+    private static final double INITIAL_LATE_MS = 2_000;
+    private static final double INITIAL_ANSWER_MS = 1_000;
+    /** How long an answer that has started may take before an extra call is sent. */
     private static final double STALL_MS = 750;
-    /** The wait between further calls while none is answered, which doubles up to the longest. */
-    private static final double FIRST_SPACING_MS = 1_000;
-    private static final double LONGEST_SPACING_MS = 3_000;
-    /** The same once as many are out as may be, so that each takes the place of another. */
-    private static final double FULL_SPACING_MS = 4_000;
-    /** The same in times of an answer. */
-    private static final double FULL_SPACING_ANSWERS = 1.5;
-    /** The same as a part of the time for which nothing has been heard. */
-    private static final double FULL_SPACING_SHARE = 1.0 / 16;
-    /** The wait after a failed call, which doubles up to the longest; the least share of it is drawn. */
-    private static final double FIRST_RETRY_MS = 100;
-    private static final double LONGEST_RETRY_MS = 800;
-    private static final double LEAST_SHARE = 0.5;
-    /** How much a quicker answer moves the time that answers are taken to need. */
-    private static final double GAIN = 0.5;
-    /** One answer makes the time that answers are taken to need no longer than this, or twice what it was. */
+    /** The interval between extra calls while none is answered; it doubles from MIN to MAX. */
+    private static final double MIN_SPACING_MS = 1_000;
+    private static final double MAX_SPACING_MS = 3_000;
+    /** The interval when the maximum number of calls is in flight, so that each new call replaces another. */
+    private static final double MIN_FULL_SPACING_MS = 4_000;
+    /** The same as a multiple of the answer time. */
+    private static final double FULL_SPACING_ANSWER_FACTOR = 1.5;
+    /** The same as a fraction of the time without any answer. */
+    private static final double FULL_SPACING_SILENCE_FACTOR = 1.0 / 16;
+    /**
+     * The backoff after a failed call, which doubles from MIN to MAX, and the lower end of its jitter factor.
+     */
+    private static final double MIN_RETRY_MS = 100;
+    private static final double MAX_RETRY_MS = 800;
+    private static final double MIN_JITTER = 0.5;
+    /** The weight of a faster answer in the moving average of the answer time. */
+    private static final double EWMA_WEIGHT = 0.5;
+    /** One slow answer raises the answer time at most to this, or to twice its value if that is more. */
     private static final double SLOW_ANSWER_MS = 3_000;
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
-    /** What the schedule asks for. */
+    /** The actions that the schedule requests. */
     public interface Actions {
 
         /**
-         * Calls discovery.
+         * Sends a call to discovery.
          *
-         * @param id the call's number, by which events tell of it
-         * @param index the version in use, or 0 where discovery is to answer with all it has
-         * @param waitMs how long discovery is to wait for news
+         * @param id the call's id, which its events refer to
+         * @param index the version in use, or 0 if discovery is to send the whole list
+         * @param waitMs how long discovery is asked to wait for changes
          */
         void call(long id, long index, int waitMs);
 
-        /** Gives up a call; no event of it may follow. */
-        void giveUp(long id, CallEnd why);
+        /** Cancels a call; no event of it may follow. */
+        void cancel(long id, CallEnd why);
 
-        /** Wakes the schedule by {@link #timer} at a time, and no more at the one given before. */
+        /** Requests a call of {@link #timer} at a time, which replaces the time requested before. */
         void wakeAt(double at);
     }
 
     private static final class Call {
 
         private final long id;
-        /** The version in use as it was sent. */
-        private final long known;
+        /** The list version in use when it was sent. */
+        private final long versionAtSend;
         private final double sentAt;
         private final double waitEnd;
-        private double begunAt = Double.NaN;
+        private double answerStartedAt = Double.NaN;
 
         Call(long id, long known, double sentAt, int waitMs) {
             this.id = id;
-            this.known = known;
+            this.versionAtSend = known;
             this.sentAt = sentAt;
             waitEnd = sentAt + waitMs;
         }
 
-        boolean hasBegun() {
-            return !Double.isNaN(begunAt);
+        boolean hasAnswerStarted() {
+            return !Double.isNaN(answerStartedAt);
         }
     }
 
     private final Actions actions;
-    private final int longestWaitMs;
+    private final int maxWaitMs;
     private final SplittableRandom random;
-    /** The calls that are out, in the order in which they were sent. */
-    private final List<Call> out = new ArrayList<>(MAX_CONCURRENT_CALLS);
+    /** The calls in flight, in the order in which they were sent. */
+    private final List<Call> inFlight = new ArrayList<>(MAX_CONCURRENT_CALLS);
     private boolean watching;
-    private boolean retriesAtOnce;
+    private boolean constantRetry;
     private long lastId;
     private long version;
-    /** Whether discovery has shown that it knows nothing of that version, and is asked for all it has. */
+    /**
+     * Whether discovery turned out not to know that version, so that the next call requests the whole list.
+     */
     private boolean versionUnknown;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private double boundMs = BOUND_MS;
-    /** How long answers take beyond their call's wait; NaN before any has come. */
+    private double maxStalenessMs = MAX_STALENESS_MS;
+    /** The estimated time that answers take beyond their call's wait; NaN before the first answer. */
     private double answerMs = Double.NaN;
-    /** When that was last found to be longer; calls of before tell no more of it. */
+    /** When the estimate was last raised; calls sent before that can't raise it again. */
     private double raisedAt = Double.NEGATIVE_INFINITY;
-    /** Since the last answer: calls that failed, and further calls. */
+    /** Failed calls and extra calls since the last answer. */
     private int failures;
-    private int furtherCalls;
+    private int extraCalls;
     private double retryAt = Double.NEGATIVE_INFINITY;
-    /** The share of a wait that was drawn for the latest call, so that processes don't call together. */
-    private double share = 1;
+    /** The jitter drawn for the latest call, so that processes don't call at the same moment. */
+    private double jitterFactor = 1;
 
     /**
-     * A schedule that does nothing until {@link #watch}.
+     * Creates a schedule that does nothing until {@link #watch}.
      *
-     * @param longestWaitMs the longest that a call waits for news
+     * @param longestWaitMs the longest time that a call waits for changes
      * @param version the version of the list in use
      */
     public WatchSchedule(Actions actions, int longestWaitMs, long version, long seed) {
         this.actions = actions;
-        this.longestWaitMs = longestWaitMs;
+        this.maxWaitMs = longestWaitMs;
         this.version = version;
         random = new SplittableRandom(seed);
     }
 
-    /** Begins the watch, or ends it. */
+    /** Starts or ends the watch. */
     public void watch(double now, boolean on) {
         if (on == watching) {
             return;
         }
         watching = on;
         if (!on) {
-            giveUpAll();
+            cancelAll();
         }
-        proceed(now);
+        advance(now);
     }
 
-    /** Whether failed calls are followed by others without a wait that grows. */
-    public void setRetriesAtOnce(boolean on) {
-        retriesAtOnce = on;
+    /** Sets whether failed calls are retried at a constant interval, without exponential backoff. */
+    public void setConstantRetry(boolean on) {
+        constantRetry = on;
     }
 
-    /** Discovery is at another address: nothing is known against it, and all calls are given up. */
+    /** Discovery's address has changed: resets the backoff and the answer time, and cancels all calls. */
     public void addressChanged(double now) {
-        giveUpAll();
-        heard();
+        cancelAll();
+        resetBackoff();
         answerMs = Double.NaN;
-        boundMs = MOVED_BOUND_MS;
-        proceed(now);
+        maxStalenessMs = MAX_STALENESS_AFTER_MOVE_MS;
+        advance(now);
     }
 
-    /** A first part of the answer to a call has come. */
+    /** The first part of the answer to a call has arrived. */
     public void answerStarted(double now, long id) {
         Call call = find(id);
-        if (call != null && !call.hasBegun()) {
-            call.begunAt = now;
-            proceed(now);
+        if (call != null && !call.hasAnswerStarted()) {
+            call.answerStartedAt = now;
+            advance(now);
         }
     }
 
     /**
-     * Whether the list that answers a call may be taken in. One that is older than the list in use may not,
-     * unless that was in use as the call was sent, and the answer is a whole list: discovery has begun anew.
+     * Returns true if the list that answers a call may be accepted. A list older than the one in use is
+     * accepted only if it is a whole list and the one in use was already in use when the call was sent:
+     * discovery has restarted with lower versions then.
      */
     public boolean accepts(long id, long answered, boolean full) {
         Call call = find(id);
-        return call != null && (answered >= version || full && call.known == version);
+        return call != null && (answered >= version || full && call.versionAtSend == version);
     }
 
     /**
-     * A call was answered, and the answer taken in.
+     * A call was answered, and its answer was accepted.
      *
      * @param answered the version of the list
      * @param news whether the answer had any entries
@@ -185,52 +190,52 @@
         if (call != null) {
             version = answered;
             versionUnknown = false;
-            end(call, news, now);
+            complete(call, news, now);
         }
     }
 
-    /** A call was answered with a list that may not be taken in. */
+    /** A call was answered with a list that must not be accepted. */
     public void outdated(double now, long id) {
         Call call = find(id);
         if (call != null) {
-            versionUnknown = call.known == version;
-            end(call, false, now);
+            versionUnknown = call.versionAtSend == version;
+            complete(call, false, now);
         }
     }
 
-    private void end(Call call, boolean news, double now) {
+    private void complete(Call call, boolean news, double now) {
         boolean waited = !news && now >= call.waitEnd;
-        observe(call, news, now);
+        updateAnswerTime(call, news, now);
         confirmedAt = Math.max(confirmedAt, waited ? call.waitEnd : call.sentAt);
-        while (out.get(0) != call) {
-            actions.giveUp(out.remove(0).id, CallEnd.SUPERSEDED);
+        while (inFlight.get(0) != call) {
+            actions.cancel(inFlight.remove(0).id, CallEnd.SUPERSEDED);
         }
-        out.remove(0);
-        boundMs = BOUND_MS;
-        heard();
+        inFlight.remove(0);
+        maxStalenessMs = MAX_STALENESS_MS;
+        resetBackoff();
         if (!news && !waited) {
-            // Discovery does not wait: asked again at once, it would be asked without end.
-            retryAt = now + FIRST_RETRY_MS;
+            // Discovery did not wait for changes: without a delay, it would be called in a tight loop.
+            retryAt = now + MIN_RETRY_MS;
         }
-        proceed(now);
+        advance(now);
     }
 
-    /** A call has failed, and is out no more. */
+    /** A call has failed and is no longer in flight. */
     public void failed(double now, long id) {
         Call call = find(id);
         if (call == null) {
             return;
         }
-        out.remove(call);
-        double wait = retriesAtOnce ? FIRST_RETRY_MS : doubled(FIRST_RETRY_MS, failures, LONGEST_RETRY_MS);
+        inFlight.remove(call);
+        double wait = constantRetry ? MIN_RETRY_MS : backoff(MIN_RETRY_MS, failures, MAX_RETRY_MS);
         failures++;
-        retryAt = now + wait * jitter();
-        proceed(now);
+        retryAt = now + wait * drawJitter();
+        advance(now);
     }
 
-    /** The time asked for by {@link Actions#wakeAt} has come. */
+    /** The time requested by {@link Actions#wakeAt} has come. */
     public void timer(double now) {
-        proceed(now);
+        advance(now);
     }
 
     /** The version of the list in use. */
@@ -238,13 +243,13 @@
         return version;
     }
 
-    /** When the list in use was the newest for certain; negative infinity if nothing has confirmed it. */
+    /** The last time at which the list in use was known to be the newest; negative infinity if never. */
     public double confirmedAt() {
         return confirmedAt;
     }
 
     private Call find(long id) {
-        for (Call call : out) {
+        for (Call call : inFlight) {
             if (call.id == id) {
                 return call;
             }
@@ -252,24 +257,25 @@
         return null;
     }
 
-    private void giveUpAll() {
-        List<Call> all = List.copyOf(out);
-        out.clear();
-        all.forEach(call -> actions.giveUp(call.id, CallEnd.STOPPED));
+    private void cancelAll() {
+        List<Call> all = List.copyOf(inFlight);
+        inFlight.clear();
+        all.forEach(call -> actions.cancel(call.id, CallEnd.STOPPED));
     }
 
-    /** Discovery has answered: nothing that went wrong before counts any more. */
-    private void heard() {
+    /** Discovery has answered: earlier failures no longer count. */
+    private void resetBackoff() {
         failures = 0;
-        furtherCalls = 0;
+        extraCalls = 0;
         retryAt = Double.NEGATIVE_INFINITY;
     }
 
     /**
-     * An answer without news shows how long answers take, as it was due at the end of its call's wait. One
-     * with news shows the least of it; the first of all is likely to have been due at once.
+     * Updates the answer time. An answer without changes shows it exactly, as it was due at the end of its
+     * call's wait. An answer with changes only shows a lower bound; the very first answer was likely due at
+     * once.
      */
-    private void observe(Call call, boolean news, double now) {
+    private void updateAnswerTime(Call call, boolean news, double now) {
         boolean first = Double.isNaN(answerMs);
         double took = now - (first && news ? call.sentAt : call.waitEnd);
         if (took < 0) {
@@ -278,104 +284,111 @@
         if (first) {
             answerMs = took;
         } else if (took > answerMs && call.sentAt >= raisedAt) {
-            // Answers that a cut has held back for long tell nothing of the next ones.
+            // The bound is for answers delayed by a network outage, which say nothing about later ones.
             answerMs = Math.min(took, Math.max(SLOW_ANSWER_MS, 2 * answerMs));
             raisedAt = now;
         } else if (took <= answerMs && !news) {
-            answerMs += GAIN * (took - answerMs);
+            answerMs += EWMA_WEIGHT * (took - answerMs);
         }
     }
 
-    private void proceed(double now) {
+    private void advance(double now) {
         if (!watching) {
             actions.wakeAt(Double.POSITIVE_INFINITY);
             return;
         }
         if (dueAt() <= now) {
-            makeRoom();
+            evictCall();
             call(now);
         }
         actions.wakeAt(dueAt());
     }
 
-    /** When the next call is due. */
+    /** The time at which the next call is due. */
     private double dueAt() {
-        if (out.isEmpty()) {
+        if (inFlight.isEmpty()) {
             return retryAt;
         }
-        Call newest = out.get(out.size() - 1);
-        double due = isFull() ? newest.sentAt + fullSpacing() : lateAt(newest);
-        if (newest.hasBegun() && furtherCalls <= MAX_CONCURRENT_CALLS) {
-            due = Math.min(due, newest.begunAt + (isFull() ? 2 : 1) * stallMs());
+        Call newest = inFlight.get(inFlight.size() - 1);
+        double due = isFull() ? newest.sentAt + spacingWhenFull() : lateAt(newest);
+        if (newest.hasAnswerStarted() && extraCalls <= MAX_CONCURRENT_CALLS) {
+            due = Math.min(due, newest.answerStartedAt + (isFull() ? 2 : 1) * stallMs());
         }
         return Math.max(due, retryAt);
     }
 
     private boolean isFull() {
-        return out.size() == MAX_CONCURRENT_CALLS;
+        return inFlight.size() == MAX_CONCURRENT_CALLS;
     }
 
     /**
-     * When the answer to a call is late by what answers have been seen to take, yet early enough for the
-     * answer to a further one. Until that one goes out, nobody tells of changes since the call's wait.
+     * The time at which the answer to a call counts as late, given the answer time, but early enough for an
+     * extra call to be answered in time. Changes after the call's wait become known only by that extra call.
      */
     private double lateAt(Call call) {
-        boolean first = furtherCalls == 0;
+        boolean first = extraCalls == 0;
         if (Double.isNaN(answerMs)) {
-            return first ? Math.min(call.waitEnd + UNSEEN_LATE_MS, call.sentAt + boundMs - UNSEEN_ANSWER_MS)
-                    : call.sentAt + share * LONGEST_SPACING_MS;
+            return first
+                    ? Math.min(call.waitEnd + INITIAL_LATE_MS,
+                            call.sentAt + maxStalenessMs - INITIAL_ANSWER_MS)
+                    : call.sentAt + jitterFactor * MAX_SPACING_MS;
         }
-        double late = first ? LATE_MS
-                : share * doubled(FIRST_SPACING_MS, furtherCalls - 1, LONGEST_SPACING_MS);
-        double gap = Math.min(Math.max(late, LATE_ANSWERS * answerMs), LONGEST_GAP_MS - answerMs);
+        double late = first ? MIN_LATE_MS
+                : jitterFactor * backoff(MIN_SPACING_MS, extraCalls - 1, MAX_SPACING_MS);
+        double gap = Math.min(Math.max(late, LATE_ANSWER_FACTOR * answerMs), MAX_GAP_MS - answerMs);
         return Math.max(call.waitEnd + Math.max(0, gap),
-                call.sentAt + Math.min(answerMs / 2, LONGEST_GAP_MS));
+                call.sentAt + Math.min(answerMs / 2, MAX_GAP_MS));
     }
 
     private double expectedAnswerMs() {
-        return Double.isNaN(answerMs) ? UNSEEN_ANSWER_MS : answerMs;
+        return Double.isNaN(answerMs) ? INITIAL_ANSWER_MS : answerMs;
     }
 
-    /** What is given up may still be worked off, and must not be more than discovery can do. */
-    private double fullSpacing() {
-        double unheard = out.get(out.size() - 1).sentAt - out.get(0).sentAt;
-        double bearable = Math.max(FULL_SPACING_ANSWERS * expectedAnswerMs(), FULL_SPACING_SHARE * unheard);
-        return Math.max(bearable, FULL_SPACING_MS * share);
+    /** Discovery may still process cancelled calls, so new ones must not exceed its capacity. */
+    private double spacingWhenFull() {
+        double unheard = inFlight.get(inFlight.size() - 1).sentAt - inFlight.get(0).sentAt;
+        double bearable = Math.max(FULL_SPACING_ANSWER_FACTOR * expectedAnswerMs(),
+                FULL_SPACING_SILENCE_FACTOR * unheard);
+        return Math.max(bearable, MIN_FULL_SPACING_MS * jitterFactor);
     }
 
     private double stallMs() {
         return Math.max(STALL_MS, expectedAnswerMs());
     }
 
-    /** Gives up a call if as many are out as may be: one that has broken off, or else not the oldest. */
-    private void makeRoom() {
+    /**
+     * Cancels a call if the maximum number is in flight: the newest one if its answer has started, but
+     * stalled, while that of the second one has not; otherwise the second one. The oldest call is always
+     * kept.
+     */
+    private void evictCall() {
         if (isFull()) {
-            int replaced = !out.get(1).hasBegun() && out.get(2).hasBegun() ? 2 : 1;
-            actions.giveUp(out.remove(replaced).id, CallEnd.TIMED_OUT);
+            int replaced = !inFlight.get(1).hasAnswerStarted() && inFlight.get(2).hasAnswerStarted() ? 2 : 1;
+            actions.cancel(inFlight.remove(replaced).id, CallEnd.TIMED_OUT);
         }
     }
 
     private void call(double now) {
-        int waitMs = longestWaitMs;
-        if (!out.isEmpty()) {
-            furtherCalls++;
-            waitMs = Double.isNaN(answerMs) ? GLANCE_MS
-                    : (int) Math.max(GLANCE_MS, Math.min(longestWaitMs, answerMs));
+        int waitMs = maxWaitMs;
+        if (!inFlight.isEmpty()) {
+            extraCalls++;
+            waitMs = Double.isNaN(answerMs) ? SHORT_WAIT_MS
+                    : (int) Math.max(SHORT_WAIT_MS, Math.min(maxWaitMs, answerMs));
         } else if (failures > 0) {
-            waitMs = GLANCE_MS;
+            waitMs = SHORT_WAIT_MS;
         }
-        waitMs = Math.min(waitMs, longestWaitMs);
-        share = jitter();
+        waitMs = Math.min(waitMs, maxWaitMs);
+        jitterFactor = drawJitter();
         Call call = new Call(++lastId, version, now, waitMs);
-        out.add(call);
+        inFlight.add(call);
         actions.call(call.id, versionUnknown ? 0 : version, waitMs);
     }
 
-    private static double doubled(double first, int times, double longest) {
-        return Math.min(longest, first * (1 << Math.min(times, MOST_DOUBLINGS)));
+    private static double backoff(double first, int times, double longest) {
+        return Math.min(longest, first * (1 << Math.min(times, MAX_DOUBLINGS)));
     }
 
-    private double jitter() {
-        return LEAST_SHARE + (1 - LEAST_SHARE) * random.nextDouble();
+    private double drawJitter() {
+        return MIN_JITTER + (1 - MIN_JITTER) * random.nextDouble();
     }
 }
--- a/src/main/java/cranedeal/node/discovery/package-info.java
+++ b/src/main/java/cranedeal/node/discovery/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The client of discovery: when it calls, how old the list in use is, and what is logged and counted of it.
+ * The client of discovery: the schedule of its calls, the age of the list in use, and their logs and metrics.
  */
 package cranedeal.node.discovery;
--- a/src/test/java/cranedeal/node/AdminEndpointTest.java
+++ b/src/test/java/cranedeal/node/AdminEndpointTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators see at their door, and what their drain does to callers. */
+/** Tests the operators' endpoint, and the effect of a drain and of disabled upstreams on callers. */
 @Timeout(60)
 class AdminEndpointTest {
 
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theFiguresComeAsLines() throws Exception {
+    void statsAreReturnedAsLines() throws Exception {
         try (NodeFixture fixture = fixture();
                 HttpPeer operator = HttpPeer.connect(fixture.node.adminAddress())) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whatIsNoCallIsTurnedDown() throws Exception {
+    void malformedHttpIsRejected() throws Exception {
         try (NodeFixture fixture = fixture();
                 HttpPeer operator = HttpPeer.connect(fixture.node.adminAddress())) {
             operator.write("drain\r\n\r\n");
@@ -64,15 +64,15 @@
     }
 
     @Test
-    void callersThatSendNoWholeCallKeepNobodyOut() throws Exception {
+    void incompleteCallsDoNotBlockOthers() throws Exception {
         List<HttpPeer> silent = new ArrayList<>();
         try (NodeFixture fixture = fixture()) {
-            for (int i = 0; i < 3 * AdminEndpoint.CONNECTIONS; i++) {
+            for (int i = 0; i < 3 * AdminEndpoint.MAX_CONNECTIONS; i++) {
                 silent.add(HttpPeer.connect(fixture.node.adminAddress()));
                 silent.get(i).write("GET /ops/rea");
             }
             assertEquals(200, fixture.order("GET", "/ops/readiness"));
-            // The last one was evicted by nobody, so its time must have run out.
+            // No later connection evicted the last one, so it must have timed out.
             assertTrue(silent.get(silent.size() - 1).awaitClose());
         } finally {
             for (HttpPeer peer : silent) {
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void itAnswersWhileTheNodeIsBusyAndTakesBackAnOrderThatHasToWait() throws Exception {
+    void itAnswersWhileTheNodeIsBusyAndWithdrawsACommandThatWaitsTooLong() throws Exception {
         try (NodeFixture fixture = fixture()) {
             CountDownLatch busy = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aDrainSendsCallersAwayAndItsEndTakesThemBack() throws Exception {
+    void aDrainClosesCallersAndItsEndAcceptsThemAgain() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             for (int round = 0; round < 2; round++) {
@@ -121,7 +121,7 @@
                 assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
                 assertEquals(503, fixture.order("GET", "/ops/readiness"));
                 assertEquals(503, health(fixture));
-                // Who is still there is served, and told to leave.
+                // A caller that is still connected is served, and its connection is closed.
                 kept.write(NodeFixture.get("1", "10"));
                 HttpPeer.Message answer = kept.read();
                 assertEquals(503, answer.status());
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void anUpstreamThatIsOutGetsNothingUntilItIsBack() throws Exception {
+    void aDisabledUpstreamGetsNothingUntilItIsEnabled() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2)) {
             fixture.adminEnabled = true;
             fixture.start(cranedeal.LatencyWeightedBalancer::new);
@@ -164,7 +164,8 @@
             assertTrue(fixture.node.stats().contains("edge_proxy.targets_disabled=0\n"),
                     fixture.node.stats());
             assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000001"));
-            // It is cold, and the first of some requests that it has earned goes there; none goes elsewhere.
+            // The enabled upstream is cold, so it gets the first request of its share; no other goes
+            // elsewhere.
             for (int i = 0; i < 20; i++) {
                 fixture.caller().write(NodeFixture.get("back" + i, "10"));
             }
@@ -179,7 +180,7 @@
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             String request = NodeFixture.get("1", "10");
             List<HttpPeer> callers = new ArrayList<>();
-            // Cut within the first line, behind it, and within the head.
+            // Cut within the request line, after it, and within the headers.
             for (int cut : new int[] {3, request.indexOf("\r\n") + 2, request.length() - 5}) {
                 HttpPeer caller = fixture.caller();
                 caller.write(NodeFixture.HEALTH);
@@ -204,7 +205,7 @@
     }
 
     @Test
-    void noOrderUndoesTheDrainOfSigterm() throws Exception {
+    void operatorsCannotUndoTheDrainOfSigterm() throws Exception {
         try (NodeFixture fixture = fixture()) {
             assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
             HttpPeer caller = fixture.caller();
@@ -219,7 +220,7 @@
                 }
             });
             drain.start();
-            // Only a drain by hand says no to the front.
+            // Only an operator's drain makes the health check of the front fail.
             while (health(fixture) != 200) {
                 Thread.onSpinWait();
             }
--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -35,21 +35,21 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Calls and bytes of a balancer's watch on discovery, counted on the way between the program's client and the
- * lab's discovery, by the length of the list. No test: run by name.
+ * Measures the calls and bytes of a balancer's watch of discovery by the length of the list. A proxy between
+ * the program's client and the lab's discovery counts them. This is not a test; run it by name.
  */
 class DiscoveryBenchmark {
 
     private static final String COMMAND = "mvn -B test -Dtest=DiscoveryBenchmark";
     private static final int REPEATS = 3;
-    private static final int CALM_CALLS = 2;
+    private static final int IDLE_CALLS = 2;
     private static final int CHANGES = 20;
-    /** Between two changes of which each is to have an answer of its own. */
-    private static final int APART_MS = 100;
+    /** The interval between two changes, so that each gets its own answer. */
+    private static final int CHANGE_INTERVAL_MS = 100;
     private static final int RELEASE_MS = 5_000;
     private static final int ZONES = 6;
-    /** Until all that was told is told. */
-    private static final int QUIET_MS = 500;
+    /** The time after which all pending changes have been delivered. */
+    private static final int SETTLE_MS = 500;
     private static final int REPLACED_A_DAY = 42;
     private static final double S = 1_000;
     private static final double NANOS_PER_MS = 1e6;
@@ -57,16 +57,16 @@
     @TempDir
     private Path folder;
 
-    /** What passed in some time. */
-    private record Passed(long calls, long bytes) {
+    /** The number of calls and bytes that were forwarded. */
+    private record Traffic(long calls, long bytes) {
 
-        Passed since(Passed before) {
-            return new Passed(calls - before.calls, bytes - before.bytes);
+        Traffic since(Traffic before) {
+            return new Traffic(calls - before.calls, bytes - before.bytes);
         }
     }
 
-    /** Passes on what client and discovery send, and counts it. */
-    private static final class Counter implements AutoCloseable {
+    /** A proxy between client and discovery that counts the traffic. */
+    private static final class CountingProxy implements AutoCloseable {
 
         private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         private final InetSocketAddress to;
@@ -74,7 +74,7 @@
         private final AtomicLong bytes = new AtomicLong();
         private final List<Socket> sockets = new ArrayList<>();
 
-        Counter(InetSocketAddress to) throws IOException {
+        CountingProxy(InetSocketAddress to) throws IOException {
             this.to = to;
             daemon(this::accept);
         }
@@ -93,30 +93,30 @@
                     synchronized (sockets) {
                         sockets.addAll(List.of(client, server));
                     }
-                    daemon(() -> pass(client, server, true));
-                    daemon(() -> pass(server, client, false));
+                    daemon(() -> forward(client, server, true));
+                    daemon(() -> forward(server, client, false));
                 }
             } catch (IOException e) {
-                // Closed: there are no more.
+                // The listening socket was closed.
             }
         }
 
-        private void pass(Socket from, Socket into, boolean calling) {
+        private void forward(Socket from, Socket into, boolean calling) {
             byte[] buffer = new byte[1 << 16];
             try (InputStream in = from.getInputStream(); OutputStream out = into.getOutputStream()) {
                 for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
                     bytes.addAndGet(read);
-                    // A call is written at once, and the next one only after its answer.
+                    // Each read is one call: it is written at once, and the next one follows its answer.
                     calls.addAndGet(calling ? 1 : 0);
                     out.write(buffer, 0, read);
                 }
             } catch (IOException e) {
-                // Its other end is closed.
+                // The other end has closed the connection.
             }
         }
 
-        Passed passed() {
-            return new Passed(calls.get(), bytes.get());
+        Traffic traffic() {
+            return new Traffic(calls.get(), bytes.get());
         }
 
         @Override
@@ -130,22 +130,22 @@
         }
     }
 
-    /** What one play showed. */
-    private record Seen(Passed whole, Passed calm, double calmMs, Passed changes, Passed release,
-            Passed zone) { }
+    /** The traffic of the phases of one run. */
+    private record RunResult(Traffic whole, Traffic calm, double calmMs, Traffic changes, Traffic release,
+            Traffic zone) { }
 
     @Test
     void measure() throws Exception {
-        Map<Integer, List<Seen>> runs = new LinkedHashMap<>();
-        // Side by side, since all do little but wait.
+        Map<Integer, List<RunResult>> runs = new LinkedHashMap<>();
+        // Run in parallel, since all of them mostly wait.
         ExecutorService threads = Executors.newFixedThreadPool(ListBenchmark.SIZES.length);
         try {
             for (int repeat = 0; repeat < REPEATS; repeat++) {
-                Map<Integer, Future<Seen>> plays = new LinkedHashMap<>();
+                Map<Integer, Future<RunResult>> plays = new LinkedHashMap<>();
                 for (int size : ListBenchmark.SIZES) {
-                    plays.put(size, threads.submit(() -> play(size)));
+                    plays.put(size, threads.submit(() -> run(size)));
                 }
-                for (Map.Entry<Integer, Future<Seen>> one : plays.entrySet()) {
+                for (Map.Entry<Integer, Future<RunResult>> one : plays.entrySet()) {
                     runs.computeIfAbsent(one.getKey(), absent -> new ArrayList<>()).add(one.getValue().get());
                 }
             }
@@ -177,18 +177,18 @@
         ListBenchmark.write(report, "discovery");
     }
 
-    /** What a series takes of a play. */
-    private interface Figure {
-        double of(int size, Seen seen);
+    /** Computes the value of a series from a run. */
+    private interface Measure {
+        double of(int size, RunResult seen);
     }
 
-    private static void add(SlopeReport report, String name, String unit, Map<Integer, List<Seen>> runs,
-            Figure figure) {
+    private static void add(SlopeReport report, String name, String unit, Map<Integer, List<RunResult>> runs,
+            Measure figure) {
         report.add(name, unit, Basis.MEASURED, runs.entrySet().stream().map(one -> new Point(one.getKey(),
                 one.getValue().stream().map(seen -> figure.of(one.getKey(), seen)).toList())).toList());
     }
 
-    private Seen play(int size) throws Exception {
+    private RunResult run(int size) throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         DiscoveryServer server = null;
         InetAddress here = InetAddress.getByName("127.0.0.1");
@@ -205,11 +205,11 @@
                         ListBenchmark.KINDS.get(i % 2), i / 2, 1).sync();
             }
             server.bind(at);
-            try (Counter counter = new Counter(at)) {
+            try (CountingProxy counter = new CountingProxy(at)) {
                 Path file = folder.resolve("config-" + size + ".json");
                 Files.writeString(file, fixture.config().replace(fixture.discovery.address(),
                         "127.0.0.1:" + counter.listening.getLocalPort()));
-                return play(size, server, counter, NodeConfig.read(file.toString()),
+                return run(size, server, counter, NodeConfig.read(file.toString()),
                         loops.next());
             }
         } finally {
@@ -220,8 +220,8 @@
         }
     }
 
-    private Seen play(int size, DiscoveryServer server, Counter counter, NodeConfig config, EventLoop loop)
-            throws Exception {
+    private RunResult run(int size, DiscoveryServer server, CountingProxy counter, NodeConfig config,
+            EventLoop loop) throws Exception {
         AtomicLong told = new AtomicLong();
         DiscoveryClient discovery = loop.submit(() -> new DiscoveryClient(loop, new Clock()::now,
                 config.discoveryOptions(), config::parseList, UnpooledByteBufAllocator.DEFAULT,
@@ -236,31 +236,31 @@
                         told.addAndGet(1_000_000);
                     }
                 })).sync().getNow();
-        Passed before = counter.passed();
+        Traffic before = counter.traffic();
         loop.submit(discovery::fetch).sync();
-        // The first call of a process takes long, and half of it would be counted otherwise.
+        // The first call of a process takes long; without this wait only a part of it would be counted.
         while (told.get() == 0) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        final Passed whole = counter.passed().since(before);
+        final Traffic whole = counter.traffic().since(before);
         loop.submit(() -> discovery.watch(true)).sync();
-        Thread.sleep(QUIET_MS);
-        // From call to call, since a time that cuts into a watch counts too many or too few.
+        Thread.sleep(SETTLE_MS);
+        // Measured from call to call, since an interval that splits a watch call would miscount.
         before = nextCall(counter);
         final long calmFrom = System.nanoTime();
-        Passed after = before;
-        for (int i = 0; i < CALM_CALLS; i++) {
+        Traffic after = before;
+        for (int i = 0; i < IDLE_CALLS; i++) {
             after = nextCall(counter);
         }
         final double calmMs = (System.nanoTime() - calmFrom) / NANOS_PER_MS;
-        final Passed calm = after.since(before);
-        before = counter.passed();
+        final Traffic calm = after.since(before);
+        before = counter.traffic();
         for (int i = 0; i < CHANGES; i++) {
             server.state(ListBenchmark.id(0), i % 2 == 0 ? "draining" : "up").sync();
-            Thread.sleep(APART_MS);
+            Thread.sleep(CHANGE_INTERVAL_MS);
         }
-        final Passed changes = counter.passed().since(before);
-        before = counter.passed();
+        final Traffic changes = counter.traffic().since(before);
+        before = counter.traffic();
         long began = System.nanoTime();
         for (int i = 0; i < size; i++) {
             server.state(ListBenchmark.id(i), "draining").sync();
@@ -268,28 +268,28 @@
             server.started(ListBenchmark.id(i), 1_764_600_000_000L + i).sync();
             sleepUntil(began, (2 * i + 2) * (double) RELEASE_MS / (2 * size));
         }
-        final Passed release = counter.passed().since(before);
-        Thread.sleep(QUIET_MS);
-        before = counter.passed();
+        final Traffic release = counter.traffic().since(before);
+        Thread.sleep(SETTLE_MS);
+        before = counter.traffic();
         for (int i = 0; i < size; i += ZONES) {
             server.started(ListBenchmark.id(i), 1_764_600_100_000L);
         }
-        Thread.sleep(QUIET_MS);
-        Passed zone = counter.passed().since(before);
+        Thread.sleep(SETTLE_MS);
+        Traffic zone = counter.traffic().since(before);
         loop.submit(() -> discovery.watch(false)).sync();
         if (told.get() >= 1_000_000) {
             throw new AssertionError("a call to discovery failed");
         }
-        return new Seen(whole, calm, calmMs, changes, release, zone);
+        return new RunResult(whole, calm, calmMs, changes, release, zone);
     }
 
-    /** Waits until a further call has come; its answer is yet to come. */
-    private static Passed nextCall(Counter counter) throws InterruptedException {
-        long calls = counter.passed().calls();
-        while (counter.passed().calls() == calls) {
+    /** Waits for the next call, whose answer is still outstanding. */
+    private static Traffic nextCall(CountingProxy counter) throws InterruptedException {
+        long calls = counter.traffic().calls();
+        while (counter.traffic().calls() == calls) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        return counter.passed();
+        return counter.traffic();
     }
 
     private static void sleepUntil(long began, double ms) throws InterruptedException {
--- a/src/test/java/cranedeal/node/DiscoveryReturnTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryReturnTest.java
@@ -17,22 +17,22 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * In virtual time: how soon balancers have a list again once discovery can be reached, whatever became of the
- * calls that were out. The schedule is the very one of the program; discovery works through calls in turn,
- * and fails those that waited too long.
+ * Guards against balancers that get a new list too late after an outage of discovery, or overload discovery
+ * with calls when it returns. Runs the program's schedule in virtual time; the simulated discovery serves
+ * calls one at a time, and fails those that were queued for too long.
  */
 class DiscoveryReturnTest {
 
-    private static final double COUNTS_AS_TOLD_MS = 6_000;
+    private static final double MAX_UPDATE_DELAY_MS = 6_000;
     private static final double DOWN_FROM_MS = 20_000;
     private static final double BACK_AT_MS = 30_000;
     private static final double END_MS = 60_000;
     private static final double CONNECT_TIMEOUT_MS = 1_000;
-    /** Discovery's time for a call, and for how long one may wait for its turn there. */
+    /** Discovery's time to serve a call, and the longest time that a call may be queued there. */
     private static final double SERVICE_MS = 2;
-    private static final double LONGEST_QUEUE_MS = 1_000;
+    private static final double MAX_QUEUE_MS = 1_000;
 
-    /** What becomes of a call while discovery is down. */
+    /** What happens to a call while discovery is down. */
     private enum Outage { REFUSED, REFUSED_LATE, RESET, NO_CONNECTION, SILENT, CROWD }
 
     private record Event(double at, long order, Runnable what) { }
@@ -43,9 +43,9 @@
     private double now;
     private Outage outage;
     private double busyUntil;
-    /** Calls in each second from the outage on, of those that were not told yet. */
+    /** Calls per second from the outage on, by watchers that have not been updated yet. */
     private final TreeMap<Integer, Integer> calls = new TreeMap<>();
-    private int turnedAway;
+    private int rejected;
 
     private void at(double time, Runnable what) {
         events.add(new Event(time, order++, what));
@@ -56,8 +56,8 @@
 
         private final WatchSchedule schedule;
         private final Set<Long> open = new HashSet<>();
-        private double toldAt = Double.NaN;
-        /** How often it was refused since discovery is back but for the call that was out then. */
+        private double updatedAt = Double.NaN;
+        /** Its calls refused by the overloaded discovery since its return, without the one in flight then. */
         private int crowdedOut;
         private double wakeAt;
 
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public void giveUp(long id, CallEnd why) {
+        public void cancel(long id, CallEnd why) {
             open.remove(id);
         }
 
@@ -93,7 +93,7 @@
         @Override
         public void call(long id, long index, int waitMs) {
             open.add(id);
-            if (now >= DOWN_FROM_MS && Double.isNaN(toldAt)) {
+            if (now >= DOWN_FROM_MS && Double.isNaN(updatedAt)) {
                 calls.merge((int) (now / 1_000), 1, Integer::sum);
             }
             boolean down = now >= DOWN_FROM_MS && now < BACK_AT_MS;
@@ -101,10 +101,10 @@
                 failLater(now + CONNECT_TIMEOUT_MS, id);
             } else if (outage == Outage.CROWD && now >= BACK_AT_MS && crowdedOut < 1) {
                 crowdedOut++;
-                failLater(now + LONGEST_QUEUE_MS, id);
+                failLater(now + MAX_QUEUE_MS, id);
             } else if (down && outage != Outage.SILENT) {
                 boolean late = outage == Outage.REFUSED_LATE || outage == Outage.CROWD;
-                failLater(now + (late ? LONGEST_QUEUE_MS : 1), id);
+                failLater(now + (late ? MAX_QUEUE_MS : 1), id);
             } else if (!down) {
                 serve(id, waitMs);
             }
@@ -113,16 +113,16 @@
         private void serve(long id, int waitMs) {
             double asked = now;
             double begins = Math.max(asked, busyUntil);
-            if (begins - asked > LONGEST_QUEUE_MS) {
-                turnedAway++;
-                failLater(asked + LONGEST_QUEUE_MS, id);
+            if (begins - asked > MAX_QUEUE_MS) {
+                rejected++;
+                failLater(asked + MAX_QUEUE_MS, id);
                 return;
             }
             busyUntil = begins + SERVICE_MS;
-            boolean behind = asked >= BACK_AT_MS && Double.isNaN(toldAt);
+            boolean behind = asked >= BACK_AT_MS && Double.isNaN(updatedAt);
             double end = busyUntil + (behind ? 0 : waitMs);
             if (!behind && asked < DOWN_FROM_MS && end >= DOWN_FROM_MS) {
-                // Watches end when discovery goes down, or fall silent with it.
+                // A watch call in flight fails when discovery goes down, or never gets an answer.
                 if (outage != Outage.SILENT) {
                     failLater(DOWN_FROM_MS, id);
                 }
@@ -130,14 +130,14 @@
             }
             at(end, () -> {
                 if (open.remove(id)) {
-                    toldAt = behind && Double.isNaN(toldAt) ? now : toldAt;
+                    updatedAt = behind && Double.isNaN(updatedAt) ? now : updatedAt;
                     schedule.answered(now, id, behind ? 2 : schedule.version(), behind);
                 }
             });
         }
     }
 
-    private List<Watcher> play(int watchers) {
+    private List<Watcher> run(int watchers) {
         List<Watcher> all = new ArrayList<>();
         for (int i = 0; i < watchers; i++) {
             Watcher watcher = new Watcher(i);
@@ -155,19 +155,19 @@
     @EnumSource(Outage.class)
     void hundredsAreToldInTimeOnceDiscoveryIsBackAndDoNotKnockItOver(Outage how) {
         outage = how;
-        List<Watcher> all = play(300);
-        double last = all.stream().mapToDouble(watcher -> watcher.toldAt - BACK_AT_MS).max().orElseThrow();
+        List<Watcher> all = run(300);
+        double last = all.stream().mapToDouble(watcher -> watcher.updatedAt - BACK_AT_MS).max().orElseThrow();
         int back = (int) (BACK_AT_MS / 1_000);
         int before = calls.headMap(back).values().stream().max(Integer::compare).orElseThrow();
         int after = calls.tailMap(back).values().stream().max(Integer::compare).orElseThrow();
-        String shown = how + ": last told after " + last + " ms, calls in a second "
-                + calls + ", turned away " + turnedAway;
+        String shown = how + ": last update after " + last + " ms, calls per second "
+                + calls + ", rejected " + rejected;
         if (Boolean.getBoolean("show")) {
             System.out.println(shown);
         }
-        // NaN, for one never told, is not less.
-        assertTrue(last < COUNTS_AS_TOLD_MS - 500, shown);
-        assertEquals(0, turnedAway, shown);
+        // Also fails for NaN, the value of a watcher that was never updated.
+        assertTrue(last < MAX_UPDATE_DELAY_MS - 500, shown);
+        assertEquals(0, rejected, shown);
         assertTrue(after <= Math.max(before, all.size()), shown);
     }
 }
--- a/src/test/java/cranedeal/node/DiscoveryTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list and the watch, and what becomes of answers that are of no use. */
+/** Tests the list and the watch over real sockets, with late, partial and invalid answers of discovery. */
 @Timeout(60)
 class DiscoveryTest {
 
-    private static final int CROWDED_MS = 1_000;
-    /** After this time a call used to be given up. */
-    private static final int GIVEN_UP_ONCE_MS = 4_000;
+    private static final int LATE_ANSWER_MS = 1_000;
+    /** An earlier version cancelled a call after this time. */
+    private static final int OLD_CALL_TIMEOUT_MS = 4_000;
     private static final int LONG_LIST_MS = 500;
-    /** Lists may come indented: more than are written, one a ms, until the end. */
+    /** Blanks before the list: more than can be written at one per ms before the end. */
     private static final int BLANKS = 8_000;
 
     private final NodeFixture fixture = new NodeFixture();
@@ -64,28 +64,30 @@
         }
     }
 
-    /** Discovery works through its calls in turn, and in a crowd answers some time after the wait is over. */
+    /** Discovery serves calls one at a time, so under load it answers some time after the wait is over. */
     @Test
     void aWatchThatIsAnsweredASecondAfterItsWaitIsNotGivenUp() throws Exception {
         try (fixture) {
             started();
             HttpPeer watch = fixture.discovery.accept();
             watch.read();
-            Thread.sleep(DiscoveryClient.MAX_WAIT_MS + CROWDED_MS);
+            Thread.sleep(DiscoveryClient.MAX_WAIT_MS + LATE_ANSWER_MS);
             watch.write(NodeFixture.ok(NodeFixture.listJson(45, false,
                     NodeFixture.listEntry(0, "127.0.0.1:1", "draining"))));
             assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
         }
     }
 
-    /** A long list comes in for longer than a call is waited for; while parts of it come, that goes on. */
+    /**
+     * A long list may take longer to arrive than the timeout; the call continues while parts of it arrive.
+     */
     @Test
     void aListThatIsComingInIsWaitedForBeyondItsTime() throws Exception {
         try (fixture) {
             started();
             HttpPeer watch = fixture.discovery.accept();
             watch.read();
-            long longer = GIVEN_UP_ONCE_MS + LONG_LIST_MS;
+            long longer = OLD_CALL_TIMEOUT_MS + LONG_LIST_MS;
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longer);
             String list = NodeFixture.ok(" ".repeat(BLANKS) + NodeFixture.listJson(45, false,
                     NodeFixture.listEntry(0, "127.0.0.1:1", "draining")));
@@ -101,7 +103,7 @@
         }
     }
 
-    /** A change lies unread while the loop is busy within a look, until the time of its call is over. */
+    /** The loop is busy between two polls for longer than the call's timeout, while a change is unread. */
     @Test
     void aChangeThatHasComeIsReadBeforeItsCallIsGivenUp() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
@@ -125,7 +127,7 @@
             held.await();
             watch.write(NodeFixture.ok(NodeFixture.listJson(45, false,
                     NodeFixture.listEntry(0, "127.0.0.1:1", "draining"))));
-            Thread.sleep(GIVEN_UP_ONCE_MS);
+            Thread.sleep(OLD_CALL_TIMEOUT_MS);
             release.countDown();
             assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
         }
@@ -149,7 +151,7 @@
             watch.close();
             assertEquals(Change.FAILED, ScriptedBalancer.next(fixture.balancer.changes));
             fixture.assertServes();
-            // One failure for one call, and the module can ask again from where it was.
+            // One failure for one call, and the module can call again with the version it has.
             assertTrue(fixture.balancer.changes.isEmpty());
             fixture.balancer.onRequest = request -> {
                 fixture.balancer.actions.refuse(request.id(), 0);
@@ -176,7 +178,7 @@
             fixture.start(cranedeal.LatencyWeightedBalancer::new);
             fixture.discovery.accept().reset();
             HttpPeer again = fixture.discovery.accept();
-            // Its answer tells whether discovery is back, so it must not be long in coming.
+            // This call finds out whether discovery is back, so it has a short wait.
             assertEquals("GET /catalog/members?index=41&wait=250 HTTP/1.1", again.read().firstLine());
             again.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
             assertEquals("GET /catalog/members?index=45&wait=2500 HTTP/1.1", again.read().firstLine());
@@ -184,10 +186,10 @@
     }
 
     private interface WatchTest {
-        void play(HttpPeer silent, LinkedBlockingQueue<String> told) throws Exception;
+        void run(HttpPeer silent, LinkedBlockingQueue<String> told) throws Exception;
     }
 
-    /** Plays with a watch that asks for 100 ms at most and whose first call gets no answer. */
+    /** Runs a test with a watch that waits for 100 ms at most and whose first call gets no answer. */
     private void withSilentWatch(WatchTest test) throws Exception {
         EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Path file = Files.createTempFile("node", ".json");
@@ -212,7 +214,7 @@
             loop.execute(() -> discovery.watch(true));
             HttpPeer watch = fixture.discovery.accept();
             assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", watch.read().firstLine());
-            test.play(watch, told);
+            test.run(watch, told);
         } finally {
             Files.delete(file);
             loop.parent().shutdownGracefully();
@@ -228,7 +230,7 @@
     @Test
     void besideAWatchThatFallsSilentAnotherCallGoesOutAndItsAnswerEndsTheFirst() throws Exception {
         withSilentWatch((silent, told) -> {
-            // Nobody has to ask for it: whoever would, may do so too late.
+            // The client sends it by itself; a request by the module might come too late.
             HttpPeer anew = furtherCall();
             assertTrue(told.isEmpty());
             anew.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
@@ -244,7 +246,7 @@
             HttpPeer second = furtherCall();
             silent.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
             assertEquals("version 45", ScriptedBalancer.next(told));
-            // An older list must not take the place of a newer one; it answers the call all the same.
+            // An older list must not replace a newer one, but it still ends its call.
             second.write(NodeFixture.ok(NodeFixture.listJson(44, false)));
             assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", second.read().firstLine());
             assertTrue(told.isEmpty());
@@ -264,7 +266,7 @@
         });
     }
 
-    /** Most of the direct memory that a balancer in service has is taken by three of them at once. */
+    /** Three such lists at once take most of the direct memory of a balancer in production. */
     @Test
     void aWholeListOfThousandsOfIndentedEntriesIsTakenInBesideTwoThatDoNotEnd() throws Exception {
         withSilentWatch((silent, told) -> {
@@ -297,7 +299,8 @@
             assertEquals(Change.DELTA, ScriptedBalancer.next(fixture.balancer.changes));
             watch.read();
             watch.reset();
-            // Nobody has asked, so nobody is told of a failure; the watch is back all the same.
+            // The module did not start the watch, so it isn't notified of the failure; the watch still
+            // retries.
             HttpPeer again = fixture.discovery.accept();
             assertEquals("GET /catalog/members?index=45&wait=250 HTTP/1.1", again.read().firstLine());
             again.write(NodeFixture.ok(NodeFixture.listJson(46, false)));
--- a/src/test/java/cranedeal/node/DrainTest.java
+++ b/src/test/java/cranedeal/node/DrainTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program as a process: its command line, and how it ends. */
+/** Tests the program as a process: its command line, signals and graceful shutdown. */
 @Timeout(120)
 class DrainTest {
 
@@ -22,7 +22,7 @@
         return start(null, config, arguments);
     }
 
-    /** Starts the program, with a folder of its own if one is given. */
+    /** Starts the program, with {@code TMPDIR} set if a folder is given. */
     static Process start(Path folder, Path config, String... arguments) throws IOException {
         String[] command = new String[arguments.length + 4];
         command[0] = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -83,18 +83,18 @@
             taken.write(NodeFixture.get("taken", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            // One that is served after it: what is taken is late by itself then, and no sign of overload.
+            // A later request is served, so that the pending one does not look like a sign of overload.
             idle.write(NodeFixture.get("before", "2"));
             HttpPeer second = fixture.upstreams.get(0).accept();
             second.read();
             second.write(NodeFixture.ok("before"));
             assertEquals("before", idle.read().body());
             node.process.destroy();
-            // A late caller, one on a connection that it had, and the one that was taken before.
+            // A late caller, a request on a kept connection, and the request accepted before are all served.
             HttpPeer.Message late = null;
             while (late == null || late.header("Connection") == null) {
-                // Until callers are sent away, answers keep the connection. Were it left open, so many would
-                // come that the idle one had to go.
+                // Until the drain closes callers' connections, answers keep them open. Each is closed here,
+                // as otherwise the idle one would be evicted to make room.
                 try (HttpPeer caller = HttpPeer.connect(node.address)) {
                     caller.write(NodeFixture.HEALTH);
                     late = caller.read();
@@ -134,7 +134,7 @@
             caller.write(NodeFixture.HEALTH);
             caller.read();
             caller.write(NodeFixture.get("1", "10"));
-            // The request lies in the kernel or is at work; either way it must not be lost.
+            // The request is unread in the kernel or being handled; either way it must not be lost.
             assertFalse(fixture.node.closeIdleCallers());
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
@@ -160,7 +160,7 @@
             before.read();
             before.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
             before.read();
-            // A file that can't be read changes nothing, and what follows it still counts.
+            // An invalid file changes nothing, and a valid one after it is still applied.
             String replaced = config.replace(fixture.discovery.address(), moved.address());
             for (String text : new String[] {"{", replaced}) {
                 Files.writeString(file, text);
@@ -194,7 +194,7 @@
             });
             long begun = System.nanoTime();
             drain.start();
-            // Some answers come after the drain has begun and keep the connection, until one ends it.
+            // Answers after the start of the drain keep the connection, until one of them closes it.
             int kept = 0;
             HttpPeer.Message answer = null;
             while (answer == null || answer.header("Connection") == null) {
@@ -203,7 +203,7 @@
                 kept++;
             }
             long servedOn = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-            assertTrue(servedOn >= 1_000 && kept > 1, "sent away after " + servedOn + " ms");
+            assertTrue(servedOn >= 1_000 && kept > 1, "closed after " + servedOn + " ms");
             drain.join();
         }
     }
@@ -216,7 +216,7 @@
             caller.read();
             String request = NodeFixture.spend("1", "body");
             caller.write(request.substring(0, request.length() - 2));
-            // What the caller wrote before has been read once this one, on the same thread, has its answer.
+            // The partial request has been read once a later one, on the same thread, is answered.
             fixture.awaitReads();
             assertFalse(fixture.node.closeIdleCallers());
             caller.write(request.substring(request.length() - 2));
--- a/src/test/java/cranedeal/node/ListBenchmark.java
+++ b/src/test/java/cranedeal/node/ListBenchmark.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Lists of upstreams parsed and taken in by the module: processor time and memory allocated, by their length.
- * No test: run by name, on an idle machine, with the flags of service as {@code argLine}.
+ * Measures the CPU time and allocated memory of parsing lists of upstreams and applying them in the module,
+ * by their length. This is not a test; run it by name, on an idle machine, with production JVM flags as
+ * {@code argLine}.
  */
 class ListBenchmark {
 
@@ -28,12 +29,12 @@
     static final List<String> KINDS = List.of("front-mid", "front-large");
     private static final double NOW = 1e6;
 
-    /** Ids as they are in service: eight digits that say nothing. */
+    /** An id as in production: eight arbitrary hexadecimal digits. */
     static String id(int number) {
         return "s-%08x".formatted(number * 2_654_435_761L & 0xffffffffL);
     }
 
-    /** An entry as discovery words it. */
+    /** An entry in discovery's format. */
     static String entry(int number, String state, long startedMs) {
         return ("{\"id\":\"%s\",\"addr\":\"127.1.%d.%d:8081\",\"zone\":\"%s\",\"kind\":\"%s\",\"cell\":%d,"
                 + "\"state\":\"%s\",\"weight\":1.0,\"started_ms\":%d}").formatted(id(number), number / 250,
@@ -59,7 +60,7 @@
         return roster.members().stream().map(UpstreamList.Member::upstream).toList();
     }
 
-    /** A module that has a list of that length. */
+    /** Creates a module that has a list of the given length. */
     static LoadBalancer module(LoadBalancer.Settings settings, int size) throws IOException {
         LoadBalancer balancer = new LatencyWeightedBalancer(new NoActions());
         balancer.start(NOW, settings, size);
@@ -101,7 +102,9 @@
         write(report, "list");
     }
 
-    /** Prints a report, and writes it to the folder of system property {@code slopes} if there is one. */
+    /**
+     * Prints a report, and writes it to the folder named by system property {@code slopes} if that is set.
+     */
     static void write(SlopeReport report, String name) throws IOException {
         System.out.print(report.text());
         String folder = System.getProperty("slopes");
@@ -110,7 +113,7 @@
         }
     }
 
-    /** Whoever hosts a module that nothing is sent through. */
+    /** A host of a module that gets no requests. */
     private static final class NoActions implements LoadBalancer.Actions {
 
         @Override
@@ -135,7 +138,7 @@
 
         @Override
         public void probe(long upstream) {
-            // None is played.
+            // Probes are not simulated.
         }
 
         @Override
@@ -145,12 +148,12 @@
 
         @Override
         public void fetch() {
-            // Lists come unasked here.
+            // The benchmark passes lists in by itself.
         }
 
         @Override
         public void watch(boolean on) {
-            // Lists come unasked here.
+            // The benchmark passes lists in by itself.
         }
 
         @Override
@@ -165,7 +168,7 @@
 
         @Override
         public void log(String text) {
-            // Log lines decide nothing.
+            // Log lines are ignored.
         }
     }
 }
--- a/src/test/java/cranedeal/node/LoopMonitorTest.java
+++ b/src/test/java/cranedeal/node/LoopMonitorTest.java
@@ -8,7 +8,7 @@
 import io.netty.channel.IoRegistration;
 import org.junit.jupiter.api.Test;
 
-/** How late a loop is, and how much spare time it has, in virtual time. */
+/** Tests the measured lag and idle time of a loop in virtual time. */
 class LoopMonitorTest {
 
     private static final double EXACT = 2;
@@ -17,7 +17,7 @@
     private double nextTimerMs = 5;
     private boolean canBlock = true;
     private LoopMonitor monitor;
-    /** What happens while the loop waits for its sockets, and what it does with what it found. */
+    /** Actions while the loop waits for its sockets, and while it handles the events that it found. */
     private Runnable wait = () -> { };
     private Runnable read = () -> { };
 
@@ -87,7 +87,7 @@
         assertEquals(200, monitor.takeLongestBusy(), EXACT);
     }
 
-    /** The process is stopped while it waits: it wakes long after its next timer was due. */
+    /** The process is suspended while it waits, so it wakes long after its next timer was due. */
     @Test
     void whatComesWhileTheProcessIsStoppedHasWaited() {
         wait = () -> now += 505;
--- a/src/test/java/cranedeal/node/NodeMetricsTest.java
+++ b/src/test/java/cranedeal/node/NodeMetricsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Every figure is counted where its event happens. */
+/** Tests that each metric is counted when its event happens. */
 @Timeout(60)
 class NodeMetricsTest {
 
@@ -18,16 +18,16 @@
                 .collect(Collectors.toMap(pair -> pair[0], pair -> Long.parseLong(pair[1])));
     }
 
-    private static void assertFigure(long expected, NodeFixture fixture, String name) {
+    private static void assertMetric(long expected, NodeFixture fixture, String name) {
         assertEquals(expected, read(fixture).get("edge_proxy." + name), name);
     }
 
-    /** Waits until the caller's event has reached the node. */
+    /** Waits until a metric has a value, as the event may not have reached the node yet. */
     private static void await(long expected, NodeFixture fixture, String name) throws InterruptedException {
         for (int i = 0; i < HttpPeer.TIMEOUT_MS && read(fixture).get("edge_proxy." + name) != expected; i++) {
             Thread.sleep(1);
         }
-        assertFigure(expected, fixture, name);
+        assertMetric(expected, fixture, name);
     }
 
     @Test
@@ -66,7 +66,7 @@
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertFigure(1, fixture, "concurrent");
+            assertMetric(1, fixture, "concurrent");
             await(1, fixture, "dispatches");
             upstream.write(NodeFixture.ok("well"));
             assertEquals(200, caller.read().status());
@@ -76,12 +76,12 @@
             fixture.balancer.onRequest = request -> fixture.balancer.actions.fail(request.id());
             caller.write(NodeFixture.spend("3", "x"));
             assertEquals(502, caller.read().status());
-            assertFigure(1, fixture, "success.look-up");
-            assertFigure(1, fixture, "overload.look-up");
-            assertFigure(0, fixture, "error.look-up");
-            assertFigure(1, fixture, "error.credit-spend");
-            assertFigure(1, fixture, "dispatches");
-            assertFigure(0, fixture, "concurrent");
+            assertMetric(1, fixture, "success.look-up");
+            assertMetric(1, fixture, "overload.look-up");
+            assertMetric(0, fixture, "error.look-up");
+            assertMetric(1, fixture, "error.credit-spend");
+            assertMetric(1, fixture, "dispatches");
+            assertMetric(0, fixture, "concurrent");
         }
     }
 
@@ -91,7 +91,7 @@
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
             fixture.upstreams.get(0).accept().read();
-            assertFigure(1, fixture, "concurrent");
+            assertMetric(1, fixture, "concurrent");
             caller.close();
             ScriptedBalancer.next(fixture.balancer.gone);
             await(0, fixture, "concurrent");
@@ -105,7 +105,7 @@
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
             assertEquals(502, caller.read().status());
-            assertFigure(0, fixture, "dispatches");
+            assertMetric(0, fixture, "dispatches");
         }
     }
 
--- a/src/test/java/cranedeal/node/OperatorOverridesTest.java
+++ b/src/test/java/cranedeal/node/OperatorOverridesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators have ordered outlasts the process, and a damaged file stops nobody. */
+/** Tests that operators' overrides are read as they were written, and that a damaged file is no error. */
 class OperatorOverridesTest {
 
     @TempDir
--- a/src/test/java/cranedeal/node/PublishedConfigTest.java
+++ b/src/test/java/cranedeal/node/PublishedConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the fleet publishes lies over a balancer's own file, whole or not at all. */
+/** Tests that a section published by the fleet overrides a balancer's own file as a whole, or not at all. */
 @Timeout(60)
 class PublishedConfigTest {
 
@@ -44,7 +44,7 @@
         try (NodeFixture fixture = fixture()) {
             fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
             assertTrue(shows(fixture, "success.tile-view=0"), fixture.node.stats());
-            // The file changes, and what was published still goes before it.
+            // The file changes, and the published section still overrides it.
             Path file = folder.resolve("config.json");
             Files.writeString(file, fixture.config().replace("look-up", "look-over").replace("credit-spend",
                     "debit"));
--- a/src/test/java/cranedeal/node/ReconfigureTest.java
+++ b/src/test/java/cranedeal/node/ReconfigureTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A configuration that is read again holds as a whole, or not at all. */
+/** Tests that a reloaded configuration is applied as a whole, or not at all. */
 @Timeout(60)
 class ReconfigureTest {
 
@@ -28,7 +28,7 @@
         return fixture.config().replace("\"name\":\"" + from + "\"", "\"name\":\"" + to + "\"");
     }
 
-    private static void assertFigure(NodeFixture fixture, String line) {
+    private static void assertMetric(NodeFixture fixture, String line) {
         assertTrue(fixture.node.stats().contains("edge_proxy." + line + "\n"), fixture.node.stats());
     }
 
@@ -66,8 +66,8 @@
             String bad = good.replace(from, to == null ? "" : to);
             assertTrue(!bad.equals(good));
             reload(fixture, bad);
-            assertFigure(fixture, "reload_failure=1");
-            assertFigure(fixture, "reload_success=0");
+            assertMetric(fixture, "reload_failure=1");
+            assertMetric(fixture, "reload_success=0");
             assertTrue(!fixture.node.stats().contains("tile-view"));
             fixture.assertServes();
         }
@@ -83,7 +83,7 @@
                 tried++;
             }
             reload(fixture, good + good);
-            assertFigure(fixture, "reload_failure=" + (tried + 1));
+            assertMetric(fixture, "reload_failure=" + (tried + 1));
             fixture.assertServes();
         }
     }
@@ -96,17 +96,17 @@
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             reload(fixture, rename(fixture, "credit-spend", "debit"));
-            assertFigure(fixture, "reload_success=1");
-            assertFigure(fixture, "success.debit=0");
+            assertMetric(fixture, "reload_success=1");
+            assertMetric(fixture, "success.debit=0");
             upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
-            assertFigure(fixture, "success.credit-spend=1");
+            assertMetric(fixture, "success.credit-spend=1");
             assertEquals(400, status(fixture, NodeFixture.spend("2", "x")));
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             assertEquals(503, status(fixture, NodeFixture.spend("3", "x").replace("credit-spend", "debit")));
             reload(fixture, fixture.config());
-            assertFigure(fixture, "success.credit-spend=1");
-            assertFigure(fixture, "overload.debit=1");
+            assertMetric(fixture, "success.credit-spend=1");
+            assertMetric(fixture, "overload.debit=1");
         }
     }
 
@@ -117,7 +117,7 @@
             fixture.balancer.sendUntilNotSent(0);
             reload(fixture, fixture.config().replace("\"attemptsCap\":4", "\"attemptsCap\":2")
                     .replace("\"idempotency\":\"idempotent\"", "\"idempotency\":\"at_most_once\""));
-            assertFigure(fixture, "reload_success=1");
+            assertMetric(fixture, "reload_success=1");
             assertEquals(400, status(fixture, NodeFixture.get("1", "10")));
             assertEquals(503, status(fixture, NodeFixture.spend("2", "x")));
             assertEquals(3, fixture.balancer.outcomes.size());
--- a/src/test/java/cranedeal/node/Rehearsal.java
+++ b/src/test/java/cranedeal/node/Rehearsal.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Run by the build: starts the packed program by the given command, lets it serve for a moment and ends it
- * as the platform does, so that the virtual machine archives the classes that it has loaded by then.
+ * Training run for the class data sharing archive, run by the build: starts the packaged program by the given
+ * command, lets it serve some requests and ends it by SIGTERM, as the platform does, so that the virtual
+ * machine archives the classes that it has loaded by then.
  */
 final class Rehearsal {
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Answers whatever comes with the same text. */
+    /** Answers each request with the same text. */
     private static void answer(HttpPeer peer, String answer) {
         try (peer) {
             while (peer.read() != null) {
--- a/src/test/java/cranedeal/node/ReloadAndDrainTest.java
+++ b/src/test/java/cranedeal/node/ReloadAndDrainTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** SIGHUP and SIGTERM in one process, one inside the other, and a start that discovery does not help. */
+/** Tests SIGHUP and SIGTERM that overlap in one process, and a start while discovery does not answer. */
 @Timeout(120)
 class ReloadAndDrainTest {
 
@@ -34,7 +34,7 @@
             HttpPeer other = HttpPeer.connectWhenServing(node.address, node.process);
             HttpPeer watch = fixture.discovery.accept();
             watch.read();
-            // Only the first is known from here on, so that the request below has one place to go to.
+            // From here on only the first upstream is listed, so that the request below must go to it.
             watch.write(NodeFixture.ok(NodeFixture.listJson(50, true, up(fixture, 0))));
             watch.read();
             ask(caller, NodeFixture.get("taken", "10"));
@@ -45,7 +45,7 @@
             HttpPeer anew = moved.accept();
             assertEquals("GET /catalog/members?index=50&wait=2500 HTTP/1.1", anew.read().firstLine());
             assertTrue(watch.awaitClose());
-            // At the new address the first is gone, and another is there.
+            // At the new address only the other upstream is listed.
             anew.write(NodeFixture.ok(NodeFixture.listJson(51, true, up(fixture, 1))));
             anew.read();
             ask(other, NodeFixture.get("later", "10"));
@@ -94,7 +94,7 @@
                 node.moveDiscovery(i % 2 == 0 ? moved.address() : fixture.discovery.address());
                 node.signal("TERM");
             }
-            // A file that can't be read, in the middle of the drain.
+            // An invalid file in the middle of the drain.
             Files.writeString(node.file, "{");
             node.signal("HUP");
             upstream.write(NodeFixture.ok("its last"));
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Discovery that takes calls and answers none, that refuses them, and that never lets one connect. */
+    /** Discovery accepts calls without answering, refuses connections, or lets connects time out. */
     @Test
     void itServesByWhatItKnowsThoughDiscoveryNeverAnswers() throws Exception {
         try (FullBacklog full = new FullBacklog()) {
@@ -114,7 +114,7 @@
             for (String discovery : new String[] {null, refusing, full.address()}) {
                 try (NodeFixture fixture = new NodeFixture(); NodeProcess node = new NodeProcess(fixture,
                         discovery == null ? fixture.discovery.address() : discovery)) {
-                    // Nothing is ever answered there, so that a start that waited for it would not end.
+                    // Discovery never answers, so a start that waited for it would not end.
                     HttpPeer caller = HttpPeer.connectWhenServing(node.address, node.process);
                     ask(caller, NodeFixture.get("1", "10"));
                     serve(fixture.upstreams.get(0).accept(), "1", "known");
--- a/src/test/java/cranedeal/node/ReloadBenchmark.java
+++ b/src/test/java/cranedeal/node/ReloadBenchmark.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A new configuration read, and taken in by the module, while its loop does nothing else: by the length of
- * the list in it, and by the number of classes. No test: run by name, on an idle machine, with the flags of
- * service as {@code argLine}.
+ * Measures the cost of reading a new configuration, and of applying it in the module, by the length of the
+ * list in it and by the number of service classes. This is not a test; run it by name, on an idle machine,
+ * with production JVM flags as {@code argLine}.
  */
 class ReloadBenchmark {
 
@@ -28,7 +28,7 @@
     @TempDir
     private Path folder;
 
-    /** A configuration with that many upstreams and classes. */
+    /** Writes a configuration with the given number of upstreams and classes. */
     private Path file(NodeFixture fixture, int upstreams, int classes) throws Exception {
         String text = fixture.config();
         int from = text.indexOf("\"services\":[");
@@ -45,7 +45,7 @@
         Files.writeString(file, text);
         NodeConfig read = NodeConfig.read(file.toString());
         if (read.knownUpstreams().members().size() != upstreams || read.classes().size() != classes) {
-            throw new AssertionError("another configuration than was meant: " + read);
+            throw new AssertionError("unexpected configuration: " + read);
         }
         return file;
     }
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators have ordered is kept in the folder that the configuration names, over any end. */
+/**
+ * Tests that operators' overrides are saved in the configured state folder, and survive a kill of the
+ * process.
+ */
 @Timeout(120)
 class StateDirTest {
 
@@ -38,7 +41,7 @@
     }
 
     @Test
-    void aFleetThatIsWrongIsToldByItsKey() throws Exception {
+    void aBadFleetSettingIsReportedByItsKey() throws Exception {
         String good = "\"fleet\":{\"name\":\"clinics\",\"listen\":\"127.0.0.1:9301\","
                 + "\"seeds\":[\"127.0.0.1:9302\"]}";
         Map<String, String> wrong = Map.of("clinics", "a b", "127.0.0.1:9301", "8.8.8.8:9301",
@@ -66,7 +69,7 @@
     }
 
     @Test
-    void bansAndADrainHoldAfterTheNodeWasKilled() throws Exception {
+    void disabledUpstreamsAndDrainSurviveAKill() throws Exception {
         try (NodeFixture fixture = fixture().start()) {
             assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
             assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(1)));
@@ -78,14 +81,14 @@
             assertEquals(503, fixture.order("GET", "/ops/readiness"));
             assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
             assertEquals(200, fixture.order("GET", "/ops/readiness"));
-            assertTrue(fixture.balancer.banned.contains(UpstreamList.numericId(id(0))), "the module is told");
+            assertTrue(fixture.balancer.banned.contains(UpstreamList.numericId(id(0))), "module notified");
             assertEquals(1, fixture.balancer.banned.size());
             assertTrue(stats(fixture).contains("orders_unknown=0"));
         }
     }
 
     @Test
-    void theOrdersOfAnUpgradesFolderAreTakenOverOnce() throws Exception {
+    void overridesOfTheSharedFolderAreMigratedOnce() throws Exception {
         Path old = Files.createDirectory(folder.resolve("tmp"));
         new OperatorOverrides(Set.of(id(1)), false, 3).write(old);
         OverrideStore book = Fleet.overrideStore(folder.resolve("state"), old);
@@ -112,7 +115,7 @@
     }
 
     @Test
-    void aFolderThatCannotBeMadeStopsNobodyAndKeepsNoOrder() throws Exception {
+    void aFolderThatCannotBeCreatedDoesNotPreventServing() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.stateDir = Path.of("/proc/self/no-such-folder");
             fixture.start();
@@ -123,7 +126,7 @@
     }
 
     @Test
-    void aDamagedFolderStopsNobodyIsSaidAndTakesNoOrderUntilItIsRepaired() throws Exception {
+    void aDamagedFolderIsReportedAndRejectsOverridesUntilRepaired() throws Exception {
         Path state = folder.resolve("state");
         try (NodeFixture fixture = fixture().start()) {
             for (int i = 0; i < 3; i++) {
--- a/src/test/java/cranedeal/node/ThreadCost.java
+++ b/src/test/java/cranedeal/node/ThreadCost.java
@@ -10,24 +10,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a piece of code costs the thread that runs it, by size: processor time, and memory allocated. */
+/** Measures the CPU time and allocated memory of a piece of code on its thread, by the size of its input. */
 final class ThreadCost {
 
-    /** What is measured. */
+    /** The code to measure. */
     interface Code {
-        /** Runs once; what it returns keeps the compiler from leaving it out. */
+        /** Runs once; the returned value keeps the compiler from eliminating the code. */
         Object run() throws IOException, ConfigException;
     }
 
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     private static final int REPEATS = 5;
-    /** Processor time on each size before anything counts; well over what the first compiler wants. */
+    /** The CPU time of the warm-up for each size; well above what the C1 compiler needs. */
     private static final long WARM_UP_NANOS = 500_000_000;
-    /** Processor time on each size in a repeat. */
+    /** The CPU time for each size in a repeat. */
     private static final long REPEAT_NANOS = 150_000_000;
     private static final double NANOS_PER_US = 1_000;
 
-    private static Object kept;
+    private static Object lastResult;
 
     private ThreadCost() {
     }
@@ -40,7 +40,7 @@
         }
         Map<Integer, List<Double>> cpu = new LinkedHashMap<>();
         Map<Integer, List<Double>> bytes = new LinkedHashMap<>();
-        // By turns, so that what the machine does meanwhile falls on all sizes.
+        // Sizes alternate, so that other load on the machine affects all of them alike.
         for (int repeat = 0; repeat < REPEATS; repeat++) {
             for (Map.Entry<Integer, Code> one : bySize.entrySet()) {
                 double[] cost = run(one.getValue(), REPEAT_NANOS);
@@ -52,7 +52,7 @@
         report.add("garbage-" + name, "bytes", SlopeReport.Basis.MEASURED, points(bytes));
     }
 
-    /** Microseconds and bytes for each run. */
+    /** Returns the microseconds and bytes per run. */
     private static double[] run(Code code, long nanos) throws IOException, ConfigException {
         long thread = Thread.currentThread().getId();
         long began = THREADS.getCurrentThreadCpuTime();
@@ -60,7 +60,7 @@
         int times = 0;
         long spent;
         do {
-            kept = code.run();
+            lastResult = code.run();
             times++;
             spent = THREADS.getCurrentThreadCpuTime() - began;
         } while (spent < nanos);
--- a/src/test/java/cranedeal/node/UpgradeTest.java
+++ b/src/test/java/cranedeal/node/UpgradeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes at one address: what callers and operators see while one replaces the other. */
+/** Tests a hot restart: two processes at one address, one of which replaces the other. */
 @Timeout(120)
 class UpgradeTest {
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Starts a process and returns its door once that says that the process takes clients. */
+    /** Starts a process and returns the address of its admin endpoint once the process is ready. */
     private InetSocketAddress start() throws Exception {
         InetSocketAddress door = free();
         Path file = Files.createTempFile(folder, "node", ".json");
@@ -67,7 +67,7 @@
         return door;
     }
 
-    /** An operator's call; 0 if nobody is there. */
+    /** Makes an operator's call and returns its status; 0 if the connection is refused. */
     private static int order(InetSocketAddress door, String method, String path) throws IOException {
         try (HttpPeer operator = HttpPeer.connect(door)) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
@@ -77,7 +77,7 @@
         }
     }
 
-    /** How many upstreams get nothing, by the figures of a process. */
+    /** The metric of disabled upstreams, as shown by a process. */
     private static String disabled(InetSocketAddress door) throws IOException {
         try (HttpPeer operator = HttpPeer.connect(door)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
@@ -92,13 +92,13 @@
     }
 
     @Test
-    void ordersInTheStateFolderOutlastEveryProcess() throws Exception {
+    void overridesInTheStateFolderSurviveEveryProcess() throws Exception {
         fixture.stateDir = folder.resolve("state");
         InetSocketAddress first = start();
         assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
         assertEquals("edge_proxy.targets_disabled=1", disabled(second));
-        // The one hears of the other's orders.
+        // Each process applies the overrides set at the other one.
         assertEquals(200, order(second, "PUT", "/ops/upstreams/up/s-00000000"));
         while (!disabled(first).endsWith("=0")) {
             Thread.onSpinWait();
@@ -111,21 +111,22 @@
         assertEquals(200, order(third, "PUT", "/ops/upstreams/up/s-00000000"));
         killLast();
         assertEquals("edge_proxy.targets_disabled=0", disabled(start()));
-        assertFalse(Files.exists(folder.resolve("orders")), "not kept where it does not last");
+        assertFalse(Files.exists(folder.resolve("orders")), "not saved in the shared folder");
     }
 
-    /** Whether the process that was started last says that it knows what an earlier one had learnt. */
-    private boolean lastRecalls() throws IOException {
+    /** Returns true if the last process logged that it restored the warm-start state of an earlier one. */
+    private boolean lastRestoredWarmState() throws IOException {
         BufferedReader log = processes.get(processes.size() - 1).errorReader();
         String line = log.readLine();
-        while (line != null && !line.contains("learnt")) {
+        while (line != null && !line.contains("warm-start state")) {
             line = log.readLine();
         }
-        return line != null && line.contains("recalls what was learnt") && line.contains(" of 1 upstreams");
+        return line != null && line.contains("restored warm-start state")
+                && line.contains(" of 1 upstreams");
     }
 
     @Test
-    void whatWasLearntOutlastsAnUpgradeAndAKillAndIsNotGuessedFromAFileThatIsDamaged() throws Exception {
+    void warmStateSurvivesUpgradeAndKillAndADamagedFileIsIgnored() throws Exception {
         fixture.stateDir = folder.resolve("state");
         start();
         Path learnt = fixture.stateDir.resolve("learnt");
@@ -138,17 +139,17 @@
             assertEquals(200, client.read().status());
         }
         start();
-        assertTrue(lastRecalls());
+        assertTrue(lastRestoredWarmState());
         processes.get(0).destroyForcibly().waitFor();
         killLast();
         start();
-        assertTrue(lastRecalls());
+        assertTrue(lastRestoredWarmState());
         killLast();
         byte[] bytes = Files.readAllBytes(learnt);
         bytes[bytes.length / 2] ^= 1;
         Files.write(learnt, bytes);
         start();
-        assertFalse(lastRecalls());
+        assertFalse(lastRestoredWarmState());
     }
 
     @Test
@@ -182,7 +183,7 @@
     }
 
     @Test
-    void theFollowerTakesOverWhileCallersGoOn() throws Exception {
+    void theSuccessorTakesOverWithoutInterruptingCallers() throws Exception {
         start();
         HttpPeer used = caller();
         HttpPeer idle = caller();
@@ -192,7 +193,7 @@
         start();
         Process old = processes.get(0);
         old.destroy();
-        // Each new connection is served, whoever gets it; but for one that comes as the old socket closes.
+        // Each new connection is served by either process, except one that arrives as the old socket closes.
         int reset = 0;
         while (old.isAlive()) {
             try {
@@ -213,7 +214,7 @@
     }
 
     @Test
-    void aSecondProcessWithoutTheFolderIsTurnedDown() throws Exception {
+    void aSecondProcessWithoutTheSharedFolderFailsToStart() throws Exception {
         start();
         Path file = Files.createTempFile(folder, "node", ".json");
         Files.writeString(file, fixture.config().replace("\"listen\":\"127.0.0.1:0\"",
@@ -226,14 +227,14 @@
     }
 
     @Test
-    void aProcessThatDiedIsNoFollower() throws Exception {
+    void aProcessThatDiedIsNotASuccessor() throws Exception {
         start();
         start();
         Process died = processes.get(1).destroyForcibly();
         assertTrue(died.waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         HttpPeer kept = caller();
         processes.get(0).destroy();
-        // A drain without a follower goes on to take connections before it sends callers away.
+        // A drain without a successor keeps accepting connections before it closes those of callers.
         HttpPeer.Message answer = null;
         int served = 0;
         while (answer == null || answer.header("Connection") == null) {
@@ -254,18 +255,18 @@
         }
     }
 
-    private static boolean hasOut(InetSocketAddress door) throws IOException {
+    private static boolean hasDisabledUpstream(InetSocketAddress door) throws IOException {
         return stats(door).contains("edge_proxy.targets_disabled=1\n");
     }
 
     @Test
-    void ordersHoldForBothProcessesWhicheverIsTold() throws Exception {
+    void overridesApplyToBothProcesses() throws Exception {
         InetSocketAddress first = start();
         assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
-        assertTrue(hasOut(second));
+        assertTrue(hasDisabledUpstream(second));
         assertEquals(200, order(second, "PUT", "/ops/upstreams/up/s-00000000"));
-        while (hasOut(first)) {
+        while (hasDisabledUpstream(first)) {
             Thread.sleep(1);
         }
         assertEquals(200, order(first, "PUT", "/ops/drain/start"));
@@ -279,10 +280,10 @@
     }
 
     @Test
-    void newSettingsReachBothProcessesWhicheverHasTheSignal() throws Exception {
+    void aReloadReachesBothProcesses() throws Exception {
         start();
         InetSocketAddress second = start();
-        // Each has a file of its own here.
+        // Each process has its own configuration file in this test.
         try (var files = Files.list(folder)) {
             for (Path file : files.filter(path -> path.toString().endsWith(".json")).toList()) {
                 Files.writeString(file, Files.readString(file).replace("tile-order", "tile-view"));
@@ -292,7 +293,7 @@
         while (!stats(second).contains("edge_proxy.success.tile-view=0\n")) {
             Thread.sleep(1);
         }
-        // Only the signal counts.
+        // Only the process that got the signal counts a reload.
         assertTrue(stats(second).contains("edge_proxy.reload_success=0\n"));
     }
 }
--- a/src/test/java/cranedeal/node/WarmStateFileTest.java
+++ b/src/test/java/cranedeal/node/WarmStateFileTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What was learnt is read as it was written, or not at all. */
+/** Tests that warm-start state is read exactly as it was written, or rejected. */
 class WarmStateFileTest {
 
     @TempDir
@@ -30,7 +30,7 @@
                 new double[] {id, 0.1});
     }
 
-    private static WarmStateFile.Snapshot kept(int upstreams) {
+    private static WarmStateFile.Snapshot snapshot(int upstreams) {
         return new WarmStateFile.Snapshot(1e12 + 0.5,
                 new WarmState(List.of(new ClassState("look \"up\"", 7, 0, 2.5),
                 new ClassState("book", 1e-9, 3, 10)), IntStream.range(0, upstreams)
@@ -38,14 +38,14 @@
     }
 
     @Test
-    void noFlippedByteAndNoLengthButTheWholeIsTrusted() throws IOException {
+    void aFlippedByteOrATruncatedFileIsRejected() throws IOException {
         WarmStateFile file = new WarmStateFile(folder.resolve("made"));
         assertNull(file.read());
-        file.write(kept(1));
-        file.write(kept(2));
+        file.write(snapshot(1));
+        file.write(snapshot(2));
         WarmStateFile.Snapshot read = file.read();
-        assertEquals(kept(2).savedAt(), read.savedAt());
-        assertEquals(kept(2).state().classes(), read.state().classes());
+        assertEquals(snapshot(2).savedAt(), read.savedAt());
+        assertEquals(snapshot(2).state().classes(), read.state().classes());
         assertEquals(-4, read.state().upstreams().get(1).id());
         assertEquals(18.5, read.state().upstreams().get(1).startedAt());
         assertArrayEquals(new double[] {1, 0.1}, read.state().upstreams().get(1).attemptsByClass());
@@ -62,9 +62,9 @@
     }
 
     @Test
-    void aLaterFormAndNumbersThatAreNoneAreRefused() throws IOException {
+    void aNewerFormatAndInvalidNumbersAreRejected() throws IOException {
         WarmStateFile file = new WarmStateFile(folder);
-        file.write(kept(1));
+        file.write(snapshot(1));
         String json = Files.readString(folder.resolve("learnt")).substring(9);
         for (String wrong : List.of(json.replace("\"form\":1", "\"form\":2"),
                 json.replace("\"known\":900.0", "\"known\":-1"),
@@ -75,15 +75,15 @@
             Files.writeString(folder.resolve("learnt"), String.format("%08x\n", sum.getValue()) + wrong);
             assertThrows(IOException.class, file::read, wrong);
         }
-        assertNull(new WarmStateSaver(file, new Clock()).read(), "it is only told of");
-        file.write(new WarmStateFile.Snapshot(new Clock().now() + 1e7, kept(1).state()));
-        assertNull(new WarmStateSaver(file, new Clock()).read(), "the clock went back");
+        assertNull(new WarmStateSaver(file, new Clock()).read(), "an invalid file is only logged");
+        file.write(new WarmStateFile.Snapshot(new Clock().now() + 1e7, snapshot(1).state()));
+        assertNull(new WarmStateSaver(file, new Clock()).read(), "the timestamp is in the future");
     }
 
     @Test
-    void ofManyUpstreamsThoseAreKeptThatMostIsKnownOf() throws IOException {
+    void onlyTheUpstreamsWithTheMostAttemptsAreSaved() throws IOException {
         WarmStateFile file = new WarmStateFile(folder);
-        file.write(kept(100_000));
+        file.write(snapshot(100_000));
         List<UpstreamState> read = file.read().state().upstreams();
         assertEquals(WarmStateFile.MAX_UPSTREAMS, read.size());
         assertEquals(100_000 - WarmStateFile.MAX_UPSTREAMS,
--- a/src/test/java/cranedeal/node/WholeListTest.java
+++ b/src/test/java/cranedeal/node/WholeListTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a whole list does not name is gone from that moment, also where it still answers. */
+/** Tests that an upstream missing from a whole list gets no more requests, even if it still answers. */
 @Timeout(120)
 class WholeListTest {
 
@@ -32,7 +32,7 @@
     @Test
     void aConnectionToItThatComesUpLaterCarriesNothing() throws Exception {
         try (NodeFixture fixture = watching(1); FullBacklog full = new FullBacklog()) {
-            // Long after the test, so that nothing but the list forbids it.
+            // The connect timeout is longer than the test, so that only the list can prevent the request.
             String kept = NodeFixture.listEntry(1, fixture.upstreams.get(0).address(), "up");
             HttpPeer watch = fixture.sendList(kept, NodeFixture.listEntry(9, full.address(), "up"));
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
@@ -43,7 +43,7 @@
             watch.write(NodeFixture.ok(NodeFixture.listJson(43, true, kept)));
             assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
             try (HttpPeer late = full.acceptNext()) {
-                assertTrue(late.awaitClose(), "the request was written to who is gone");
+                assertTrue(late.awaitClose(), "the request was written to a removed upstream");
             }
             assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
             assertEquals(502, caller.read().status());
@@ -61,7 +61,7 @@
             gone.read();
             gone.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
-            // One more is at work there, and may end.
+            // A second request is in progress there, and may complete.
             caller.write(NodeFixture.get("2", "10"));
             gone.read();
             watch.read();
@@ -69,12 +69,12 @@
             assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
             gone.write(NodeFixture.ok("its last"));
             assertEquals("its last", caller.read().body());
-            assertTrue(gone.awaitClose(), "kept although it can carry nothing more");
+            assertTrue(gone.awaitClose(), "the connection to a removed upstream was kept");
             assertEquals(0, fixture.upstreams.get(1).pendingConnections());
         }
     }
 
-    /** The module that the program runs, told by the first answer to its first watch. */
+    /** Uses the program's own module, and a whole list as the first answer to its first watch call. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void theFirstAnswerToAWatchMayBeTheWholeList(boolean pushed) throws Exception {
@@ -84,7 +84,7 @@
             HttpPeer watch = fixture.discovery.accept();
             watch.read();
             watch.write(NodeFixture.ok(NodeFixture.listJson(60, true, entry(fixture, 1))));
-            // It goes on from there, so the list is taken in.
+            // The next call continues from version 60, so the list was applied.
             assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", watch.read().firstLine());
             TestServer[] gone = {fixture.upstreams.get(0), fixture.upstreams.get(2)};
             fixture.upstreams.get(1).serveEach(WholeListTest::serve);
@@ -103,7 +103,7 @@
                 peer.write(NodeFixture.ok("served"));
             }
         } catch (IOException e) {
-            // The node has closed it.
+            // The node has closed the connection.
         }
     }
 
@@ -150,7 +150,7 @@
                 assertEquals(Change.FULL, ScriptedBalancer.next(fixture.balancer.changes));
                 assertEquals(1, fixture.balancer.upstreams.size());
                 assertEquals(UpstreamList.numericId("s-00000001"), fixture.balancer.upstreams.get(0).id());
-                // The next call goes on from there.
+                // The next call continues from that version.
                 HttpPeer next = ends ? fixture.discovery.accept() : watch;
                 assertEquals("GET /catalog/members?index=60&wait=2500 HTTP/1.1", next.read().firstLine());
             }
--- a/src/test/java/cranedeal/node/discovery/StartTimesTest.java
+++ b/src/test/java/cranedeal/node/discovery/StartTimesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Starts that discovery tells in Unix time, while that is stepped. */
+/** Tests start times listed in Unix time while the system clock is stepped. */
 class StartTimesTest {
 
     private static final double NOW = 1_700_000_000_000.0;
@@ -13,16 +13,16 @@
     @Test
     void withoutAStepItIsWhatDiscoveryTells() {
         StartTimes starts = new StartTimes();
-        assertEquals(NOW - 3_000, starts.of(1, NOW - 3_000, NOW, NOW + 4));
-        assertEquals(0, starts.of(2, 0, NOW, NOW));
+        assertEquals(NOW - 3_000, starts.toNodeClock(1, NOW - 3_000, NOW, NOW + 4));
+        assertEquals(0, starts.toNodeClock(2, 0, NOW, NOW));
     }
 
     @Test
     void afterAStepItIsTheAgeThatCounts() {
         for (double step : new double[] {HOUR, -HOUR, 5_000, -5_000}) {
             StartTimes starts = new StartTimes();
-            assertEquals(NOW - 3_000, starts.of(1, NOW + step - 3_000, NOW, NOW + step));
-            assertEquals(0, starts.of(2, 0, NOW, NOW + step));
+            assertEquals(NOW - 3_000, starts.toNodeClock(1, NOW + step - 3_000, NOW, NOW + step));
+            assertEquals(0, starts.toNodeClock(2, 0, NOW, NOW + step));
         }
     }
 
@@ -30,13 +30,13 @@
     void whatWasToldBeforeAStepStaysAsItWas() {
         StartTimes starts = new StartTimes();
         double listed = NOW - 3_000;
-        assertEquals(listed, starts.of(1, listed, NOW, NOW));
-        assertEquals(listed, starts.of(1, listed, NOW + 1_000, NOW + 1_000 + HOUR));
+        assertEquals(listed, starts.toNodeClock(1, listed, NOW, NOW));
+        assertEquals(listed, starts.toNodeClock(1, listed, NOW + 1_000, NOW + 1_000 + HOUR));
     }
 
     @Test
     void nothingStartsInTheFuture() {
         StartTimes starts = new StartTimes();
-        assertEquals(NOW, starts.of(1, NOW + 2 * HOUR, NOW, NOW + HOUR));
+        assertEquals(NOW, starts.toNodeClock(1, NOW + 2 * HOUR, NOW, NOW + HOUR));
     }
 }
--- a/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
+++ b/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
@@ -9,46 +9,48 @@
 import java.util.function.DoubleFunction;
 import java.util.function.IntToLongFunction;
 
-/** Processes that watch one discovery, in virtual time: calls, connections and answers are events. */
+/**
+ * Simulates processes that watch one discovery in virtual time; calls, connections and answers are events.
+ */
 final class VirtualDiscovery {
 
-    static final int LONGEST_WAIT_MS = 2_500;
+    static final int MAX_WAIT_MS = 2_500;
     private static final double CONNECT_TIMEOUT_MS = 1_000;
     private static final long FIRST_VERSION = 41;
 
-    /** What becomes of a call. */
-    enum Fate { ANSWERED, SILENT, HALF, CUT, RESET, REFUSED, NOT_CONNECTED, HELD }
+    /** What happens to a call. */
+    enum Outcome { ANSWERED, SILENT, HALF, CUT, RESET, REFUSED, NOT_CONNECTED, HELD }
 
     /**
-     * How discovery works.
+     * How fast discovery answers.
      *
-     * @param inTurn whether it works through calls in turn, also those that were given up, and each takes
-     *     {@code answerMs}; otherwise each answer is under way for so long
+     * @param inTurn whether it serves calls one at a time, including cancelled ones, each in
+     *     {@code answerMs}; otherwise calls are served at once and each answer is delayed by {@code answerMs}
      */
     record Pace(boolean inTurn, double answerMs) { }
 
     private record Event(double at, long order, Runnable what) { }
 
-    private record Waiting(Watcher watcher, long id, long index, Fate fate) { }
+    private record Waiting(Watcher watcher, long id, long index, Outcome fate) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
     private final Pace pace;
-    private final DoubleFunction<Fate> fates;
+    private final DoubleFunction<Outcome> fates;
     private final List<Waiting> waiting = new ArrayList<>();
-    /** When each version came to be. */
+    /** When each version was created. */
     private final Map<Long, Double> changes = new HashMap<>();
     final List<Watcher> watchers = new ArrayList<>();
     private long order;
     private double now;
     private double busyUntil;
     private long version = FIRST_VERSION;
-    /** When answers come that are held back on the way until then. */
+    /** The time at which held-back answers arrive. */
     double heldUntil;
     long calls;
 
-    /** A discovery at a pace; {@code fates} gives what becomes of a call that is sent at a time. */
-    VirtualDiscovery(Pace pace, DoubleFunction<Fate> fates) {
+    /** Creates a discovery; {@code fates} returns what happens to a call sent at a given time. */
+    VirtualDiscovery(Pace pace, DoubleFunction<Outcome> fates) {
         this.pace = pace;
         this.fates = fates;
         changes.put(version, Double.NEGATIVE_INFINITY);
@@ -62,7 +64,7 @@
         return version;
     }
 
-    /** When a version came to be, in ms. */
+    /** When a version was created, in ms. */
     double changedAt(long which) {
         return changes.get(which);
     }
@@ -71,7 +73,7 @@
         events.add(new Event(time, order++, what));
     }
 
-    /** Starts processes between 0 and a time. */
+    /** Starts processes, spread evenly between 0 and {@code within}. */
     void start(int count, double within, IntToLongFunction seeds) {
         for (int i = 0; i < count; i++) {
             Watcher watcher = new Watcher(seeds.applyAsLong(i));
@@ -89,7 +91,7 @@
         now = until;
     }
 
-    /** The list changes. */
+    /** Changes the list. */
     void change() {
         version++;
         changes.put(version, now);
@@ -111,7 +113,7 @@
         });
     }
 
-    /** Words the answer now; it is under way for as long as the pace has it. */
+    /** Creates the answer from the current list; it arrives after the delay of the pace. */
     private void answer(Waiting call) {
         long told = version;
         at(now + (pace.inTurn() ? 0 : pace.answerMs()), () -> {
@@ -133,25 +135,25 @@
     final class Watcher implements WatchSchedule.Actions {
 
         final WatchSchedule schedule;
-        private final Map<Long, Fate> open = new HashMap<>();
-        /** When each version was in force. */
+        private final Map<Long, Outcome> open = new HashMap<>();
+        /** When each version came into force. */
         final Map<Long, Double> inForce = new HashMap<>();
-        /** When answers came, whatever they said. */
-        final List<Double> heardAt = new ArrayList<>();
+        /** When answers arrived, accepted or not. */
+        final List<Double> answeredAt = new ArrayList<>();
         double startedAt;
-        int mostOut;
+        int maxInFlight;
         private double wakeAt;
 
         Watcher(long seed) {
-            schedule = new WatchSchedule(this, LONGEST_WAIT_MS, FIRST_VERSION, seed);
+            schedule = new WatchSchedule(this, MAX_WAIT_MS, FIRST_VERSION, seed);
         }
 
         @Override
         public void call(long id, long index, int waitMs) {
             calls++;
-            Fate fate = fates.apply(now);
+            Outcome fate = fates.apply(now);
             open.put(id, fate);
-            mostOut = Math.max(mostOut, open.size());
+            maxInFlight = Math.max(maxInFlight, open.size());
             switch (fate) {
                 case REFUSED -> at(now + 1, () -> failed(id));
                 case NOT_CONNECTED -> at(now + CONNECT_TIMEOUT_MS, () -> failed(id));
@@ -165,7 +167,7 @@
         }
 
         @Override
-        public void giveUp(long id, CallEnd why) {
+        public void cancel(long id, CallEnd why) {
             open.remove(id);
         }
 
@@ -197,7 +199,7 @@
             if (open.remove(call.id()) == null) {
                 return;
             }
-            heardAt.add(now);
+            answeredAt.add(now);
             boolean taken = schedule.accepts(call.id(), told, false);
             long before = schedule.version();
             for (long each = before + 1; taken && each <= told; each++) {
--- a/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
+++ b/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.node.discovery.VirtualDiscovery.Fate;
+import cranedeal.node.discovery.VirtualDiscovery.Outcome;
 import cranedeal.node.discovery.VirtualDiscovery.Pace;
 import cranedeal.node.discovery.VirtualDiscovery.Watcher;
 import java.util.ArrayList;
@@ -14,11 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How old a list may become, over drawn troubles of discovery, in virtual time. */
+/**
+ * Guards against lists that become too old, with random faults and delays of discovery in virtual time, and
+ * against a discovery that is overloaded with calls.
+ */
 class WatchScheduleTest {
 
-    /** By then a change counts as told. */
-    private static final double TOLD_MS = 6_000;
+    /** The time within which a change must be in force. */
+    private static final double MAX_UPDATE_DELAY_MS = 6_000;
     private static final int SEEDS = Integer.getInteger("seeds", 300);
 
     private static void assertInForce(VirtualDiscovery discovery, double from, double limitMs, String shown) {
@@ -30,18 +33,18 @@
                 assertTrue(at <= latest || discovery.now() < latest, shown + ": version " + version + " of "
                         + changedAt + " in force at " + at + ", process from " + watcher.startedAt);
             }
-            assertTrue(watcher.mostOut <= WatchSchedule.MAX_CONCURRENT_CALLS, shown);
+            assertTrue(watcher.maxInFlight <= WatchSchedule.MAX_CONCURRENT_CALLS, shown);
         }
     }
 
-    /** A time of trouble, and what becomes of calls in it. */
-    private record Trouble(double from, double until, List<Fate> fates) {
+    /** A period of faults, and the outcomes of calls in it. */
+    private record Trouble(double from, double until, List<Outcome> fates) {
 
         static Trouble draw(double after, SplittableRandom random) {
             double from = after + random.nextDouble(10_000);
-            List<Fate> fates = new ArrayList<>();
+            List<Outcome> fates = new ArrayList<>();
             for (int i = random.nextInt(1, 4); i > 0; i--) {
-                fates.add(Fate.values()[random.nextInt(Fate.values().length)]);
+                fates.add(Outcome.values()[random.nextInt(Outcome.values().length)]);
             }
             return new Trouble(from, from + random.nextDouble(40_000), fates);
         }
@@ -51,7 +54,7 @@
         }
     }
 
-    /** Troubles in any order and number, twice, and quick answers between them and from then on. */
+    /** Two periods of random faults, and fast answers between and after them. */
     @Test
     void eachProcessHasTheListInTimeOnceDiscoveryCanBeHeard() {
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -60,7 +63,7 @@
             Trouble second = Trouble.draw(first.until(), random);
             VirtualDiscovery discovery = new VirtualDiscovery(new Pace(false, random.nextDouble(200)), at -> {
                 Trouble now = first.isAt(at) ? first : second;
-                return now.isAt(at) ? now.fates().get(random.nextInt(now.fates().size())) : Fate.ANSWERED;
+                return now.isAt(at) ? now.fates().get(random.nextInt(now.fates().size())) : Outcome.ANSWERED;
             });
             discovery.heldUntil = first.until();
             discovery.at(first.until(), () -> discovery.heldUntil = second.until());
@@ -69,14 +72,15 @@
                 discovery.at(random.nextDouble(second.until() + 10_000), discovery::change);
             }
             discovery.run(second.until() + 40_000);
-            assertInForce(discovery, second.until(), TOLD_MS, "seed " + seed + " " + first + " " + second);
+            assertInForce(discovery, second.until(), MAX_UPDATE_DELAY_MS,
+                    "seed " + seed + " " + first + " " + second);
         }
     }
 
-    /** Changes one after the other, at least so far apart, from some time after the start on. */
-    private static VirtualDiscovery play(Pace pace, int processes, double startWithin, double changesFrom,
+    /** Runs with changes from {@code changesFrom} on, at least {@code apart} ms after one another. */
+    private static VirtualDiscovery run(Pace pace, int processes, double startWithin, double changesFrom,
             double apart, SplittableRandom random) {
-        VirtualDiscovery discovery = new VirtualDiscovery(pace, at -> Fate.ANSWERED);
+        VirtualDiscovery discovery = new VirtualDiscovery(pace, at -> Outcome.ANSWERED);
         discovery.start(processes, startWithin, i -> random.nextLong());
         double at = changesFrom;
         for (int i = random.nextInt(1, 10); i > 0; i--) {
@@ -90,13 +94,13 @@
     private static void assertInForceThoughLate(double answerS, double apartS) {
         for (long seed = 1; seed <= SEEDS / 4; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            VirtualDiscovery discovery = play(new Pace(false, answerS * 1_000), random.nextInt(1, 31), 3_000,
+            VirtualDiscovery discovery = run(new Pace(false, answerS * 1_000), random.nextInt(1, 31), 3_000,
                     30_000, apartS * 1_000, random);
-            assertInForce(discovery, 0, TOLD_MS, "answers of " + answerS + " s, seed " + seed);
+            assertInForce(discovery, 0, MAX_UPDATE_DELAY_MS, "answers of " + answerS + " s, seed " + seed);
         }
     }
 
-    /** Nothing else is wrong, and the pace has been seen before the change. */
+    /** There are no other faults, and the schedule has seen the answer time before the change. */
     @ParameterizedTest
     @CsvSource({"0.1,0", "0.5,0", "1,0", "1.7,0", "2.2,0", "3,0", "4,12", "5,12"})
     void aListIsInForceInTimeThoughEachAnswerIsLate(double answerS, double apartS) {
@@ -111,27 +115,30 @@
 
     private static void assertHeardInTurn(int processes, double callS) {
         for (long seed = 1; seed <= SEEDS / 4; seed++) {
-            VirtualDiscovery discovery = play(new Pace(true, callS * 1_000), processes,
+            VirtualDiscovery discovery = run(new Pace(true, callS * 1_000), processes,
                     seed % 2 == 0 ? 1 : 3_000, 0, 0, new SplittableRandom(seed));
-            assertInForce(discovery, 0, TOLD_MS, processes + " processes, " + callS + " s, seed " + seed);
+            assertInForce(discovery, 0, MAX_UPDATE_DELAY_MS,
+                    processes + " processes, " + callS + " s, seed " + seed);
         }
     }
 
-    /** From the first moment on; a round of all processes takes up to 3.6 s. */
+    /** From the start on; serving one call of every process takes up to 3.6 s. */
     @ParameterizedTest
     @CsvSource({"1,0.1", "1,3", "4,0.6", "4,0.9", "10,0.36", "30,0.01", "30,0.12"})
     void aDiscoveryThatWorksInTurnIsHeardInTimeByAll(int processes, double callS) {
         assertHeardInTurn(processes, callS);
     }
 
-    /** A round of all processes takes nearly as long as a change may go untold. */
+    /** Serving one call of every process takes nearly as long as a change may take to be in force. */
     @ParameterizedTest
     @CsvSource({"1,5", "4,1.4", "10,0.5", "30,0.18"})
     void aDiscoveryThatHardlyKeepsUpIsHeardInTimeByAll(int processes, double callS) {
         assertHeardInTurn(processes, callS);
     }
 
-    /** Far too slow for all of them, and it works off what was given up: each is heard again and again. */
+    /**
+     * Discovery is far too slow and also serves cancelled calls; still each process gets answers regularly.
+     */
     @ParameterizedTest
     @CsvSource({"8,2", "30,0.5", "30,1", "30,5"})
     void noProcessStarvesBeforeADiscoveryThatIsMuchTooSlow(int processes, double callS) {
@@ -140,7 +147,7 @@
         for (long seed = 1; seed <= SEEDS / 30; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             VirtualDiscovery discovery = new VirtualDiscovery(new Pace(true, callS * 1_000),
-                    at -> Fate.ANSWERED);
+                    at -> Outcome.ANSWERED);
             discovery.start(processes, 1, i -> random.nextLong());
             for (int i = 1; i < rounds; i++) {
                 discovery.at(i * roundMs, discovery::change);
@@ -150,14 +157,14 @@
             for (Watcher watcher : discovery.watchers) {
                 double last = steadyFrom;
                 double longest = 0;
-                for (double at : watcher.heardAt) {
+                for (double at : watcher.answeredAt) {
                     longest = at < steadyFrom ? 0 : Math.max(longest, at - last);
                     last = Math.max(steadyFrom, at);
                 }
                 longest = Math.max(longest, discovery.now() - last) / roundMs;
                 assertTrue(longest <= WatchSchedule.MAX_CONCURRENT_CALLS,
                         processes + " processes, " + callS + " s, seed "
-                        + seed + ": not heard for " + longest + " rounds");
+                        + seed + ": no answer for " + longest + " rounds");
             }
         }
     }
@@ -168,7 +175,7 @@
         long[] calls = new long[2];
         for (int i = 0; i < 2; i++) {
             VirtualDiscovery discovery = new VirtualDiscovery(new Pace(inTurn, i * answerS * 1_000),
-                    at -> Fate.ANSWERED);
+                    at -> Outcome.ANSWERED);
             discovery.start(4, 1_000, seed -> seed);
             discovery.run(300_000);
             calls[i] = discovery.calls;
@@ -176,13 +183,13 @@
         assertTrue(calls[1] <= calls[0], calls[1] + " calls, " + calls[0] + " to a quick one");
     }
 
-    /** Discovery is not pressed by a fleet that has not heard it for long. */
+    /** Discovery is not overloaded by processes that got no answer for long. */
     @ParameterizedTest
     @CsvSource({"SILENT,1", "HALF,1", "REFUSED,5", "CUT,5", "NOT_CONNECTED,2"})
-    void aSilentDiscoveryIsCalledNoMoreOftenThanAQuickOneAndABrokenOneNotMuch(Fate fate, int times) {
+    void aSilentDiscoveryIsCalledNoMoreOftenThanAQuickOneAndABrokenOneNotMuch(Outcome fate, int times) {
         long[] calls = new long[2];
         for (int i = 0; i < 2; i++) {
-            Fate all = i == 0 ? Fate.ANSWERED : fate;
+            Outcome all = i == 0 ? Outcome.ANSWERED : fate;
             VirtualDiscovery discovery = new VirtualDiscovery(new Pace(false, 0), at -> all);
             discovery.start(4, 1_000, seed -> seed);
             discovery.run(300_000);
@@ -191,7 +198,7 @@
         assertTrue(calls[1] <= times * calls[0], calls[1] + " calls, " + calls[0] + " to a quick one");
     }
 
-    /** Calls and wakings by hand, without any discovery. */
+    /** Records actions, for tests that pass events in by themselves. */
     private static final class Recorder implements WatchSchedule.Actions {
 
         private final List<String> actions = new ArrayList<>();
@@ -202,13 +209,13 @@
         }
 
         @Override
-        public void giveUp(long id, CallEnd why) {
+        public void cancel(long id, CallEnd why) {
             actions.add("giveUp " + id + " " + why);
         }
 
         @Override
         public void wakeAt(double at) {
-            // Each test says what time it is.
+            // Each test sets the time itself.
         }
     }
 
@@ -231,8 +238,8 @@
         schedule.watch(0, true);
         schedule.timer(4_500);
         schedule.answered(4_600, 1, 50, true);
-        assertFalse(schedule.accepts(2, 49, false), "changes until 49");
-        assertFalse(schedule.accepts(2, 49, true), "a whole list of before");
+        assertFalse(schedule.accepts(2, 49, false), "changes up to version 49");
+        assertFalse(schedule.accepts(2, 49, true), "an older whole list");
         assertTrue(schedule.accepts(2, 51, false));
     }
 
