--- a/src/main/java/cranedeal/node/AdminEndpoint.java
+++ b/src/main/java/cranedeal/node/AdminEndpoint.java
@@ -98,12 +98,12 @@
                                 new ConnectionHandler((SocketChannel) channel));
                     }
                 });
-        var bound = server.bind(address).await();
-        if (!bound.isSuccess()) {
+        var bind = server.bind(address).await();
+        if (!bind.isSuccess()) {
             throw new ConfigException("cannot listen on " + address + " for operators: "
-                    + bound.cause().getMessage());
+                    + bind.cause().getMessage());
         }
-        serverChannel = bound.channel();
+        serverChannel = bind.channel();
     }
 
     InetSocketAddress address() {
@@ -178,24 +178,25 @@
         }
 
         private void route(String call, HttpMethod method) {
-            boolean asks = call.equals("readiness") || call.equals("stats");
-            String down = idAfter(DISABLE_PREFIX, call);
-            String up = idAfter(ENABLE_PREFIX, call);
-            boolean drains = call.equals("drain/start") || call.equals("drain/stop");
-            if (!asks && !drains && down == null && up == null) {
+            boolean isQuery = call.equals("readiness") || call.equals("stats");
+            String disabledId = idAfter(DISABLE_PREFIX, call);
+            String enabledId = idAfter(ENABLE_PREFIX, call);
+            boolean isDrain = call.equals("drain/start") || call.equals("drain/stop");
+            if (!isQuery && !isDrain && disabledId == null && enabledId == null) {
                 answer(HttpResponseStatus.NOT_FOUND, "unknown path\n");
-            } else if (!method.equals(asks ? HttpMethod.GET : HttpMethod.PUT)) {
+            } else if (!method.equals(isQuery ? HttpMethod.GET : HttpMethod.PUT)) {
                 answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "method not allowed\n");
             } else if (call.equals("readiness")) {
-                boolean taking = operations.isReady();
-                answer(taking ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        taking ? "ready\n" : "not ready\n");
+                boolean ready = operations.isReady();
+                answer(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        ready ? "ready\n" : "not ready\n");
             } else if (call.equals("stats")) {
                 answer(HttpResponseStatus.OK, operations.stats());
-            } else if (drains) {
+            } else if (isDrain) {
                 runOnNode(call.equals("drain/start") ? operations::startDrain : operations::stopDrain);
             } else {
-                runOnNode(() -> operations.ban(down == null ? up : down, down != null));
+                runOnNode(() -> operations.ban(disabledId == null ? enabledId : disabledId,
+                        disabledId != null));
             }
         }
 
@@ -206,25 +207,25 @@
         }
 
         /** Runs a command on the node's loop and answers when it completes; false means an unknown id. */
-        private void runOnNode(Supplier<CompletionStage<Boolean>> order) {
-            AtomicBoolean settled = new AtomicBoolean();
+        private void runOnNode(Supplier<CompletionStage<Boolean>> command) {
+            AtomicBoolean startedOrExpired = new AtomicBoolean();
             nodeLoop.execute(() -> {
-                if (settled.compareAndSet(false, true)) {
-                    execute(order).handle(this::status)
+                if (startedOrExpired.compareAndSet(false, true)) {
+                    execute(command).handle(this::status)
                             .thenAccept(status -> loop.execute(
                                     () -> answer(status, status.reasonPhrase() + "\n")));
                 }
             });
             loop.schedule(() -> {
-                if (settled.compareAndSet(false, true)) {
+                if (startedOrExpired.compareAndSet(false, true)) {
                     answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "node is busy; nothing was changed\n");
                 }
             }, COMMAND_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        private CompletionStage<Boolean> execute(Supplier<CompletionStage<Boolean>> order) {
+        private CompletionStage<Boolean> execute(Supplier<CompletionStage<Boolean>> command) {
             try {
-                return order.get();
+                return command.get();
             } catch (RuntimeException e) {
                 return CompletableFuture.failedFuture(e);
             }
--- a/src/main/java/cranedeal/node/AtomicFile.java
+++ b/src/main/java/cranedeal/node/AtomicFile.java
@@ -16,8 +16,8 @@
 
     /** Replaces a file atomically; only one process may do so at a time. */
     static void replace(Path file, byte[] bytes) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + TEMP_SUFFIX);
-        Files.write(fresh, bytes);
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling(file.getFileName() + TEMP_SUFFIX);
+        Files.write(temporary, bytes);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/cranedeal/node/DiscoveryWatch.java
+++ b/src/main/java/cranedeal/node/DiscoveryWatch.java
@@ -31,15 +31,15 @@
      * @throws IOException if the configuration can't be read; the message names file and key
      */
     public static DiscoveryWatch open(EventLoop loop, Path config, LongConsumer listener) throws IOException {
-        NodeConfig read;
+        NodeConfig nodeConfig;
         try {
-            read = NodeConfig.read(config.toString());
+            nodeConfig = NodeConfig.read(config.toString());
         } catch (ConfigException e) {
             throw new IOException(e.getMessage(), e);
         }
         Clock clock = new Clock();
-        DiscoveryClient client = new DiscoveryClient(loop, clock::now, read.discoveryOptions(),
-                read::parseList, UnpooledByteBufAllocator.DEFAULT, new DiscoveryClient.Listener() {
+        DiscoveryClient client = new DiscoveryClient(loop, clock::now, nodeConfig.discoveryOptions(),
+                nodeConfig::parseList, UnpooledByteBufAllocator.DEFAULT, new DiscoveryClient.Listener() {
                     @Override
                     public void changed(UpstreamList list) {
                         listener.accept(list.version());
--- a/src/main/java/cranedeal/node/Fleet.java
+++ b/src/main/java/cranedeal/node/Fleet.java
@@ -38,19 +38,20 @@
 
     /** Runs the command line, to which {@code serve} and {@code wire} are added. */
     static int run(Callable<Integer> serve, Callable<Integer> wire, String... args) {
-        String serves = "Runs one balancer; PROXY_CONFIG names its configuration.";
-        String hosts = "Hosts the decision code for the simulator.";
-        return Program.run(Map.of("serve", new Program.SuppliedCommand(serves, serve),
-                "wire", new Program.SuppliedCommand(hosts, wire)), args);
+        String serveHelp = "Runs one balancer; PROXY_CONFIG names its configuration.";
+        String wireHelp = "Hosts the decision code for the simulator.";
+        return Program.run(Map.of("serve", new Program.SuppliedCommand(serveHelp, serve),
+                "wire", new Program.SuppliedCommand(wireHelp, wire)), args);
     }
 
     /**
      * Opens a store of overrides in a folder of the configuration; it survives a power loss.
      *
-     * @param old the folder that held the overrides before, from which they are migrated once; may be null
+     * @param legacyFolder the folder that held the overrides before, from which they are migrated once; may
+     *     be null
      */
-    static OverrideStore overrideStore(Path folder, Path old) {
-        return new StoredOverrides(folder, old);
+    static OverrideStore overrideStore(Path folder, Path legacyFolder) {
+        return new StoredOverrides(folder, legacyFolder);
     }
 
     /** Throws {@link IllegalArgumentException} for an invalid name of a fleet or member. */
@@ -70,18 +71,18 @@
     /**
      * Makes this process a member of the configured fleet.
      *
-     * @param to receives the published sections, if the configuration names a service
+     * @param listener receives the published sections, if the configuration names a service
      */
-    static MembershipHandle join(NodeConfig config, PublishedConfigListener to) {
-        FleetConfig given = config.fleet();
+    static MembershipHandle join(NodeConfig config, PublishedConfigListener listener) {
+        FleetConfig fleet = config.fleet();
         Package program = Program.class.getPackage();
         String version = program.getImplementationVersion();
-        DurableValue peers = given.stateDir() == null ? null : new DurableValue(given.stateDir(),
+        DurableValue peers = fleet.stateDir() == null ? null : new DurableValue(fleet.stateDir(),
                 Node.LOG::warning);
-        FleetMember member = new FleetMember(new FleetMember.Config(given.name(), config.name(),
-                given.listen(), given.advertise(), given.seeds(), "serve",
+        FleetMember member = new FleetMember(new FleetMember.Config(fleet.name(), config.name(),
+                fleet.listen(), fleet.advertise(), fleet.seeds(), "serve",
                 version == null ? "unpacked" : version,
-                new Settings(given.periodMs(), Settings.DEFAULTS.forgetMs(), MAX_MEMBERS, true, true),
+                new Settings(fleet.periodMs(), Settings.DEFAULTS.forgetMs(), MAX_MEMBERS, true, true),
                 new SecureRandom().nextLong()), peers == null ? PeerStore.NONE : new PeerStore() {
 
                     @Override
@@ -94,11 +95,11 @@
                         peers.update(before -> bytes);
                     }
                 });
-        if (given.service() != null) {
-            new ConfigMember(member, ConfigFollower.Settings.defaults(given.service(), given.zone()),
-                    given.stateDir() == null ? ConfigMember.StateStore.NONE
-                    : new StoredConfig(given.stateDir()),
-                    section -> applySection(section, to), new SecureRandom().nextLong());
+        if (fleet.service() != null) {
+            new ConfigMember(member, ConfigFollower.Settings.defaults(fleet.service(), fleet.zone()),
+                    fleet.stateDir() == null ? ConfigMember.StateStore.NONE
+                    : new StoredConfig(fleet.stateDir()),
+                    section -> applySection(section, listener), new SecureRandom().nextLong());
         }
         member.start();
         return new MembershipHandle() {
@@ -120,14 +121,15 @@
         };
     }
 
-    private static void applySection(byte[] section, PublishedConfigListener to)
+    private static void applySection(byte[] section, PublishedConfigListener listener)
             throws ConfigMember.RefusedException {
         try {
-            to.apply(section == null ? null : NodeConfig.JSON.readTree(section));
+            listener.apply(section == null ? null : NodeConfig.JSON.readTree(section));
         } catch (ConfigException e) {
-            Matcher named = KEY.matcher(e.getMessage());
-            String key = !named.find() ? "" : named.group(1) != null ? "settings." + named.group(1)
-                    : named.group(2);
+            Matcher keyMatcher = KEY.matcher(e.getMessage());
+            String key = !keyMatcher.find() ? ""
+                    : keyMatcher.group(1) != null ? "settings." + keyMatcher.group(1)
+                    : keyMatcher.group(2);
             throw new ConfigMember.RefusedException(key, e.getMessage());
         } catch (IOException e) {
             throw new ConfigMember.RefusedException("", "it is not valid JSON: " + e.getMessage());
@@ -184,22 +186,22 @@
             if (bytes == null) {
                 return legacyFolder == null ? OperatorOverrides.NONE : OperatorOverrides.read(legacyFolder);
             }
-            JsonNode whole = NodeConfig.JSON.readTree(bytes);
-            if (whole.path("form").asInt() > FORMAT_VERSION) {
-                throw new IOException("operator overrides of format " + whole.path("form").asInt()
+            JsonNode root = NodeConfig.JSON.readTree(bytes);
+            if (root.path("form").asInt() > FORMAT_VERSION) {
+                throw new IOException("operator overrides of format " + root.path("form").asInt()
                         + " were written by a later version");
             }
-            Set<String> out = new TreeSet<>();
-            whole.path("out").forEach(id -> out.add(id.asText()));
-            return new OperatorOverrides(out, whole.path("draining").asBoolean(),
-                    whole.path("reloads").asLong());
+            Set<String> disabledUpstreams = new TreeSet<>();
+            root.path("out").forEach(id -> disabledUpstreams.add(id.asText()));
+            return new OperatorOverrides(disabledUpstreams, root.path("draining").asBoolean(),
+                    root.path("reloads").asLong());
         }
 
-        private static byte[] encode(OperatorOverrides orders) throws IOException {
-            ObjectNode whole = NodeConfig.JSON.createObjectNode().put("form", FORMAT_VERSION)
-                    .put("draining", orders.draining()).put("reloads", orders.reloads());
-            orders.disabledUpstreams().forEach(whole.putArray("out")::add);
-            return NodeConfig.JSON.writeValueAsBytes(whole);
+        private static byte[] encode(OperatorOverrides overrides) throws IOException {
+            ObjectNode root = NodeConfig.JSON.createObjectNode().put("form", FORMAT_VERSION)
+                    .put("draining", overrides.draining()).put("reloads", overrides.reloads());
+            overrides.disabledUpstreams().forEach(root.putArray("out")::add);
+            return NodeConfig.JSON.writeValueAsBytes(root);
         }
     }
 }
--- a/src/main/java/cranedeal/node/FleetConfig.java
+++ b/src/main/java/cranedeal/node/FleetConfig.java
@@ -31,42 +31,42 @@
 
     /** Parses it; null if absent. Throws {@link IllegalArgumentException}, whose message names the key. */
     static FleetConfig parse(JsonNode root) {
-        JsonNode given = root.path("fleet");
-        if (given.isMissingNode()) {
+        JsonNode fleet = root.path("fleet");
+        if (fleet.isMissingNode()) {
             return null;
         }
-        if (!given.isObject()) {
+        if (!fleet.isObject()) {
             throw new IllegalArgumentException("fleet must be an object");
         }
-        given.fieldNames().forEachRemaining(key -> {
+        fleet.fieldNames().forEachRemaining(key -> {
             if (!KEYS.contains(key)) {
                 throw new IllegalArgumentException("fleet." + key + " is an unknown key");
             }
         });
-        String name = given.path("name").asText("");
+        String name = fleet.path("name").asText("");
         requireName("fleet.name", name);
         requireName("name", root.path("name").asText("balancer"));
-        InetSocketAddress listen = address(given.path("listen"), "fleet.listen");
+        InetSocketAddress listen = address(fleet.path("listen"), "fleet.listen");
         List<InetSocketAddress> seeds = new ArrayList<>();
-        for (JsonNode seed : given.path("seeds")) {
+        for (JsonNode seed : fleet.path("seeds")) {
             seeds.add(address(seed, "fleet.seeds[" + seeds.size() + "]"));
         }
-        double period = given.path("probe_period_ms").asDouble(DEFAULT_PERIOD_MS);
+        double period = fleet.path("probe_period_ms").asDouble(DEFAULT_PERIOD_MS);
         if (!(period >= MIN_PERIOD_MS && period <= MAX_PERIOD_MS)) {
             throw new IllegalArgumentException("fleet.probe_period_ms must be a number from "
                     + (int) MIN_PERIOD_MS + " to " + (int) MAX_PERIOD_MS);
         }
-        return new FleetConfig(name, listen, given.has("advertise")
-                ? address(given.path("advertise"), "fleet.advertise") : listen, List.copyOf(seeds),
-                folder(given), period, service(given), zone(root.path("settings")));
+        return new FleetConfig(name, listen, fleet.has("advertise")
+                ? address(fleet.path("advertise"), "fleet.advertise") : listen, List.copyOf(seeds),
+                folder(fleet), period, service(fleet), zone(root.path("settings")));
     }
 
-    private static String service(JsonNode given) {
-        if (!given.has("service")) {
+    private static String service(JsonNode fleet) {
+        if (!fleet.has("service")) {
             return null;
         }
-        requireName("fleet.service", given.path("service").asText());
-        return given.path("service").textValue();
+        requireName("fleet.service", fleet.path("service").asText());
+        return fleet.path("service").textValue();
     }
 
     /** The zone only serves to prefer near members, so an invalid one is not an error. */
@@ -80,9 +80,9 @@
         }
     }
 
-    private static Path folder(JsonNode given) {
+    private static Path folder(JsonNode fleet) {
         try {
-            return NodeConfig.folder(given, "state_dir");
+            return NodeConfig.folder(fleet, "state_dir");
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("fleet." + e.getMessage(), e);
         }
@@ -96,16 +96,16 @@
         }
     }
 
-    private static InetSocketAddress address(JsonNode given, String key) {
+    private static InetSocketAddress address(JsonNode value, String key) {
         try {
-            InetSocketAddress address = UpstreamList.address(given.asText(""));
+            InetSocketAddress address = UpstreamList.address(value.asText(""));
             if (address.getAddress().isLoopbackAddress() && address.getPort() != 0) {
                 return address;
             }
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
         }
-        throw new IllegalArgumentException(key + ": '" + given.asText()
+        throw new IllegalArgumentException(key + ": '" + value.asText()
                 + "' is not a loopback address with a port");
     }
 }
--- a/src/main/java/cranedeal/node/LoopMonitor.java
+++ b/src/main/java/cranedeal/node/LoopMonitor.java
@@ -50,10 +50,10 @@
      * Wraps each handler of a factory in a monitor, and passes the monitor to {@code made}; times are in ms.
      */
     static IoHandlerFactory wrap(IoHandlerFactory factory, DoubleSupplier clock,
-            Consumer<LoopMonitor> made) {
+            Consumer<LoopMonitor> listener) {
         return executor -> {
             LoopMonitor monitor = new LoopMonitor(factory.newHandler(executor), clock);
-            made.accept(monitor);
+            listener.accept(monitor);
             return monitor;
         };
     }
@@ -98,8 +98,8 @@
         polling = true;
         int handled = handler.run(context);
         polling = false;
-        double found = Double.isNaN(foundAt) ? clock.getAsDouble() : foundAt;
-        lastPolledAt = nonBlocking ? pollStartedAt : Math.min(found, latestWakeAt);
+        double firstEventAt = Double.isNaN(foundAt) ? clock.getAsDouble() : foundAt;
+        lastPolledAt = nonBlocking ? pollStartedAt : Math.min(firstEventAt, latestWakeAt);
         idleTime += lastPolledAt - pollStartedAt;
         return handled;
     }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -145,15 +145,15 @@
     private record Event(Exchange about, Runnable call) { }
 
     private Node(NodeConfig config, EventLoop loop, Clock clock, LoopMonitor monitor,
-            ProcessHandover succession, Path folder, OverrideStore book,
+            ProcessHandover handover, Path sharedFolder, OverrideStore overrideStore,
             Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.config = config;
         this.loop = loop;
         this.clock = clock;
         this.monitor = monitor;
-        this.handover = succession;
-        this.sharedFolder = folder;
-        this.overrideStore = book;
+        this.handover = handover;
+        this.sharedFolder = sharedFolder;
+        this.overrideStore = overrideStore;
         warmStateSaver = config.stateDir() == null ? null
                 : new WarmStateSaver(new WarmStateFile(config.stateDir()), clock);
         PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE_SIZE, CHUNK_ORDER,
@@ -188,20 +188,21 @@
         EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
                 new DefaultThreadFactory("node", true), LoopMonitor.wrap(NioIoHandler.newFactory(),
                         clock::now, made -> monitor[0] = made)).next();
-        ProcessHandover succession = folder == null || config.admin() == null ? null : joinHandover(folder);
-        OverrideStore book = config.stateDir() == null ? null
+        ProcessHandover handover = folder == null || config.admin() == null ? null : joinHandover(folder);
+        OverrideStore overrideStore = config.stateDir() == null ? null
                 : Fleet.overrideStore(config.stateDir(), folder);
-        Node node = new Node(config, loop, clock, monitor[0], succession, folder, book,
+        Node node = new Node(config, loop, clock, monitor[0], handover, folder, overrideStore,
                 module);
         if (node.admin != null) {
             node.admin.bind(config.admin());
         }
-        OperatorOverrides kept = book == null ? OperatorOverrides.NONE : node.readSavedOverrides();
-        WarmStateFile.Snapshot learnt = node.warmStateSaver == null ? null : node.warmStateSaver.read();
-        loop.submit(() -> node.startModule(kept, learnt)).sync();
-        node.frontend.bind(succession != null);
+        OperatorOverrides overrides = overrideStore == null ? OperatorOverrides.NONE
+                : node.readSavedOverrides();
+        WarmStateFile.Snapshot warmState = node.warmStateSaver == null ? null : node.warmStateSaver.read();
+        loop.submit(() -> node.startModule(overrides, warmState)).sync();
+        node.frontend.bind(handover != null);
         node.serving = true;
-        if (succession != null) {
+        if (handover != null) {
             node.withHandover(ProcessHandover::markServing);
         }
         if (config.fleet() != null) {
@@ -216,9 +217,9 @@
      */
     private OperatorOverrides readSavedOverrides() {
         try {
-            OperatorOverrides kept = overrideStore.read();
+            OperatorOverrides saved = overrideStore.read();
             metrics.overridesKnown(true);
-            return kept;
+            return saved;
         } catch (IOException | RuntimeException e) {
             LOG.severe("starting without the saved operator overrides: " + e.getMessage());
             metrics.overridesKnown(false);
@@ -237,7 +238,7 @@
 
     /** An operation on the files shared with the other process of this balancer. */
     private interface HandoverCall {
-        void run(ProcessHandover succession) throws IOException;
+        void run(ProcessHandover handover) throws IOException;
     }
 
     private void withHandover(HandoverCall call) {
@@ -248,26 +249,26 @@
         }
     }
 
-    private void logUnknown(String of, Exception why) {
+    private void logUnknown(String subject, Exception cause) {
         double now = clock.now();
         if (now >= unknownLoggedAt + LOG_INTERVAL_MS) {
-            LOG.warning("cannot determine " + of + ": " + why);
+            LOG.warning("cannot determine " + subject + ": " + cause);
             unknownLoggedAt = now;
         }
     }
 
-    private void startModule(OperatorOverrides kept, WarmStateFile.Snapshot learnt) {
+    private void startModule(OperatorOverrides savedOverrides, WarmStateFile.Snapshot warmState) {
         UpstreamList known = new UpstreamList(config.knownUpstreams().version(), true,
                 config.knownUpstreams().members());
         upstreams.update(known);
         discovery.setPushed(!config.settings().subscribe());
         tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
-        if (learnt != null) {
-            tell(null, () -> warmStateSaver.restore(learnt, balancer));
+        if (warmState != null) {
+            tell(null, () -> warmStateSaver.restore(warmState, balancer));
         }
         tell(null, () -> listChanged(Change.CACHED, entries(known)));
         known.members().forEach(member -> everListed.put(member.upstream().id(), true));
-        applyOverrides(kept, kept.reloads());
+        applyOverrides(savedOverrides, savedOverrides.reloads());
         if (handover != null) {
             hadOtherProcess = true;
             checkOtherProcess();
@@ -292,11 +293,11 @@
 
     /** Returns true if a later process of this balancer is serving. */
     private boolean hasSuccessor() {
-        boolean[] has = new boolean[1];
+        boolean[] found = new boolean[1];
         if (handover != null) {
-            withHandover(processes -> has[0] = processes.hasSuccessor());
+            withHandover(processes -> found[0] = processes.hasSuccessor());
         }
-        return has[0];
+        return found[0];
     }
 
     /**
@@ -335,9 +336,9 @@
 
     @Override
     public String stats() {
-        MembershipHandle member = membership;
+        MembershipHandle current = membership;
         return metrics.text() + NodeMetrics.text(discovery.metrics().values())
-                + (member == null ? "" : NodeMetrics.text(member.metrics()));
+                + (current == null ? "" : NodeMetrics.text(current.metrics()));
     }
 
     /** Closes callers' connections as SIGTERM does, but keeps running: {@link #stopDrain} undoes it. */
@@ -391,15 +392,15 @@
     /** Applies the stored overrides, which another process of this balancer may have changed. */
     private void applyStoredOverrides() {
         try {
-            OperatorOverrides kept = overrideStore.read();
-            loop.execute(() -> applyOverrides(kept, 0));
+            OperatorOverrides saved = overrideStore.read();
+            loop.execute(() -> applyOverrides(saved, 0));
         } catch (IOException | RuntimeException e) {
             logUnknown("the operator overrides set at the other process of this balancer", e);
         }
     }
 
     /** Changes the overrides; if they can't be written to disk, nothing changes. */
-    private void updateOverrides(UnaryOperator<OperatorOverrides> change, int own) throws IOException {
+    private void updateOverrides(UnaryOperator<OperatorOverrides> change, int ownReloads) throws IOException {
         if (handover == null) {
             applyOverrides(change.apply(overrides), 0);
             return;
@@ -412,34 +413,34 @@
         } finally {
             lock.close();
         }
-        applyOverrides(changed, own);
+        applyOverrides(changed, ownReloads);
     }
 
-    /** Applies overrides; {@code own} is how many of the counted reloads this process did itself. */
-    private void applyOverrides(OperatorOverrides given, long own) {
-        OperatorOverrides before = overrides;
-        overrides = given;
-        given.disabledUpstreams().stream().filter(id -> !before.disabledUpstreams().contains(id))
+    /** Applies overrides; {@code ownReloads} is how many of the counted reloads this process did itself. */
+    private void applyOverrides(OperatorOverrides changed, long ownReloads) {
+        OperatorOverrides previous = overrides;
+        overrides = changed;
+        changed.disabledUpstreams().stream().filter(id -> !previous.disabledUpstreams().contains(id))
                 .forEach(id -> setInUse(id, false));
-        if (given.reloads() - own > before.reloads()) {
+        if (changed.reloads() - ownReloads > previous.reloads()) {
             reloadLikeOtherProcess();
         }
-        before.disabledUpstreams().stream().filter(id -> !given.disabledUpstreams().contains(id))
+        previous.disabledUpstreams().stream().filter(id -> !changed.disabledUpstreams().contains(id))
                 .forEach(id -> setInUse(id, true));
         // Operators can't undo the drain that SIGTERM has started.
-        if (given.draining() && !terminating) {
+        if (changed.draining() && !terminating) {
             startOperatorDrain();
         } else if (!terminating) {
             stopOperatorDrain();
         }
     }
 
-    private void setInUse(String id, boolean used) {
-        LOG.info(id + (used ? " was enabled" : " was disabled") + " by an operator");
+    private void setInUse(String id, boolean inUse) {
+        LOG.info(id + (inUse ? " was enabled" : " was disabled") + " by an operator");
         long upstream = UpstreamList.numericId(id);
-        upstreams.ban(upstream, !used);
+        upstreams.ban(upstream, !inUse);
         tell(null, () -> {
-            balancer.upstreamDisabled(clock.now(), upstream, !used);
+            balancer.upstreamDisabled(clock.now(), upstream, !inUse);
             metrics.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
         });
     }
@@ -480,33 +481,34 @@
      * Returns when the process may exit.
      */
     void drain() throws InterruptedException {
-        double longest = config.settings().classes().stream().mapToDouble(ServiceClass::deadline).max()
-                .orElse(0);
-        double begun = clock.now();
-        double latest = begun + Math.min(longest, MAX_DRAIN_MS) + DRAIN_SLACK_MS;
+        double longestDeadline = config.settings().classes().stream().mapToDouble(ServiceClass::deadline)
+                .max().orElse(0);
+        double startedAt = clock.now();
+        double drainEnd = startedAt + Math.min(longestDeadline, MAX_DRAIN_MS) + DRAIN_SLACK_MS;
         serving = false;
         // If an operator's drain was in force, callers have already had the time to find another balancer.
-        boolean already = loop.submit(this::supersedeOperatorDrain).sync().getNow();
-        double sendAway = already ? begun : Math.max(begun, latest - DRAIN_SLACK_MS - CLOSE_CALLERS_MS);
-        boolean succeeded = handOver();
-        if (membership != null && succeeded) {
+        boolean alreadyDrained = loop.submit(this::supersedeOperatorDrain).sync().getNow();
+        double closeCallersAt = alreadyDrained ? startedAt
+                : Math.max(startedAt, drainEnd - DRAIN_SLACK_MS - CLOSE_CALLERS_MS);
+        boolean handedOver = handOver();
+        if (membership != null && handedOver) {
             membership.handOver();
         } else if (membership != null) {
             membership.leave();
         }
-        while (clock.now() < sendAway) {
+        while (clock.now() < closeCallersAt) {
             Thread.sleep(DRAIN_CHECK_MS);
-            succeeded = succeeded || handOver();
+            handedOver = handedOver || handOver();
         }
         loop.submit(() -> frontend.startDrain(HttpResponseStatus.OK)).sync();
         // With a successor, late connections go to it, so there is no need to wait for them.
-        double idleFrom = succeeded ? sendAway : sendAway + LATE_CONNECTIONS_MS;
-        while (clock.now() < idleFrom) {
+        double stopListeningAt = handedOver ? closeCallersAt : closeCallersAt + LATE_CONNECTIONS_MS;
+        while (clock.now() < stopListeningAt) {
             Thread.sleep(DRAIN_CHECK_MS);
         }
         // Connections left in the accept queue of a socket that closes with its process would be reset.
         loop.submit(frontend::stopListening).sync();
-        boolean done = awaitDrained(latest);
+        boolean done = awaitDrained(drainEnd);
         // Requests that are unanswered at SIGKILL would be lost, so they are answered as failed.
         loop.submit(() -> {
             frontend.refuseQueuedAndCloseIdle();
@@ -515,14 +517,14 @@
                             NodeMetrics.FailureReason.ENDING));
         }).sync();
         if (!done) {
-            awaitDrained(latest + FINAL_ANSWERS_MS);
+            awaitDrained(drainEnd + FINAL_ANSWERS_MS);
         }
     }
 
     /** Closes idle connections until none is left or the time is over; returns true if none is left. */
-    private boolean awaitDrained(double latest) throws InterruptedException {
+    private boolean awaitDrained(double until) throws InterruptedException {
         boolean done = false;
-        while (!done && clock.now() < latest) {
+        while (!done && clock.now() < until) {
             Thread.sleep(DRAIN_CHECK_MS);
             done = closeIdleCallers();
         }
@@ -531,21 +533,21 @@
 
     /** Hands callers over to a later process of this balancer; returns false if none is serving. */
     private boolean handOver() throws InterruptedException {
-        boolean succeeded = hasSuccessor();
-        if (succeeded) {
+        boolean successor = hasSuccessor();
+        if (successor) {
             loop.submit(frontend::handOver).sync();
         }
-        return succeeded;
+        return successor;
     }
 
     /** Lets the drain of SIGTERM replace an operator's drain; returns true if there was one. */
     private boolean supersedeOperatorDrain() {
         terminating = true;
-        boolean drains = operatorDrain != null;
-        if (drains) {
+        boolean wasDraining = operatorDrain != null;
+        if (wasDraining) {
             operatorDrain.cancel(false);
         }
-        return drains;
+        return wasDraining;
     }
 
     /**
@@ -606,16 +608,16 @@
         });
     }
 
-    private void applyConfig(NodeConfig replaced) {
-        config = replaced;
-        metrics.registerClasses(replaced.classes());
-        upstreams.settingsChanged(replaced.settings());
-        frontend.settingsChanged(replaced);
+    private void applyConfig(NodeConfig changed) {
+        config = changed;
+        metrics.registerClasses(changed.classes());
+        upstreams.settingsChanged(changed.settings());
+        frontend.settingsChanged(changed);
         // Before the module is told, since it may start its own watch.
-        discovery.setPushed(!replaced.settings().subscribe());
-        tell(null, () -> balancer.settingsChanged(clock.now(), replaced.settings()));
-        discovery.moveTo(replaced.discovery());
-        LOG.info("goes by a new configuration; discovery is at " + replaced.discovery());
+        discovery.setPushed(!changed.settings().subscribe());
+        tell(null, () -> balancer.settingsChanged(clock.now(), changed.settings()));
+        discovery.moveTo(changed.discovery());
+        LOG.info("goes by a new configuration; discovery is at " + changed.discovery());
     }
 
     /** Closes callers' idle connections; returns true if no connection is left. */
@@ -727,7 +729,7 @@
 
     /** Accepts a request whose body is streamed: its deadline counts from the last byte of the body. */
     private void receiveBody(Exchange exchange, Request request) {
-        double patience = request.deadline() - exchange.receivedAt;
+        double timeLeft = request.deadline() - exchange.receivedAt;
         watch(exchange);
         exchange.deadline = Double.POSITIVE_INFINITY;
         exchange.receivedAt = Double.NaN;
@@ -739,7 +741,7 @@
                     return;
                 }
                 exchange.receivedAt = clock.now();
-                exchange.deadline = clock.now() + patience;
+                exchange.deadline = clock.now() + timeLeft;
                 exchange.deadlineTimer.cancel(false);
                 watch(exchange);
                 exchange.attempts.stream().filter(Objects::nonNull)
@@ -780,9 +782,9 @@
     /** The client has closed its connection. */
     void clientGone(Exchange exchange) {
         if (exchange.isOpen()) {
-            boolean large = exchange.upload != null || exchange.isStreaming();
+            boolean streamed = exchange.upload != null || exchange.isStreaming();
             exchange.close();
-            if (large) {
+            if (streamed) {
                 abandon(exchange);
             } else {
                 tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
--- a/src/main/java/cranedeal/node/NodeConfig.java
+++ b/src/main/java/cranedeal/node/NodeConfig.java
@@ -72,9 +72,9 @@
         return config;
     }
 
-    private static void requireKeys(String path, Set<String> wanted, Set<String> given)
+    private static void requireKeys(String path, Set<String> required, Set<String> given)
             throws ConfigException {
-        for (String key : wanted) {
+        for (String key : required) {
             // A configuration need not have a class of each idempotency.
             String effect = key.startsWith(CLASS_KEY_PREFIX) ? key.substring(0, key.lastIndexOf('.')) : null;
             if ((effect == null || given.contains(effect + ".idempotency")) && !given.contains(key)) {
@@ -83,8 +83,8 @@
         }
     }
 
-    private static boolean startsWith(List<String> names, List<String> first) {
-        return names.size() >= first.size() && names.subList(0, first.size()).equals(first);
+    private static boolean startsWith(List<String> names, List<String> prefix) {
+        return names.size() >= prefix.size() && names.subList(0, prefix.size()).equals(prefix);
     }
 
     static NodeConfig read(String path) throws ConfigException {
@@ -99,52 +99,52 @@
             JsonNode root = JSON.readTree(Path.of(path).toFile());
             // The section must keep the file's keys; keys that only the section has may disappear later.
             Set<String> keys = keys(root);
-            if (section != null && root instanceof ObjectNode own) {
-                mergeInto(section, own);
+            if (section != null && root instanceof ObjectNode target) {
+                mergeInto(section, target);
                 requireKeys(path, keys, keys(root));
             }
             return parse(path, root, keys);
         } catch (IOException e) {
-            String why = e.getMessage().lines().findFirst().orElse("");
-            throw new ConfigException("cannot read " + path + ": " + why);
+            String reason = e.getMessage().lines().findFirst().orElse("");
+            throw new ConfigException("cannot read " + path + ": " + reason);
         } catch (IllegalArgumentException | MalformedInputException e) {
             throw new ConfigException(path + ": " + e.getMessage());
         }
     }
 
     /** Merges one object into another: nested objects recursively, while lists are replaced as a whole. */
-    private static void mergeInto(JsonNode section, ObjectNode over) {
+    private static void mergeInto(JsonNode section, ObjectNode target) {
         for (Map.Entry<String, JsonNode> field : section.properties()) {
-            if (field.getValue().isObject() && over.get(field.getKey()) instanceof ObjectNode inner) {
+            if (field.getValue().isObject() && target.get(field.getKey()) instanceof ObjectNode inner) {
                 mergeInto(field.getValue(), inner);
             } else {
-                over.set(field.getKey(), field.getValue());
+                target.set(field.getKey(), field.getValue());
             }
         }
     }
 
     private static NodeConfig parse(String path, JsonNode root, Set<String> keys) {
-        JsonNode given = root.path("settings");
-        if (!given.isObject()) {
+        JsonNode section = root.path("settings");
+        if (!section.isObject()) {
             throw new IllegalArgumentException("settings is missing");
         }
-        positive(given.path("limits").path("attemptsCap"), "settings.limits.attemptsCap");
-        for (JsonNode service : given.path("services")) {
+        positive(section.path("limits").path("attemptsCap"), "settings.limits.attemptsCap");
+        for (JsonNode service : section.path("services")) {
             positive(service.path("deadline"), "the deadline of a class");
         }
-        List<String> classes = names(given.path("services"));
+        List<String> classes = names(section.path("services"));
         if (Set.copyOf(classes).size() < classes.size()) {
             throw new IllegalArgumentException("two classes have the same name");
         }
         StringBuilder lines = new StringBuilder();
-        flatten("", given, lines);
+        flatten("", section, lines);
         Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
-        List<String> zones = names(given.path("zones"));
-        List<String> kinds = names(given.path("machineTypes"));
+        List<String> zones = names(section.path("zones"));
+        List<String> kinds = names(section.path("machineTypes"));
         return new NodeConfig(path, root.path("name").asText("balancer"), address(root, "listen"),
                 admin(root), address(root, "discovery"), seed(root.path("seed").asText("")),
                 root.path("limits").path("sockets").asInt(1_024), settings, zones, kinds,
-                classes, names(given.path("tenants")), keys,
+                classes, names(section.path("tenants")), keys,
                 UpstreamList.parse(root.path("known"), zones, kinds), folder(root, "state_dir"),
                 FleetConfig.parse(root));
     }
@@ -161,12 +161,12 @@
         addKeys("settings.", root.path("settings"), keys);
         Map<String, Set<String>> byEffect = new HashMap<>();
         for (JsonNode service : root.path("settings").path("services")) {
-            Set<String> own = new HashSet<>();
-            service.fieldNames().forEachRemaining(own::add);
+            Set<String> classKeys = new HashSet<>();
+            service.fieldNames().forEachRemaining(classKeys::add);
             // The placement of a class is optional.
-            own.removeAll(List.of("runsIn", "boundTo"));
-            byEffect.computeIfAbsent(service.path("idempotency").asText(), effect -> new HashSet<>(own))
-                    .retainAll(own);
+            classKeys.removeAll(List.of("runsIn", "boundTo"));
+            byEffect.computeIfAbsent(service.path("idempotency").asText(), effect -> new HashSet<>(classKeys))
+                    .retainAll(classKeys);
         }
         byEffect.forEach((effect, own) -> own.forEach(
                 key -> keys.add(CLASS_KEY_PREFIX + effect + "." + key)));
--- a/src/main/java/cranedeal/node/NodeMetrics.java
+++ b/src/main/java/cranedeal/node/NodeMetrics.java
@@ -187,11 +187,11 @@
         appendLine(text, "loop_busy_longest_ms", Math.round(delay.longestMs()));
         appendLine(text, "arrivals_wait_ms", Math.round(delay.waitMs()));
         appendLine(text, "arrivals_waiting", delay.waiting());
-        Descriptors held = descriptors;
-        appendLine(text, "connections_callers", held.callers());
-        appendLine(text, "connections_callers_resting", held.idle());
-        appendLine(text, "connections_all", held.open());
-        appendLine(text, "connections_limit", held.limit());
+        Descriptors use = descriptors;
+        appendLine(text, "connections_callers", use.callers());
+        appendLine(text, "connections_callers_resting", use.idle());
+        appendLine(text, "connections_all", use.open());
+        appendLine(text, "connections_limit", use.limit());
         appendLine(text, "connects", connections.get());
         appendLine(text, "list_version", list.version());
         appendLine(text, "list_in_force_ms", Math.round(list.appliedInMs()));
@@ -222,18 +222,18 @@
     }
 
     /** A configuration was applied or rejected at SIGHUP. */
-    void configReloaded(boolean taken) {
-        (taken ? reloadSuccess : reloadFailure).incrementAndGet();
+    void configReloaded(boolean applied) {
+        (applied ? reloadSuccess : reloadFailure).incrementAndGet();
     }
 
     /** All metrics, one per line. */
     String text() {
         StringBuilder text = new StringBuilder();
         countsByClass.forEach((name, counts) -> {
-            String shown = escape(name);
-            appendLine(text, "success." + shown, counts.success.get());
-            appendLine(text, "overload." + shown, counts.overload.get());
-            appendLine(text, "error." + shown, counts.error.get());
+            String escapedName = escape(name);
+            appendLine(text, "success." + escapedName, counts.success.get());
+            appendLine(text, "overload." + escapedName, counts.overload.get());
+            appendLine(text, "error." + escapedName, counts.error.get());
         });
         appendLine(text, "dispatches", dispatches.get());
         appendLine(text, "concurrent", concurrent.get());
@@ -252,21 +252,21 @@
      * Percent-encodes the characters of a class name that would break its line: blanks, controls, '=', '%'.
      */
     private static String escape(String name) {
-        StringBuilder shown = new StringBuilder();
+        StringBuilder escaped = new StringBuilder();
         name.codePoints().forEach(c -> {
             if (c <= ' ' || c == '=' || c == '%' || c == DELETE) {
-                shown.append(String.format(Locale.ROOT, "%%%02X", c));
+                escaped.append(String.format(Locale.ROOT, "%%%02X", c));
             } else {
-                shown.appendCodePoint(c);
+                escaped.appendCodePoint(c);
             }
         });
-        return shown.toString();
+        return escaped.toString();
     }
 
     /** Formats metrics of another component, one per line. */
-    static String text(Map<String, Long> others) {
+    static String text(Map<String, Long> values) {
         StringBuilder text = new StringBuilder();
-        others.forEach((name, value) -> appendLine(text, name, value));
+        values.forEach((name, value) -> appendLine(text, name, value));
         return text.toString();
     }
 
--- a/src/main/java/cranedeal/node/OperatorOverrides.java
+++ b/src/main/java/cranedeal/node/OperatorOverrides.java
@@ -34,9 +34,9 @@
     }
 
     /** Returns the overrides with one upstream disabled or enabled. */
-    OperatorOverrides withUpstream(String id, boolean banned) {
+    OperatorOverrides withUpstream(String id, boolean disabled) {
         Set<String> changed = new TreeSet<>(disabledUpstreams);
-        if (banned) {
+        if (disabled) {
             changed.add(id);
         } else {
             changed.remove(id);
@@ -44,8 +44,8 @@
         return new OperatorOverrides(changed, draining, reloads);
     }
 
-    OperatorOverrides withDraining(boolean drains) {
-        return new OperatorOverrides(disabledUpstreams, drains, reloads);
+    OperatorOverrides withDraining(boolean drain) {
+        return new OperatorOverrides(disabledUpstreams, drain, reloads);
     }
 
     OperatorOverrides withReload() {
--- a/src/main/java/cranedeal/node/ProcessHandover.java
+++ b/src/main/java/cranedeal/node/ProcessHandover.java
@@ -61,8 +61,8 @@
         if (size == 0) {
             return false;
         }
-        try (FileLock mine = file.tryLock(from, size, true)) {
-            return mine == null;
+        try (FileLock lock = file.tryLock(from, size, true)) {
+            return lock == null;
         }
     }
 
--- a/src/main/java/cranedeal/node/WarmStateFile.java
+++ b/src/main/java/cranedeal/node/WarmStateFile.java
@@ -64,16 +64,16 @@
         }
         try {
             List<ClassState> classes = new ArrayList<>();
-            for (JsonNode one : root.path("classes")) {
-                classes.add(new ClassState(one.path("name").asText(), number(one, "latency"),
-                        number(one, "hint"), number(one, "slow")));
+            for (JsonNode entry : root.path("classes")) {
+                classes.add(new ClassState(entry.path("name").asText(), number(entry, "latency"),
+                        number(entry, "hint"), number(entry, "slow")));
             }
             List<UpstreamState> upstreams = new ArrayList<>();
-            for (JsonNode one : root.path("upstreams")) {
-                upstreams.add(new UpstreamState(one.path("id").longValue(), number(one, "listed"),
-                        number(one, "started"), number(one, "known"), number(one, "latencies"),
-                        number(one, "answers"), number(one, "served_all"), number(one, "tries_all"),
-                        numbers(one, "served", classes.size()), numbers(one, "tries", classes.size())));
+            for (JsonNode entry : root.path("upstreams")) {
+                upstreams.add(new UpstreamState(entry.path("id").longValue(), number(entry, "listed"),
+                        number(entry, "started"), number(entry, "known"), number(entry, "latencies"),
+                        number(entry, "answers"), number(entry, "served_all"), number(entry, "tries_all"),
+                        numbers(entry, "served", classes.size()), numbers(entry, "tries", classes.size())));
             }
             return new Snapshot(number(root, "at"), new WarmState(classes, upstreams));
         } catch (IllegalArgumentException e) {
@@ -82,12 +82,12 @@
     }
 
     /** Replaces the file with a new snapshot. */
-    void write(Snapshot kept) throws IOException {
+    void write(Snapshot snapshot) throws IOException {
         Files.createDirectories(folder);
-        AtomicFile.replace(folder.resolve(FILE), encode(kept.savedAt(), limited(kept.state())));
+        AtomicFile.replace(folder.resolve(FILE), encode(snapshot.savedAt(), limited(snapshot.state())));
     }
 
-    private static byte[] encode(double at, WarmState learnt) throws IOException {
+    private static byte[] encode(double at, WarmState state) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.write(new byte[CHECKSUM_LENGTH]);
         try (JsonGenerator json = NodeConfig.JSON.createGenerator(bytes)) {
@@ -95,18 +95,18 @@
             json.writeNumberField("form", FORMAT_VERSION);
             json.writeNumberField("at", at);
             json.writeArrayFieldStart("classes");
-            for (ClassState one : learnt.classes()) {
+            for (ClassState entry : state.classes()) {
                 json.writeStartObject();
-                json.writeStringField("name", one.name());
-                json.writeNumberField("latency", one.latency());
-                json.writeNumberField("hint", one.hint());
-                json.writeNumberField("slow", one.slowRatio());
+                json.writeStringField("name", entry.name());
+                json.writeNumberField("latency", entry.latency());
+                json.writeNumberField("hint", entry.hint());
+                json.writeNumberField("slow", entry.slowRatio());
                 json.writeEndObject();
             }
             json.writeEndArray();
             json.writeArrayFieldStart("upstreams");
-            for (UpstreamState one : learnt.upstreams()) {
-                write(one, json);
+            for (UpstreamState entry : state.upstreams()) {
+                write(entry, json);
             }
             json.writeEndArray();
             json.writeEndObject();
@@ -116,20 +116,20 @@
         return whole;
     }
 
-    private static void write(UpstreamState one, JsonGenerator json) throws IOException {
+    private static void write(UpstreamState entry, JsonGenerator json) throws IOException {
         json.writeStartObject();
-        json.writeNumberField("id", one.id());
-        json.writeNumberField("listed", one.listedStartedAt());
-        json.writeNumberField("started", one.startedAt());
-        json.writeNumberField("known", one.observedFor());
-        json.writeNumberField("latencies", one.latencySum());
-        json.writeNumberField("answers", one.latencyCount());
-        json.writeNumberField("served_all", one.totalServed());
-        json.writeNumberField("tries_all", one.totalAttempts());
+        json.writeNumberField("id", entry.id());
+        json.writeNumberField("listed", entry.listedStartedAt());
+        json.writeNumberField("started", entry.startedAt());
+        json.writeNumberField("known", entry.observedFor());
+        json.writeNumberField("latencies", entry.latencySum());
+        json.writeNumberField("answers", entry.latencyCount());
+        json.writeNumberField("served_all", entry.totalServed());
+        json.writeNumberField("tries_all", entry.totalAttempts());
         json.writeFieldName("served");
-        json.writeArray(one.servedByClass(), 0, one.servedByClass().length);
+        json.writeArray(entry.servedByClass(), 0, entry.servedByClass().length);
         json.writeFieldName("tries");
-        json.writeArray(one.attemptsByClass(), 0, one.attemptsByClass().length);
+        json.writeArray(entry.attemptsByClass(), 0, entry.attemptsByClass().length);
         json.writeEndObject();
     }
 
@@ -146,17 +146,17 @@
     }
 
     private static String checksum(byte[] bytes) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, CHECKSUM_LENGTH, bytes.length - CHECKSUM_LENGTH);
-        return String.format("%08x\n", sum.getValue());
+        CRC32C checksum = new CRC32C();
+        checksum.update(bytes, CHECKSUM_LENGTH, bytes.length - CHECKSUM_LENGTH);
+        return String.format("%08x\n", checksum.getValue());
     }
 
-    private static double number(JsonNode of, String key) {
-        return nonNegative(of.path(key), key);
+    private static double number(JsonNode object, String key) {
+        return nonNegative(object.path(key), key);
     }
 
-    private static double[] numbers(JsonNode of, String key, int count) {
-        JsonNode list = of.path(key);
+    private static double[] numbers(JsonNode object, String key, int count) {
+        JsonNode list = object.path(key);
         if (list.size() != count) {
             throw new IllegalArgumentException(key + " must have one number for each class");
         }
--- a/src/main/java/cranedeal/node/WarmStateSaver.java
+++ b/src/main/java/cranedeal/node/WarmStateSaver.java
@@ -33,11 +33,11 @@
     /** Reads the state of an earlier process; null if there is none. An invalid file is only logged. */
     WarmStateFile.Snapshot read() {
         try {
-            WarmStateFile.Snapshot kept = file.read();
-            if (kept != null && kept.savedAt() > clock.now()) {
+            WarmStateFile.Snapshot snapshot = file.read();
+            if (snapshot != null && snapshot.savedAt() > clock.now()) {
                 throw new IOException("its timestamp is in the future, so its age is unknown");
             }
-            return kept;
+            return snapshot;
         } catch (IOException e) {
             Node.LOG.warning("starting without warm-start state: " + e.getMessage());
             return null;
@@ -45,12 +45,12 @@
     }
 
     /** Passes a snapshot to the module; must be called before its first list. */
-    void restore(WarmStateFile.Snapshot kept, LoadBalancer balancer) {
+    void restore(WarmStateFile.Snapshot snapshot, LoadBalancer balancer) {
         double now = clock.now();
-        double age = now - kept.savedAt();
-        balancer.restoreWarmState(now, kept.state(), age);
+        double age = now - snapshot.savedAt();
+        balancer.restoreWarmState(now, snapshot.state(), age);
         Node.LOG.info(String.format("restored warm-start state saved %.0f ms ago of %d upstreams", age,
-                kept.state().upstreams().size()));
+                snapshot.state().upstreams().size()));
     }
 
     /**
@@ -58,36 +58,37 @@
      *
      * @param loop the loop on which the module may be called
      * @param writer an executor whose tasks may block on disk
-     * @param last returns true if no later process of this balancer is serving; only then the state is saved
+     * @param isLast returns true if no later process of this balancer is serving; only then the state is
+     *     saved
      */
-    void start(EventLoop loop, Executor writer, Supplier<WarmState> learnt, BooleanSupplier last) {
-        schedule(MIN_INTERVAL_MS, loop, writer, learnt, last);
+    void start(EventLoop loop, Executor writer, Supplier<WarmState> state, BooleanSupplier isLast) {
+        schedule(MIN_INTERVAL_MS, loop, writer, state, isLast);
     }
 
-    private void schedule(long afterMs, EventLoop loop, Executor writer, Supplier<WarmState> learnt,
-            BooleanSupplier last) {
+    private void schedule(long delayMs, EventLoop loop, Executor writer, Supplier<WarmState> state,
+            BooleanSupplier isLast) {
         if (loop.isShuttingDown()) {
             return;
         }
         loop.schedule(() -> {
-            if (!last.getAsBoolean()) {
-                schedule(MIN_INTERVAL_MS, loop, writer, learnt, last);
+            if (!isLast.getAsBoolean()) {
+                schedule(MIN_INTERVAL_MS, loop, writer, state, isLast);
                 return;
             }
-            WarmStateFile.Snapshot kept = new WarmStateFile.Snapshot(clock.now(), learnt.get());
+            WarmStateFile.Snapshot snapshot = new WarmStateFile.Snapshot(clock.now(), state.get());
             writer.execute(() -> {
-                double begun = clock.now();
-                write(kept);
-                long took = (long) (clock.now() - begun);
-                schedule(Math.max(MIN_INTERVAL_MS, PAUSE_FACTOR * took), loop, writer, learnt, last);
+                double startedAt = clock.now();
+                write(snapshot);
+                long durationMs = (long) (clock.now() - startedAt);
+                schedule(Math.max(MIN_INTERVAL_MS, PAUSE_FACTOR * durationMs), loop, writer, state, isLast);
             });
-        }, afterMs, TimeUnit.MILLISECONDS);
+        }, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void write(WarmStateFile.Snapshot kept) {
+    private void write(WarmStateFile.Snapshot snapshot) {
         try {
-            if (!kept.state().upstreams().isEmpty()) {
-                file.write(kept);
+            if (!snapshot.state().upstreams().isEmpty()) {
+                file.write(snapshot);
             }
         } catch (IOException e) {
             if (clock.now() >= lastLoggedAt + LOG_INTERVAL_MS) {
--- a/src/main/java/cranedeal/node/discovery/DiscoveryCall.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryCall.java
@@ -70,8 +70,8 @@
     }
 
     /** Sends the request once a connection is established. */
-    void start(ChannelFuture connect, String host) {
-        connect.addListener((ChannelFuture up) -> {
+    void start(ChannelFuture connecting, String host) {
+        connecting.addListener((ChannelFuture up) -> {
             if (done) {
                 up.channel().close();
             } else if (up.isSuccess()) {
@@ -186,13 +186,13 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            DiscoveryCall answered = call;
+            DiscoveryCall answeredCall = call;
             call = null;
-            if (answered == null || !HttpUtil.isKeepAlive(response)) {
+            if (answeredCall == null || !HttpUtil.isKeepAlive(response)) {
                 ctx.close();
             }
-            if (answered != null) {
-                answered.answered(response);
+            if (answeredCall != null) {
+                answeredCall.answered(response);
             }
         }
 
--- a/src/main/java/cranedeal/node/discovery/DiscoveryClient.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryClient.java
@@ -79,7 +79,7 @@
      * @param start the address of discovery and the version of the known list
      */
     public DiscoveryClient(EventLoop loop, DoubleSupplier clock, Options start, ListParser parser,
-            ByteBufAllocator memory, Listener listener) {
+            ByteBufAllocator allocator, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.parser = parser;
@@ -88,7 +88,7 @@
         metrics = new DiscoveryMetrics(clock, start.version(), LOG::info);
         schedule = new WatchSchedule(new ScheduleActions(), start.maxWaitMs(), start.version(), start.seed());
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.ALLOCATOR, allocator).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -120,11 +120,11 @@
     }
 
     /** Uses another address from now on. Calls in flight to the old address are cancelled. */
-    public void moveTo(InetSocketAddress replaced) {
-        if (replaced.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = replaced;
+        address = newAddress;
         if (idle != null) {
             idle.close();
             idle = null;
@@ -279,10 +279,10 @@
         public void answered(UpstreamList list) {
             expiry.cancel(false);
             // Only a whole list that is no older than the known one is a valid answer.
-            boolean taken = list.full() && list.version() >= schedule.version() && notifyListener(list);
-            metrics.callEnded(call.record(taken ? CallEnd.ANSWERED : CallEnd.BAD_ANSWER));
+            boolean accepted = list.full() && list.version() >= schedule.version() && notifyListener(list);
+            metrics.callEnded(call.record(accepted ? CallEnd.ANSWERED : CallEnd.BAD_ANSWER));
             call.channel().close();
-            if (!taken) {
+            if (!accepted) {
                 notifyFailure(CallEnd.BAD_ANSWER);
             }
         }
--- a/src/main/java/cranedeal/node/discovery/StartTimes.java
+++ b/src/main/java/cranedeal/node/discovery/StartTimes.java
@@ -37,14 +37,14 @@
      * @param unix the Unix time at the same moment
      */
     public double toNodeClock(long upstream, double listed, double now, double unix) {
-        Start before = known.get(upstream);
-        if (before != null && before.listed() == listed) {
-            return before.at();
+        Start previous = known.get(upstream);
+        if (previous != null && previous.listed() == listed) {
+            return previous.at();
         }
-        double stepped = unix - now;
-        double at = listed == 0 || Math.abs(stepped) < MAX_CLOCK_DIFFERENCE_MS ? listed
-                : Math.min(now, listed - stepped);
-        known.put(upstream, new Start(listed, at));
-        return at;
+        double clockDifference = unix - now;
+        double startedAt = listed == 0 || Math.abs(clockDifference) < MAX_CLOCK_DIFFERENCE_MS ? listed
+                : Math.min(now, listed - clockDifference);
+        known.put(upstream, new Start(listed, startedAt));
+        return startedAt;
     }
 }
--- a/src/main/java/cranedeal/node/discovery/UpstreamList.java
+++ b/src/main/java/cranedeal/node/discovery/UpstreamList.java
@@ -66,8 +66,8 @@
 
     /** The index of a name in the settings; unknown names get the index after the last one. */
     private static int indexOf(List<String> names, String name) {
-        int at = names.indexOf(name);
-        return at < 0 ? names.size() : at;
+        int index = names.indexOf(name);
+        return index < 0 ? names.size() : index;
     }
 
     /** Parses a numeric address with a port; host names are not supported, since there is no DNS. */
--- a/src/main/java/cranedeal/node/discovery/WatchSchedule.java
+++ b/src/main/java/cranedeal/node/discovery/WatchSchedule.java
@@ -124,12 +124,12 @@
     /**
      * Creates a schedule that does nothing until {@link #watch}.
      *
-     * @param longestWaitMs the longest time that a call waits for changes
+     * @param maxWaitMs the longest time that a call waits for changes
      * @param version the version of the list in use
      */
-    public WatchSchedule(Actions actions, int longestWaitMs, long version, long seed) {
+    public WatchSchedule(Actions actions, int maxWaitMs, long version, long seed) {
         this.actions = actions;
-        this.maxWaitMs = longestWaitMs;
+        this.maxWaitMs = maxWaitMs;
         this.version = version;
         random = new SplittableRandom(seed);
     }
@@ -174,23 +174,23 @@
      * accepted only if it is a whole list and the one in use was already in use when the call was sent:
      * discovery has restarted with lower versions then.
      */
-    public boolean accepts(long id, long answered, boolean full) {
+    public boolean accepts(long id, long answeredVersion, boolean full) {
         Call call = find(id);
-        return call != null && (answered >= version || full && call.versionAtSend == version);
+        return call != null && (answeredVersion >= version || full && call.versionAtSend == version);
     }
 
     /**
      * A call was answered, and its answer was accepted.
      *
-     * @param answered the version of the list
-     * @param news whether the answer had any entries
+     * @param answeredVersion the version of the list
+     * @param hasEntries whether the answer had any entries
      */
-    public void answered(double now, long id, long answered, boolean news) {
+    public void answered(double now, long id, long answeredVersion, boolean hasEntries) {
         Call call = find(id);
         if (call != null) {
-            version = answered;
+            version = answeredVersion;
             versionUnknown = false;
-            complete(call, news, now);
+            complete(call, hasEntries, now);
         }
     }
 
@@ -203,9 +203,9 @@
         }
     }
 
-    private void complete(Call call, boolean news, double now) {
-        boolean waited = !news && now >= call.waitEnd;
-        updateAnswerTime(call, news, now);
+    private void complete(Call call, boolean hasEntries, double now) {
+        boolean waited = !hasEntries && now >= call.waitEnd;
+        updateAnswerTime(call, hasEntries, now);
         confirmedAt = Math.max(confirmedAt, waited ? call.waitEnd : call.sentAt);
         while (inFlight.get(0) != call) {
             actions.cancel(inFlight.remove(0).id, CallEnd.SUPERSEDED);
@@ -213,7 +213,7 @@
         inFlight.remove(0);
         maxStalenessMs = MAX_STALENESS_MS;
         resetBackoff();
-        if (!news && !waited) {
+        if (!hasEntries && !waited) {
             // Discovery did not wait for changes: without a delay, it would be called in a tight loop.
             retryAt = now + MIN_RETRY_MS;
         }
@@ -275,20 +275,20 @@
      * call's wait. An answer with changes only shows a lower bound; the very first answer was likely due at
      * once.
      */
-    private void updateAnswerTime(Call call, boolean news, double now) {
+    private void updateAnswerTime(Call call, boolean hasEntries, double now) {
         boolean first = Double.isNaN(answerMs);
-        double took = now - (first && news ? call.sentAt : call.waitEnd);
-        if (took < 0) {
+        double answeredAfter = now - (first && hasEntries ? call.sentAt : call.waitEnd);
+        if (answeredAfter < 0) {
             return;
         }
         if (first) {
-            answerMs = took;
-        } else if (took > answerMs && call.sentAt >= raisedAt) {
+            answerMs = answeredAfter;
+        } else if (answeredAfter > answerMs && call.sentAt >= raisedAt) {
             // The bound is for answers delayed by a network outage, which say nothing about later ones.
-            answerMs = Math.min(took, Math.max(SLOW_ANSWER_MS, 2 * answerMs));
+            answerMs = Math.min(answeredAfter, Math.max(SLOW_ANSWER_MS, 2 * answerMs));
             raisedAt = now;
-        } else if (took <= answerMs && !news) {
-            answerMs += EWMA_WEIGHT * (took - answerMs);
+        } else if (answeredAfter <= answerMs && !hasEntries) {
+            answerMs += EWMA_WEIGHT * (answeredAfter - answerMs);
         }
     }
 
@@ -346,10 +346,10 @@
 
     /** Discovery may still process cancelled calls, so new ones must not exceed its capacity. */
     private double spacingWhenFull() {
-        double unheard = inFlight.get(inFlight.size() - 1).sentAt - inFlight.get(0).sentAt;
-        double bearable = Math.max(FULL_SPACING_ANSWER_FACTOR * expectedAnswerMs(),
-                FULL_SPACING_SILENCE_FACTOR * unheard);
-        return Math.max(bearable, MIN_FULL_SPACING_MS * jitterFactor);
+        double silentFor = inFlight.get(inFlight.size() - 1).sentAt - inFlight.get(0).sentAt;
+        double sustainable = Math.max(FULL_SPACING_ANSWER_FACTOR * expectedAnswerMs(),
+                FULL_SPACING_SILENCE_FACTOR * silentFor);
+        return Math.max(sustainable, MIN_FULL_SPACING_MS * jitterFactor);
     }
 
     private double stallMs() {
@@ -384,8 +384,8 @@
         actions.call(call.id, versionUnknown ? 0 : version, waitMs);
     }
 
-    private static double backoff(double first, int times, double longest) {
-        return Math.min(longest, first * (1 << Math.min(times, MAX_DOUBLINGS)));
+    private static double backoff(double first, int doublings, double longest) {
+        return Math.min(longest, first * (1 << Math.min(doublings, MAX_DOUBLINGS)));
     }
 
     private double drawJitter() {
--- a/src/test/java/cranedeal/node/AdminEndpointTest.java
+++ b/src/test/java/cranedeal/node/AdminEndpointTest.java
@@ -34,7 +34,7 @@
         "GET,/ops/drain/start,405", "POST,/ops/drain/stop,405", "PUT,/ops/drain/stop,200",
         "PUT,/ops/drain,404", "PUT,/ops/drain/start/now,404", "GET,/,404", "GET,/_health,404",
         "GET,/ops/%zz,400"})
-    void eachCallHasItsAnswer(String method, String path, int status) throws Exception {
+    void eachPathAndMethodGetsItsStatus(String method, String path, int status) throws Exception {
         try (NodeFixture fixture = fixture()) {
             assertEquals(status, fixture.order(method, path));
             assertEquals(200, health(fixture));
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void aDrainCutsOffNoRequestThatIsOnItsWayIn() throws Exception {
+    void aDrainDoesNotCutOffAPartiallyReceivedRequest() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             String request = NodeFixture.get("1", "10");
--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -141,11 +141,11 @@
         ExecutorService threads = Executors.newFixedThreadPool(ListBenchmark.SIZES.length);
         try {
             for (int repeat = 0; repeat < REPEATS; repeat++) {
-                Map<Integer, Future<RunResult>> plays = new LinkedHashMap<>();
+                Map<Integer, Future<RunResult>> futures = new LinkedHashMap<>();
                 for (int size : ListBenchmark.SIZES) {
-                    plays.put(size, threads.submit(() -> run(size)));
+                    futures.put(size, threads.submit(() -> run(size)));
                 }
-                for (Map.Entry<Integer, Future<RunResult>> one : plays.entrySet()) {
+                for (Map.Entry<Integer, Future<RunResult>> one : futures.entrySet()) {
                     runs.computeIfAbsent(one.getKey(), absent -> new ArrayList<>()).add(one.getValue().get());
                 }
             }
@@ -222,24 +222,24 @@
 
     private RunResult run(int size, DiscoveryServer server, CountingProxy counter, NodeConfig config,
             EventLoop loop) throws Exception {
-        AtomicLong told = new AtomicLong();
+        AtomicLong events = new AtomicLong();
         DiscoveryClient discovery = loop.submit(() -> new DiscoveryClient(loop, new Clock()::now,
                 config.discoveryOptions(), config::parseList, UnpooledByteBufAllocator.DEFAULT,
                 new DiscoveryClient.Listener() {
                     @Override
                     public void changed(UpstreamList list) {
-                        told.incrementAndGet();
+                        events.incrementAndGet();
                     }
 
                     @Override
                     public void callFailed(CallEnd how) {
-                        told.addAndGet(1_000_000);
+                        events.addAndGet(1_000_000);
                     }
                 })).sync().getNow();
         Traffic before = counter.traffic();
         loop.submit(discovery::fetch).sync();
         // The first call of a process takes long; without this wait only a part of it would be counted.
-        while (told.get() == 0) {
+        while (events.get() == 0) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
         final Traffic whole = counter.traffic().since(before);
@@ -277,7 +277,7 @@
         Thread.sleep(SETTLE_MS);
         Traffic zone = counter.traffic().since(before);
         loop.submit(() -> discovery.watch(false)).sync();
-        if (told.get() >= 1_000_000) {
+        if (events.get() >= 1_000_000) {
             throw new AssertionError("a call to discovery failed");
         }
         return new RunResult(whole, calm, calmMs, changes, release, zone);
--- a/src/test/java/cranedeal/node/DiscoveryReturnTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryReturnTest.java
@@ -35,7 +35,7 @@
     /** What happens to a call while discovery is down. */
     private enum Outage { REFUSED, REFUSED_LATE, RESET, NO_CONNECTION, SILENT, CROWD }
 
-    private record Event(double at, long order, Runnable what) { }
+    private record Event(double at, long order, Runnable action) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
@@ -47,7 +47,7 @@
     private final TreeMap<Integer, Integer> calls = new TreeMap<>();
     private int rejected;
 
-    private void at(double time, Runnable what) {
+    private void schedule(double time, Runnable what) {
         events.add(new Event(time, order++, what));
     }
 
@@ -74,7 +74,7 @@
         public void wakeAt(double time) {
             wakeAt = time;
             if (time < Double.POSITIVE_INFINITY) {
-                at(Math.max(now, time), () -> {
+                schedule(Math.max(now, time), () -> {
                     if (wakeAt == time) {
                         schedule.timer(now);
                     }
@@ -83,7 +83,7 @@
         }
 
         private void failLater(double time, long id) {
-            at(time, () -> {
+            schedule(time, () -> {
                 if (open.remove(id)) {
                     schedule.failed(now, id);
                 }
@@ -128,7 +128,7 @@
                 }
                 return;
             }
-            at(end, () -> {
+            schedule(end, () -> {
                 if (open.remove(id)) {
                     updatedAt = behind && Double.isNaN(updatedAt) ? now : updatedAt;
                     schedule.answered(now, id, behind ? 2 : schedule.version(), behind);
@@ -142,32 +142,32 @@
         for (int i = 0; i < watchers; i++) {
             Watcher watcher = new Watcher(i);
             all.add(watcher);
-            at(i * 10_000.0 / watchers, () -> watcher.schedule.watch(now, true));
+            schedule(i * 10_000.0 / watchers, () -> watcher.schedule.watch(now, true));
         }
         for (Event event = events.poll(); event != null && event.at() < END_MS; event = events.poll()) {
             now = event.at();
-            event.what().run();
+            event.action().run();
         }
         return all;
     }
 
     @ParameterizedTest
     @EnumSource(Outage.class)
-    void hundredsAreToldInTimeOnceDiscoveryIsBackAndDoNotKnockItOver(Outage how) {
+    void allWatchersAreUpdatedInTimeAfterAnOutageWithoutOverloadingDiscovery(Outage how) {
         outage = how;
         List<Watcher> all = run(300);
         double last = all.stream().mapToDouble(watcher -> watcher.updatedAt - BACK_AT_MS).max().orElseThrow();
         int back = (int) (BACK_AT_MS / 1_000);
         int before = calls.headMap(back).values().stream().max(Integer::compare).orElseThrow();
         int after = calls.tailMap(back).values().stream().max(Integer::compare).orElseThrow();
-        String shown = how + ": last update after " + last + " ms, calls per second "
+        String result = how + ": last update after " + last + " ms, calls per second "
                 + calls + ", rejected " + rejected;
         if (Boolean.getBoolean("show")) {
-            System.out.println(shown);
+            System.out.println(result);
         }
         // Also fails for NaN, the value of a watcher that was never updated.
-        assertTrue(last < MAX_UPDATE_DELAY_MS - 500, shown);
-        assertEquals(0, rejected, shown);
-        assertTrue(after <= Math.max(before, all.size()), shown);
+        assertTrue(last < MAX_UPDATE_DELAY_MS - 500, result);
+        assertEquals(0, rejected, result);
+        assertTrue(after <= Math.max(before, all.size()), result);
     }
 }
--- a/src/test/java/cranedeal/node/DiscoveryTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aWatchGoesOnFromWhatItWasTold() throws Exception {
+    void aWatchContinuesFromTheLastVersion() throws Exception {
         try (fixture) {
             started();
             HttpPeer watch = fixture.discovery.accept();
@@ -66,7 +66,7 @@
 
     /** Discovery serves calls one at a time, so under load it answers some time after the wait is over. */
     @Test
-    void aWatchThatIsAnsweredASecondAfterItsWaitIsNotGivenUp() throws Exception {
+    void aWatchAnsweredASecondAfterItsWaitIsNotCancelled() throws Exception {
         try (fixture) {
             started();
             HttpPeer watch = fixture.discovery.accept();
@@ -82,7 +82,7 @@
      * A long list may take longer to arrive than the timeout; the call continues while parts of it arrive.
      */
     @Test
-    void aListThatIsComingInIsWaitedForBeyondItsTime() throws Exception {
+    void aListThatIsStillArrivingIsNotTimedOut() throws Exception {
         try (fixture) {
             started();
             HttpPeer watch = fixture.discovery.accept();
@@ -105,7 +105,7 @@
 
     /** The loop is busy between two polls for longer than the call's timeout, while a change is unread. */
     @Test
-    void aChangeThatHasComeIsReadBeforeItsCallIsGivenUp() throws Exception {
+    void anUnreadChangeIsReadBeforeItsCallIsCancelled() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         fixture.balancer.onOutcome = outcome -> {
@@ -142,7 +142,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"version\":",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
         "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"})
-    void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
+    void anInvalidAnswerIsAFailureAndTheOldListStaysInForce(String answer) throws Exception {
         try (fixture) {
             started();
             HttpPeer watch = fixture.discovery.accept();
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void aDiscoveryThatIsDownIsAFailure() throws Exception {
+    void anUnreachableDiscoveryIsAFailure() throws Exception {
         try (fixture) {
             fixture.discovery.close();
             started();
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void theModuleAsksAgainAfterAFailure() throws Exception {
+    void theModuleRetriesAfterAFailure() throws Exception {
         try (fixture) {
             fixture.start(cranedeal.LatencyWeightedBalancer::new);
             fixture.discovery.accept().reset();
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void besideAWatchThatFallsSilentAnotherCallGoesOutAndItsAnswerEndsTheFirst() throws Exception {
+    void anExtraCallIsSentBesideASilentWatchAndItsAnswerEndsTheFirst() throws Exception {
         withSilentWatch((silent, told) -> {
             // The client sends it by itself; a request by the module might come too late.
             HttpPeer anew = furtherCall();
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void aCallIsNotGivenUpWhileAnotherIsOutAndItsLateAnswerCounts() throws Exception {
+    void aCallIsKeptBesideAnExtraCallAndItsLateAnswerIsAccepted() throws Exception {
         withSilentWatch((silent, told) -> {
             HttpPeer second = furtherCall();
             silent.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void whereAllAreSilentTheOldestIsKeptAndAnotherIsGivenUp() throws Exception {
+    void ifAllCallsAreSilentTheOldestIsKeptAndAnotherIsCancelled() throws Exception {
         withSilentWatch((silent, told) -> {
             HttpPeer second = furtherCall();
             furtherCall();
@@ -268,7 +268,7 @@
 
     /** Three such lists at once take most of the direct memory of a balancer in production. */
     @Test
-    void aWholeListOfThousandsOfIndentedEntriesIsTakenInBesideTwoThatDoNotEnd() throws Exception {
+    void aLongIndentedListIsAcceptedBesideTwoUnfinishedOnes() throws Exception {
         withSilentWatch((silent, told) -> {
             String[] entries = new String[3_200];
             for (int i = 0; i < entries.length; i++) {
@@ -287,7 +287,7 @@
     }
 
     @Test
-    void whereListsArePushedTheWatchIsKeptThoughNobodyAsks() throws Exception {
+    void pushedListsKeepTheWatchOpenWithoutARequestOfTheModule() throws Exception {
         try (fixture) {
             fixture.pushLists = true;
             fixture.balancer.onStart = () -> { };
@@ -309,7 +309,7 @@
     }
 
     @Test
-    void theWholeListIsAskedForOnItsOwn() throws Exception {
+    void theWholeListIsFetchedByASeparateCall() throws Exception {
         try (fixture) {
             fixture.balancer.onStart = () -> fixture.balancer.actions.fetch();
             started();
--- a/src/test/java/cranedeal/node/DrainTest.java
+++ b/src/test/java/cranedeal/node/DrainTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aBadCommandLineOrConfigurationIsToldInOneLine() throws Exception {
+    void aBadCommandLineOrConfigurationIsReportedInOneLine() throws Exception {
         endsWithOneLine(2, null);
         endsWithOneLine(2, null, "server");
         endsWithOneLine(1, null, "serve");
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
+    void sigtermLetsAllAcceptedRequestsBeAnswered() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); NodeProcess node = new NodeProcess(fixture)) {
             HttpPeer taken = HttpPeer.connectWhenServing(node.address, node.process);
             HttpPeer idle = HttpPeer.connect(node.address);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
+    void unfinishedRequestsFailBeforeTheDrainEnds() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void sighupMovesTheWatchToWhereDiscoveryIsNow() throws Exception {
+    void sighupMovesTheWatchToTheNewDiscoveryAddress() throws Exception {
         Path file = Files.createTempFile("node", ".json");
         int port;
         try (ServerSocket free = new ServerSocket(0)) {
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aDrainServesOnBeforeItSendsItsCallersAway() throws Exception {
+    void aDrainKeepsServingBeforeItClosesCallers() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.HEALTH);
@@ -209,7 +209,7 @@
     }
 
     @Test
-    void aDrainWaitsForARequestThatIsOnItsWayIn() throws Exception {
+    void aDrainWaitsForAPartiallyReceivedRequest() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.HEALTH);
--- a/src/test/java/cranedeal/node/ListBenchmark.java
+++ b/src/test/java/cranedeal/node/ListBenchmark.java
@@ -56,8 +56,8 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<LoadBalancer.Upstream> upstreams(UpstreamList roster) {
-        return roster.members().stream().map(UpstreamList.Member::upstream).toList();
+    private static List<LoadBalancer.Upstream> upstreams(UpstreamList list) {
+        return list.members().stream().map(UpstreamList.Member::upstream).toList();
     }
 
     /** Creates a module that has a list of the given length. */
@@ -77,7 +77,7 @@
         Map<Integer, ThreadCost.Code> parseChanges = new LinkedHashMap<>();
         for (int size : SIZES) {
             byte[] whole = bytes(list(size));
-            UpstreamList roster = parse(whole);
+            UpstreamList list = parse(whole);
             LoadBalancer balancer = module(ChainSettings.of(0, 1, 0, 1), size);
             LoadBalancer other = module(ChainSettings.of(0, 1, 0, 1), size);
             byte[] changed = bytes(NodeFixture.listJson(42, false, entry(1, "draining", 0)));
@@ -85,7 +85,7 @@
             boolean[] drains = {false};
             parseAll.put(size, () -> parse(whole));
             takeAll.put(size, () -> {
-                balancer.upstreamsChanged(NOW, Change.FULL, upstreams(roster));
+                balancer.upstreamsChanged(NOW, Change.FULL, upstreams(list));
                 return balancer;
             });
             parseChanges.put(size, () -> parse(changed));
--- a/src/test/java/cranedeal/node/LoopMonitorTest.java
+++ b/src/test/java/cranedeal/node/LoopMonitorTest.java
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void whatComesWhileTheLoopWaitsIsReadAtOnce() {
+    void dataArrivingWhileTheLoopWaitsHasNoLag() {
         wait = () -> now += 4;
         read = () -> assertEquals(0, monitor.lag());
         look();
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void whatComesWhileTheLoopIsBusyHasWaited() {
+    void dataArrivingWhileTheLoopIsBusyHasLag() {
         look();
         now += 200;
         canBlock = false;
@@ -89,7 +89,7 @@
 
     /** The process is suspended while it waits, so it wakes long after its next timer was due. */
     @Test
-    void whatComesWhileTheProcessIsStoppedHasWaited() {
+    void dataArrivingWhileTheProcessIsSuspendedHasLag() {
         wait = () -> now += 505;
         read = () -> assertEquals(500, monitor.lag(), EXACT);
         look();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aTimerCountsWhatHasComeSinceTheLastLookAsUnread() {
+    void aTimerCountsDataSinceTheLastPollAsUnread() {
         look();
         now += 120;
         assertEquals(120, monitor.lag(), EXACT);
--- a/src/test/java/cranedeal/node/NodeMetricsTest.java
+++ b/src/test/java/cranedeal/node/NodeMetricsTest.java
@@ -31,36 +31,36 @@
     }
 
     @Test
-    void allAreShownBeforeTheFirstRequest() throws Exception {
+    void allMetricsAreShownBeforeTheFirstRequest() throws Exception {
         try (NodeFixture fixture = new NodeFixture(3).start()) {
-            Map<String, Long> figures = read(fixture);
+            Map<String, Long> metrics = read(fixture);
             for (String name : new String[] {"success", "overload", "error"}) {
-                assertEquals(0, figures.get("edge_proxy." + name + ".look-up"));
-                assertEquals(0, figures.get("edge_proxy." + name + ".credit-spend"));
+                assertEquals(0, metrics.get("edge_proxy." + name + ".look-up"));
+                assertEquals(0, metrics.get("edge_proxy." + name + ".credit-spend"));
             }
             for (String name : new String[] {"concurrent", "dispatches", "targets_disabled", "reload_success",
                 "reload_failure"}) {
-                assertEquals(0, figures.get("edge_proxy." + name), name);
+                assertEquals(0, metrics.get("edge_proxy." + name), name);
             }
-            assertEquals(3, figures.get("edge_proxy.targets"));
+            assertEquals(3, metrics.get("edge_proxy.targets"));
             for (String name : new String[] {"list_stale", "discovery_answered", "discovery_broken"}) {
-                assertEquals(0, figures.get("edge_proxy." + name), name);
+                assertEquals(0, metrics.get("edge_proxy." + name), name);
             }
-            assertEquals(72, figures.size());
+            assertEquals(72, metrics.size());
         }
     }
 
     @Test
-    void aClassWhoseNameWouldBreakItsLineIsShownAllTheSame() {
-        NodeMetrics figures = new NodeMetrics();
-        figures.registerClasses(List.of("slide=ct.1", "50% off\nnow"));
+    void classNamesThatWouldBreakALineAreEscaped() {
+        NodeMetrics metrics = new NodeMetrics();
+        metrics.registerClasses(List.of("slide=ct.1", "50% off\nnow"));
         assertEquals("edge_proxy.success.50%25%20off%0Anow=0",
-                figures.text().lines().findFirst().orElseThrow());
-        assertTrue(figures.text().contains("edge_proxy.success.slide%3Dct.1=0\n"), figures.text());
+                metrics.text().lines().findFirst().orElseThrow());
+        assertTrue(metrics.text().contains("edge_proxy.success.slide%3Dct.1=0\n"), metrics.text());
     }
 
     @Test
-    void eachWayInWhichARequestEndsIsCountedForItsClass() throws Exception {
+    void eachRequestResultIsCountedForItsClass() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10"));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aRequestWhoseCallerLeavesIsNoLongerConcurrent() throws Exception {
+    void aRequestOfADisconnectedCallerIsNoLongerConcurrent() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void whatIsNotWrittenWholeIsNoDispatch() throws Exception {
+    void anIncompletelyWrittenAttemptIsNotADispatch() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.upstreams.get(0).refuseConnections();
             HttpPeer caller = fixture.caller();
--- a/src/test/java/cranedeal/node/OperatorOverridesTest.java
+++ b/src/test/java/cranedeal/node/OperatorOverridesTest.java
@@ -15,13 +15,13 @@
     private Path folder;
 
     @Test
-    void whatIsWrittenIsReadAgain() throws Exception {
+    void overridesAreReadAsWritten() throws Exception {
         assertEquals(OperatorOverrides.NONE, OperatorOverrides.read(folder));
-        OperatorOverrides orders = OperatorOverrides.NONE.withUpstream("s-1", true)
+        OperatorOverrides overrides = OperatorOverrides.NONE.withUpstream("s-1", true)
                 .withUpstream("a b\nc\u0905", true).withDraining(true).withReload();
-        orders.write(folder);
-        assertEquals(orders, OperatorOverrides.read(folder));
-        OperatorOverrides fewer = orders.withUpstream("s-1", false).withDraining(false);
+        overrides.write(folder);
+        assertEquals(overrides, OperatorOverrides.read(folder));
+        OperatorOverrides fewer = overrides.withUpstream("s-1", false).withDraining(false);
         fewer.write(folder);
         assertEquals(new OperatorOverrides(Set.of("a b\nc\u0905"), false, 1), OperatorOverrides.read(folder));
         try (var files = Files.list(folder)) {
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aDamagedFileGivesWhatCanBeReadOfIt() throws Exception {
+    void validLinesOfADamagedFileAreRead() throws Exception {
         Files.write(folder.resolve("orders"), new byte[] {'o', 'u', 't', ' ', 's', '\n', -1, 0, '\n',
             'o', 'u', 't', ' ', '%', 'z', '\n', 'd', 'r', '\n', 'r', 'e', 'l', 'o', 'a', 'd', 's', ' ', 'x'});
         assertEquals(new OperatorOverrides(Set.of("s", "%z"), false, 0), OperatorOverrides.read(folder));
--- a/src/test/java/cranedeal/node/PublishedConfigTest.java
+++ b/src/test/java/cranedeal/node/PublishedConfigTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aSectionIsInForceUntilItGoesAndAReloadKeepsIt() throws Exception {
+    void aSectionStaysInForceOverReloadsUntilItIsRemoved() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
             assertTrue(shows(fixture, "success.tile-view=0"), fixture.node.stats());
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aKeyThatOnlyASectionHasCanGoAgain() throws Exception {
+    void aKeyOnlyInASectionMayBeRemoved() throws Exception {
         try (NodeFixture fixture = fixture()) {
             ObjectNode more = NodeConfig.JSON.createObjectNode();
             more.putObject("settings").putObject("rules").put("maxShare", 0.5);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aSectionThatIsWrongInAnyPartChangesNothing() throws Exception {
+    void anInvalidSectionChangesNothing() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
             ObjectNode bad = (ObjectNode) section(fixture, "tile-order", "tile-look");
@@ -82,7 +82,8 @@
             ConfigException e = assertThrows(ConfigException.class, () -> fixture.node.applyPublished(bad));
             assertTrue(e.getMessage().contains("settings.limits.attemptsCap"), e.getMessage());
             ObjectNode fewer = (ObjectNode) section(fixture, "tile-order", "tile-look");
-            ((ArrayNode) fewer.at("/settings/services")).forEach(one -> ((ObjectNode) one).remove("worth"));
+            ((ArrayNode) fewer.at("/settings/services")).forEach(
+                    service -> ((ObjectNode) service).remove("worth"));
             e = assertThrows(ConfigException.class, () -> fixture.node.applyPublished(fewer));
             assertTrue(e.getMessage().contains("worth is missing"), e.getMessage());
             ObjectNode zones = NodeConfig.JSON.createObjectNode();
--- a/src/test/java/cranedeal/node/ReconfigureTest.java
+++ b/src/test/java/cranedeal/node/ReconfigureTest.java
@@ -59,7 +59,7 @@
         "\"name\":\"look-up\"|\"name\":\"credit-spend\"",
         "\"zones\":[\"dakar-a\"]|\"zones\":[\"dakar-b\"]",
         "\"settings\"|\"setting\""})
-    void aBadFileChangesNothing(String from, String to) throws Exception {
+    void anInvalidFileChangesNothing(String from, String to) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start(); TestServer moved = new TestServer()) {
             String good = fixture.config().replace(fixture.discovery.address(), moved.address())
                     .replace("\"name\":\"tile-order\"", "\"name\":\"tile-view\"");
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aFileThatIsEmptyOrCutShortChangesNothing() throws Exception {
+    void anEmptyOrTruncatedFileChangesNothing() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             String good = fixture.config();
             int tried = 0;
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void classesComeAndGoAndWhatIsUnderWayEndsByItsOwn() throws Exception {
+    void classesChangeWhileRequestsInProgressKeepTheirOwn() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aStricterEffectAndFewerAttemptsBindWhatComesNext() throws Exception {
+    void stricterIdempotencyAndFewerAttemptsApplyToNewRequests() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.upstreams.get(0).refuseConnections();
             fixture.balancer.sendUntilNotSent(0);
--- a/src/test/java/cranedeal/node/ReloadAndDrainTest.java
+++ b/src/test/java/cranedeal/node/ReloadAndDrainTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aReloadDuringADrainIsObeyedAndTheLastAnswersStillCome() throws Exception {
+    void aReloadDuringADrainIsAppliedAndTheLastAnswersStillArrive() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2); TestServer moved = new TestServer();
                 NodeProcess node = new NodeProcess(fixture, fixture.discovery.address())) {
             HttpPeer caller = HttpPeer.connectWhenServing(node.address, node.process);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aDrainDuringAReloadThatMovesDiscoveryStillHearsOfIt() throws Exception {
+    void aDrainDuringAMoveOfDiscoveryStillGetsTheNewList() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2); TestServer moved = new TestServer();
                 NodeProcess node = new NodeProcess(fixture, fixture.discovery.address())) {
             HttpPeer caller = HttpPeer.connectWhenServing(node.address, node.process);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void signalsInAnyNumberAndOrderEndItInOrder() throws Exception {
+    void repeatedSignalsStillEndTheProcessGracefully() throws Exception {
         try (NodeFixture fixture = new NodeFixture(); TestServer moved = new TestServer();
                 NodeProcess node = new NodeProcess(fixture, fixture.discovery.address())) {
             HttpPeer caller = HttpPeer.connectWhenServing(node.address, node.process);
@@ -105,7 +105,7 @@
 
     /** Discovery accepts calls without answering, refuses connections, or lets connects time out. */
     @Test
-    void itServesByWhatItKnowsThoughDiscoveryNeverAnswers() throws Exception {
+    void itServesKnownUpstreamsIfDiscoveryNeverAnswers() throws Exception {
         try (FullBacklog full = new FullBacklog()) {
             String refusing;
             try (ServerSocket free = new ServerSocket(0)) {
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -47,7 +47,7 @@
         Map<String, String> wrong = Map.of("clinics", "a b", "127.0.0.1:9301", "8.8.8.8:9301",
                 "127.0.0.1:9302", "no address", "\"seeds\"", "\"seedz\"", "}", ",\"state_dir\":\"\"}",
                 "{", "{\"probe_period_ms\":1,");
-        Map<String, String> told = Map.of("clinics", "fleet.name", "127.0.0.1:9301", "fleet.listen",
+        Map<String, String> expectedKey = Map.of("clinics", "fleet.name", "127.0.0.1:9301", "fleet.listen",
                 "127.0.0.1:9302", "fleet.seeds[0]", "\"seeds\"", "fleet.seedz", "}", "fleet.state_dir",
                 "{", "fleet.probe_period_ms");
         Path file = folder.resolve("config.json");
@@ -59,7 +59,8 @@
                         + good.replace(change.getKey(), change.getValue()) + ","));
                 ConfigException e = assertThrows(ConfigException.class,
                         () -> NodeConfig.read(file.toString()));
-                assertTrue(e.getMessage().contains(file + ": " + told.get(change.getKey())), e.getMessage());
+                assertTrue(e.getMessage().contains(file + ": " + expectedKey.get(change.getKey())),
+                        e.getMessage());
             }
         }
     }
@@ -91,24 +92,24 @@
     void overridesOfTheSharedFolderAreMigratedOnce() throws Exception {
         Path old = Files.createDirectory(folder.resolve("tmp"));
         new OperatorOverrides(Set.of(id(1)), false, 3).write(old);
-        OverrideStore book = Fleet.overrideStore(folder.resolve("state"), old);
-        assertEquals(Set.of(id(1)), book.read().disabledUpstreams());
+        OverrideStore store = Fleet.overrideStore(folder.resolve("state"), old);
+        assertEquals(Set.of(id(1)), store.read().disabledUpstreams());
         assertEquals(Set.of(id(0), id(1)),
-                book.change(orders -> orders.withUpstream(id(0), true)).disabledUpstreams());
+                store.change(orders -> orders.withUpstream(id(0), true)).disabledUpstreams());
         new OperatorOverrides(Set.of("another"), false, 9).write(old);
-        assertEquals(Set.of(id(0), id(1)), book.read().disabledUpstreams());
+        assertEquals(Set.of(id(0), id(1)), store.read().disabledUpstreams());
     }
 
     @Test
-    void manyChangesLeaveASmallFolderAndTheLastOfThem() throws Exception {
-        OverrideStore book = Fleet.overrideStore(folder, null);
+    void manyChangesLeaveASmallFolderWithTheLastOne() throws Exception {
+        OverrideStore store = Fleet.overrideStore(folder, null);
         for (int i = 0; i < 1_000; i++) {
             String id = "s-" + i % 7;
             boolean banned = i % 3 != 0;
-            OperatorOverrides changed = book.change(orders -> orders.withUpstream(id, banned).withReload());
+            OperatorOverrides changed = store.change(orders -> orders.withUpstream(id, banned).withReload());
             assertEquals(i + 1, changed.reloads());
         }
-        assertEquals(1_000, book.read().reloads());
+        assertEquals(1_000, store.read().reloads());
         try (var files = Files.list(folder)) {
             assertTrue(files.count() <= 6);
         }
--- a/src/test/java/cranedeal/node/ThreadCost.java
+++ b/src/test/java/cranedeal/node/ThreadCost.java
@@ -64,8 +64,8 @@
             times++;
             spent = THREADS.getCurrentThreadCpuTime() - began;
         } while (spent < nanos);
-        double made = THREADS.getThreadAllocatedBytes(thread) - allocated;
-        return new double[] {spent / NANOS_PER_US / times, made / times};
+        double allocatedBytes = THREADS.getThreadAllocatedBytes(thread) - allocated;
+        return new double[] {spent / NANOS_PER_US / times, allocatedBytes / times};
     }
 
     static List<Point> points(Map<Integer, List<Double>> values) {
--- a/src/test/java/cranedeal/node/UpgradeTest.java
+++ b/src/test/java/cranedeal/node/UpgradeTest.java
@@ -52,24 +52,24 @@
 
     /** Starts a process and returns the address of its admin endpoint once the process is ready. */
     private InetSocketAddress start() throws Exception {
-        InetSocketAddress door = free();
+        InetSocketAddress admin = free();
         Path file = Files.createTempFile(folder, "node", ".json");
         Files.writeString(file, fixture.config()
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + address.getPort() + "\"")
                 .replace("\"admin_addr\":\"127.0.0.1:0\"",
-                        "\"admin_addr\":\"127.0.0.1:" + door.getPort() + "\""));
+                        "\"admin_addr\":\"127.0.0.1:" + admin.getPort() + "\""));
         Process process = DrainTest.start(folder, file, "serve");
         processes.add(process);
-        while (order(door, "GET", "/ops/readiness") != 200) {
+        while (order(admin, "GET", "/ops/readiness") != 200) {
             assertTrue(process.isAlive());
             Thread.onSpinWait();
         }
-        return door;
+        return admin;
     }
 
     /** Makes an operator's call and returns its status; 0 if the connection is refused. */
-    private static int order(InetSocketAddress door, String method, String path) throws IOException {
-        try (HttpPeer operator = HttpPeer.connect(door)) {
+    private static int order(InetSocketAddress admin, String method, String path) throws IOException {
+        try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
         } catch (java.net.ConnectException e) {
@@ -78,8 +78,8 @@
     }
 
     /** The metric of disabled upstreams, as shown by a process. */
-    private static String disabled(InetSocketAddress door) throws IOException {
-        try (HttpPeer operator = HttpPeer.connect(door)) {
+    private static String disabled(InetSocketAddress admin) throws IOException {
+        try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body().lines().filter(line ->
                     line.contains("targets_disabled")).findFirst()
@@ -129,9 +129,9 @@
     void warmStateSurvivesUpgradeAndKillAndADamagedFileIsIgnored() throws Exception {
         fixture.stateDir = folder.resolve("state");
         start();
-        Path learnt = fixture.stateDir.resolve("learnt");
+        Path stateFile = fixture.stateDir.resolve("learnt");
         HttpPeer client = caller();
-        for (int i = 0; !Files.exists(learnt); i++) {
+        for (int i = 0; !Files.exists(stateFile); i++) {
             client.write(NodeFixture.get("r" + i, "20"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
@@ -145,15 +145,15 @@
         start();
         assertTrue(lastRestoredWarmState());
         killLast();
-        byte[] bytes = Files.readAllBytes(learnt);
+        byte[] bytes = Files.readAllBytes(stateFile);
         bytes[bytes.length / 2] ^= 1;
-        Files.write(learnt, bytes);
+        Files.write(stateFile, bytes);
         start();
         assertFalse(lastRestoredWarmState());
     }
 
     @Test
-    void anyThreadMayAskForASuccessor() throws Exception {
+    void anyThreadMayCheckForASuccessor() throws Exception {
         ProcessHandover processes = ProcessHandover.join(folder);
         List<CompletableFuture<Boolean>> asked = new ArrayList<>();
         for (int thread = 0; thread < 4; thread++) {
@@ -248,15 +248,15 @@
         assertTrue(processes.get(0).waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    private static String stats(InetSocketAddress door) throws IOException {
-        try (HttpPeer operator = HttpPeer.connect(door)) {
+    private static String stats(InetSocketAddress admin) throws IOException {
+        try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body();
         }
     }
 
-    private static boolean hasDisabledUpstream(InetSocketAddress door) throws IOException {
-        return stats(door).contains("edge_proxy.targets_disabled=1\n");
+    private static boolean hasDisabledUpstream(InetSocketAddress admin) throws IOException {
+        return stats(admin).contains("edge_proxy.targets_disabled=1\n");
     }
 
     @Test
--- a/src/test/java/cranedeal/node/WholeListTest.java
+++ b/src/test/java/cranedeal/node/WholeListTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aConnectionToItThatComesUpLaterCarriesNothing() throws Exception {
+    void aLaterConnectionToARemovedUpstreamCarriesNothing() throws Exception {
         try (NodeFixture fixture = watching(1); FullBacklog full = new FullBacklog()) {
             // The connect timeout is longer than the test, so that only the list can prevent the request.
             String kept = NodeFixture.listEntry(1, fixture.upstreams.get(0).address(), "up");
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aKeptConnectionToItIsClosedAndCarriesNothing() throws Exception {
+    void aKeptConnectionToARemovedUpstreamIsClosed() throws Exception {
         try (NodeFixture fixture = watching(2)) {
             HttpPeer watch = fixture.sendList(entry(fixture, 0), entry(fixture, 1));
             fixture.balancer.onRequest = request -> fixture.balancer.sendTo(1, request, 0);
@@ -116,7 +116,7 @@
         "HTTP/1.1 200 OK\r\ntransfer-encoding:Chunked\r\n\r\nCHUNKS000;last\r\nX-After: 1\r\n\r\n",
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nLISTEND",
         "HTTP/1.0 200 OK\r\n\r\nLISTEND"})
-    void aListMeansTheSameInEveryForm(String form) throws Exception {
+    void aListIsAcceptedInEveryHttpFraming(String form) throws Exception {
         for (long seed = 0; seed < 4; seed++) {
             Random random = new Random(seed);
             try (NodeFixture fixture = watching(2)) {
--- a/src/test/java/cranedeal/node/discovery/DiscoveryMetricsTest.java
+++ b/src/test/java/cranedeal/node/discovery/DiscoveryMetricsTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aListThatNobodyConfirmsIsShownAsStale() {
+    void anUnconfirmedListIsShownAsStale() {
         now += 6_000;
         assertEquals(0, metric("list_stale"));
         now += 1;
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void eachCallLeavesALineUntilThereAreTooMany() {
+    void callsAreLoggedUpToALimit() {
         for (int i = 0; i < 100; i++) {
             metrics.callStarted();
             metrics.callEnded(new CallRecord(i, 41, 250, 0, 1_750.4, CallEnd.TIMED_OUT));
--- a/src/test/java/cranedeal/node/discovery/StartTimesTest.java
+++ b/src/test/java/cranedeal/node/discovery/StartTimesTest.java
@@ -11,14 +11,14 @@
     private static final double HOUR = 3_600_000;
 
     @Test
-    void withoutAStepItIsWhatDiscoveryTells() {
+    void withoutAClockStepTheListedTimeIsUsed() {
         StartTimes starts = new StartTimes();
         assertEquals(NOW - 3_000, starts.toNodeClock(1, NOW - 3_000, NOW, NOW + 4));
         assertEquals(0, starts.toNodeClock(2, 0, NOW, NOW));
     }
 
     @Test
-    void afterAStepItIsTheAgeThatCounts() {
+    void afterAClockStepTheAgeIsUsed() {
         for (double step : new double[] {HOUR, -HOUR, 5_000, -5_000}) {
             StartTimes starts = new StartTimes();
             assertEquals(NOW - 3_000, starts.toNodeClock(1, NOW + step - 3_000, NOW, NOW + step));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatWasToldBeforeAStepStaysAsItWas() {
+    void aTimeListedBeforeAClockStepIsKept() {
         StartTimes starts = new StartTimes();
         double listed = NOW - 3_000;
         assertEquals(listed, starts.toNodeClock(1, listed, NOW, NOW));
--- a/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
+++ b/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
@@ -24,20 +24,20 @@
     /**
      * How fast discovery answers.
      *
-     * @param inTurn whether it serves calls one at a time, including cancelled ones, each in
+     * @param serial whether it serves calls one at a time, including cancelled ones, each in
      *     {@code answerMs}; otherwise calls are served at once and each answer is delayed by {@code answerMs}
      */
-    record Pace(boolean inTurn, double answerMs) { }
+    record Speed(boolean serial, double answerMs) { }
 
-    private record Event(double at, long order, Runnable what) { }
+    private record Event(double at, long order, Runnable action) { }
 
-    private record Waiting(Watcher watcher, long id, long index, Outcome fate) { }
+    private record PendingCall(Watcher watcher, long id, long index, Outcome outcome) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Pace pace;
-    private final DoubleFunction<Outcome> fates;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final Speed speed;
+    private final DoubleFunction<Outcome> outcomes;
+    private final List<PendingCall> pendingCalls = new ArrayList<>();
     /** When each version was created. */
     private final Map<Long, Double> changes = new HashMap<>();
     final List<Watcher> watchers = new ArrayList<>();
@@ -50,9 +50,9 @@
     long calls;
 
     /** Creates a discovery; {@code fates} returns what happens to a call sent at a given time. */
-    VirtualDiscovery(Pace pace, DoubleFunction<Outcome> fates) {
-        this.pace = pace;
-        this.fates = fates;
+    VirtualDiscovery(Speed pace, DoubleFunction<Outcome> fates) {
+        this.speed = pace;
+        this.outcomes = fates;
         changes.put(version, Double.NEGATIVE_INFINITY);
     }
 
@@ -69,7 +69,7 @@
         return changes.get(which);
     }
 
-    void at(double time, Runnable what) {
+    void schedule(double time, Runnable what) {
         events.add(new Event(time, order++, what));
     }
 
@@ -79,14 +79,14 @@
             Watcher watcher = new Watcher(seeds.applyAsLong(i));
             watchers.add(watcher);
             watcher.startedAt = within * i / count;
-            at(watcher.startedAt, () -> watcher.schedule.watch(now, true));
+            schedule(watcher.startedAt, () -> watcher.schedule.watch(now, true));
         }
     }
 
     void run(double until) {
         for (Event event = events.poll(); event != null && event.at() <= until; event = events.poll()) {
             now = event.at();
-            event.what().run();
+            event.action().run();
         }
         now = until;
     }
@@ -95,36 +95,37 @@
     void change() {
         version++;
         changes.put(version, now);
-        List<Waiting> all = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingCall> all = List.copyOf(pendingCalls);
+        pendingCalls.clear();
         all.forEach(this::answer);
     }
 
-    private void serve(Waiting call, int waitMs) {
+    private void serve(PendingCall call, int waitMs) {
         if (version > call.index()) {
             answer(call);
             return;
         }
-        waiting.add(call);
-        at(now + waitMs, () -> {
-            if (waiting.remove(call)) {
+        pendingCalls.add(call);
+        schedule(now + waitMs, () -> {
+            if (pendingCalls.remove(call)) {
                 answer(call);
             }
         });
     }
 
     /** Creates the answer from the current list; it arrives after the delay of the pace. */
-    private void answer(Waiting call) {
-        long told = version;
-        at(now + (pace.inTurn() ? 0 : pace.answerMs()), () -> {
+    private void answer(PendingCall call) {
+        long answeredVersion = version;
+        schedule(now + (speed.serial() ? 0 : speed.answerMs()), () -> {
             Watcher watcher = call.watcher();
-            switch (call.fate()) {
-                case ANSWERED -> watcher.answered(call, told);
-                case HELD -> at(Math.max(now, heldUntil), () -> watcher.answered(call, told));
-                case HALF -> watcher.begun(call.id());
+            switch (call.outcome()) {
+                case ANSWERED -> watcher.answered(call, answeredVersion);
+                case HELD -> schedule(Math.max(now, heldUntil),
+                        () -> watcher.answered(call, answeredVersion));
+                case HALF -> watcher.answerStarted(call.id());
                 case CUT -> {
-                    watcher.begun(call.id());
-                    at(now + 100, () -> watcher.failed(call.id()));
+                    watcher.answerStarted(call.id());
+                    schedule(now + 100, () -> watcher.failed(call.id()));
                 }
                 default -> { }
             }
@@ -151,17 +152,17 @@
         @Override
         public void call(long id, long index, int waitMs) {
             calls++;
-            Outcome fate = fates.apply(now);
+            Outcome fate = outcomes.apply(now);
             open.put(id, fate);
             maxInFlight = Math.max(maxInFlight, open.size());
             switch (fate) {
-                case REFUSED -> at(now + 1, () -> failed(id));
-                case NOT_CONNECTED -> at(now + CONNECT_TIMEOUT_MS, () -> failed(id));
-                case RESET -> at(now + waitMs / 2.0, () -> failed(id));
+                case REFUSED -> schedule(now + 1, () -> failed(id));
+                case NOT_CONNECTED -> schedule(now + CONNECT_TIMEOUT_MS, () -> failed(id));
+                case RESET -> schedule(now + waitMs / 2.0, () -> failed(id));
                 default -> {
-                    Waiting call = new Waiting(this, id, index, fate);
-                    busyUntil = Math.max(busyUntil, now) + (pace.inTurn() ? pace.answerMs() : 0);
-                    at(pace.inTurn() ? busyUntil : now, () -> serve(call, waitMs));
+                    PendingCall call = new PendingCall(this, id, index, fate);
+                    busyUntil = Math.max(busyUntil, now) + (speed.serial() ? speed.answerMs() : 0);
+                    schedule(speed.serial() ? busyUntil : now, () -> serve(call, waitMs));
                 }
             }
         }
@@ -175,7 +176,7 @@
         public void wakeAt(double at) {
             wakeAt = at;
             if (at < Double.POSITIVE_INFINITY) {
-                at(Math.max(now, at), () -> {
+                schedule(Math.max(now, at), () -> {
                     if (wakeAt == at) {
                         schedule.timer(now);
                     }
@@ -189,24 +190,24 @@
             }
         }
 
-        private void begun(long id) {
+        private void answerStarted(long id) {
             if (open.containsKey(id)) {
                 schedule.answerStarted(now, id);
             }
         }
 
-        private void answered(Waiting call, long told) {
+        private void answered(PendingCall call, long answeredVersion) {
             if (open.remove(call.id()) == null) {
                 return;
             }
             answeredAt.add(now);
-            boolean taken = schedule.accepts(call.id(), told, false);
+            boolean accepted = schedule.accepts(call.id(), answeredVersion, false);
             long before = schedule.version();
-            for (long each = before + 1; taken && each <= told; each++) {
+            for (long each = before + 1; accepted && each <= answeredVersion; each++) {
                 inForce.put(each, now);
             }
-            if (taken) {
-                schedule.answered(now, call.id(), told, told > call.index());
+            if (accepted) {
+                schedule.answered(now, call.id(), answeredVersion, answeredVersion > call.index());
             } else {
                 schedule.outdated(now, call.id());
             }
--- a/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
+++ b/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.node.discovery.VirtualDiscovery.Outcome;
-import cranedeal.node.discovery.VirtualDiscovery.Pace;
+import cranedeal.node.discovery.VirtualDiscovery.Speed;
 import cranedeal.node.discovery.VirtualDiscovery.Watcher;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,29 +24,30 @@
     private static final double MAX_UPDATE_DELAY_MS = 6_000;
     private static final int SEEDS = Integer.getInteger("seeds", 300);
 
-    private static void assertInForce(VirtualDiscovery discovery, double from, double limitMs, String shown) {
+    private static void assertInForce(VirtualDiscovery discovery, double from, double limitMs,
+            String context) {
         for (Watcher watcher : discovery.watchers) {
             for (long version = 42; version <= discovery.version(); version++) {
                 double changedAt = discovery.changedAt(version);
                 double latest = Math.max(Math.max(from, changedAt), watcher.startedAt) + limitMs;
                 double at = watcher.inForce.getOrDefault(version, Double.POSITIVE_INFINITY);
-                assertTrue(at <= latest || discovery.now() < latest, shown + ": version " + version + " of "
+                assertTrue(at <= latest || discovery.now() < latest, context + ": version " + version + " of "
                         + changedAt + " in force at " + at + ", process from " + watcher.startedAt);
             }
-            assertTrue(watcher.maxInFlight <= WatchSchedule.MAX_CONCURRENT_CALLS, shown);
+            assertTrue(watcher.maxInFlight <= WatchSchedule.MAX_CONCURRENT_CALLS, context);
         }
     }
 
     /** A period of faults, and the outcomes of calls in it. */
-    private record Trouble(double from, double until, List<Outcome> fates) {
+    private record FaultPeriod(double from, double until, List<Outcome> outcomes) {
 
-        static Trouble draw(double after, SplittableRandom random) {
+        static FaultPeriod draw(double after, SplittableRandom random) {
             double from = after + random.nextDouble(10_000);
             List<Outcome> fates = new ArrayList<>();
             for (int i = random.nextInt(1, 4); i > 0; i--) {
                 fates.add(Outcome.values()[random.nextInt(Outcome.values().length)]);
             }
-            return new Trouble(from, from + random.nextDouble(40_000), fates);
+            return new FaultPeriod(from, from + random.nextDouble(40_000), fates);
         }
 
         boolean isAt(double time) {
@@ -59,17 +60,19 @@
     void eachProcessHasTheListInTimeOnceDiscoveryCanBeHeard() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Trouble first = Trouble.draw(0, random);
-            Trouble second = Trouble.draw(first.until(), random);
-            VirtualDiscovery discovery = new VirtualDiscovery(new Pace(false, random.nextDouble(200)), at -> {
-                Trouble now = first.isAt(at) ? first : second;
-                return now.isAt(at) ? now.fates().get(random.nextInt(now.fates().size())) : Outcome.ANSWERED;
+            FaultPeriod first = FaultPeriod.draw(0, random);
+            FaultPeriod second = FaultPeriod.draw(first.until(), random);
+            VirtualDiscovery discovery = new VirtualDiscovery(new Speed(false, random.nextDouble(200)),
+                    at -> {
+                FaultPeriod now = first.isAt(at) ? first : second;
+                return now.isAt(at) ? now.outcomes().get(random.nextInt(now.outcomes().size()))
+                        : Outcome.ANSWERED;
             });
             discovery.heldUntil = first.until();
-            discovery.at(first.until(), () -> discovery.heldUntil = second.until());
+            discovery.schedule(first.until(), () -> discovery.heldUntil = second.until());
             discovery.start(random.nextInt(1, 31), 3_000, i -> random.nextLong());
             for (int i = random.nextInt(1, 10); i > 0; i--) {
-                discovery.at(random.nextDouble(second.until() + 10_000), discovery::change);
+                discovery.schedule(random.nextDouble(second.until() + 10_000), discovery::change);
             }
             discovery.run(second.until() + 40_000);
             assertInForce(discovery, second.until(), MAX_UPDATE_DELAY_MS,
@@ -78,14 +81,14 @@
     }
 
     /** Runs with changes from {@code changesFrom} on, at least {@code apart} ms after one another. */
-    private static VirtualDiscovery run(Pace pace, int processes, double startWithin, double changesFrom,
+    private static VirtualDiscovery run(Speed pace, int processes, double startWithin, double changesFrom,
             double apart, SplittableRandom random) {
         VirtualDiscovery discovery = new VirtualDiscovery(pace, at -> Outcome.ANSWERED);
         discovery.start(processes, startWithin, i -> random.nextLong());
         double at = changesFrom;
         for (int i = random.nextInt(1, 10); i > 0; i--) {
             at += apart + random.nextDouble(10_000);
-            discovery.at(at, discovery::change);
+            discovery.schedule(at, discovery::change);
         }
         discovery.run(at + 30_000);
         return discovery;
@@ -94,7 +97,7 @@
     private static void assertInForceThoughLate(double answerS, double apartS) {
         for (long seed = 1; seed <= SEEDS / 4; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            VirtualDiscovery discovery = run(new Pace(false, answerS * 1_000), random.nextInt(1, 31), 3_000,
+            VirtualDiscovery discovery = run(new Speed(false, answerS * 1_000), random.nextInt(1, 31), 3_000,
                     30_000, apartS * 1_000, random);
             assertInForce(discovery, 0, MAX_UPDATE_DELAY_MS, "answers of " + answerS + " s, seed " + seed);
         }
@@ -103,7 +106,7 @@
     /** There are no other faults, and the schedule has seen the answer time before the change. */
     @ParameterizedTest
     @CsvSource({"0.1,0", "0.5,0", "1,0", "1.7,0", "2.2,0", "3,0", "4,12", "5,12"})
-    void aListIsInForceInTimeThoughEachAnswerIsLate(double answerS, double apartS) {
+    void aListIsInForceInTimeIfEachAnswerIsLate(double answerS, double apartS) {
         assertInForceThoughLate(answerS, apartS);
     }
 
@@ -113,9 +116,9 @@
         assertInForceThoughLate(answerS, 0);
     }
 
-    private static void assertHeardInTurn(int processes, double callS) {
+    private static void assertUpdatedBySerialDiscovery(int processes, double callS) {
         for (long seed = 1; seed <= SEEDS / 4; seed++) {
-            VirtualDiscovery discovery = run(new Pace(true, callS * 1_000), processes,
+            VirtualDiscovery discovery = run(new Speed(true, callS * 1_000), processes,
                     seed % 2 == 0 ? 1 : 3_000, 0, 0, new SplittableRandom(seed));
             assertInForce(discovery, 0, MAX_UPDATE_DELAY_MS,
                     processes + " processes, " + callS + " s, seed " + seed);
@@ -125,15 +128,15 @@
     /** From the start on; serving one call of every process takes up to 3.6 s. */
     @ParameterizedTest
     @CsvSource({"1,0.1", "1,3", "4,0.6", "4,0.9", "10,0.36", "30,0.01", "30,0.12"})
-    void aDiscoveryThatWorksInTurnIsHeardInTimeByAll(int processes, double callS) {
-        assertHeardInTurn(processes, callS);
+    void aSerialDiscoveryUpdatesAllInTime(int processes, double callS) {
+        assertUpdatedBySerialDiscovery(processes, callS);
     }
 
     /** Serving one call of every process takes nearly as long as a change may take to be in force. */
     @ParameterizedTest
     @CsvSource({"1,5", "4,1.4", "10,0.5", "30,0.18"})
     void aDiscoveryThatHardlyKeepsUpIsHeardInTimeByAll(int processes, double callS) {
-        assertHeardInTurn(processes, callS);
+        assertUpdatedBySerialDiscovery(processes, callS);
     }
 
     /**
@@ -141,16 +144,16 @@
      */
     @ParameterizedTest
     @CsvSource({"8,2", "30,0.5", "30,1", "30,5"})
-    void noProcessStarvesBeforeADiscoveryThatIsMuchTooSlow(int processes, double callS) {
+    void noProcessStarvesIfDiscoveryIsMuchTooSlow(int processes, double callS) {
         double roundMs = processes * callS * 1_000;
         int rounds = 400;
         for (long seed = 1; seed <= SEEDS / 30; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            VirtualDiscovery discovery = new VirtualDiscovery(new Pace(true, callS * 1_000),
+            VirtualDiscovery discovery = new VirtualDiscovery(new Speed(true, callS * 1_000),
                     at -> Outcome.ANSWERED);
             discovery.start(processes, 1, i -> random.nextLong());
             for (int i = 1; i < rounds; i++) {
-                discovery.at(i * roundMs, discovery::change);
+                discovery.schedule(i * roundMs, discovery::change);
             }
             discovery.run(rounds * roundMs);
             double steadyFrom = rounds * roundMs / 2;
@@ -171,10 +174,10 @@
 
     @ParameterizedTest
     @CsvSource({"false,1", "false,2.2", "false,3", "false,5", "true,0.9", "true,2"})
-    void aSlowDiscoveryGetsNoMoreCallsThanAQuickOne(boolean inTurn, double answerS) {
+    void aSlowDiscoveryGetsNoMoreCallsThanAFastOne(boolean inTurn, double answerS) {
         long[] calls = new long[2];
         for (int i = 0; i < 2; i++) {
-            VirtualDiscovery discovery = new VirtualDiscovery(new Pace(inTurn, i * answerS * 1_000),
+            VirtualDiscovery discovery = new VirtualDiscovery(new Speed(inTurn, i * answerS * 1_000),
                     at -> Outcome.ANSWERED);
             discovery.start(4, 1_000, seed -> seed);
             discovery.run(300_000);
@@ -186,11 +189,11 @@
     /** Discovery is not overloaded by processes that got no answer for long. */
     @ParameterizedTest
     @CsvSource({"SILENT,1", "HALF,1", "REFUSED,5", "CUT,5", "NOT_CONNECTED,2"})
-    void aSilentDiscoveryIsCalledNoMoreOftenThanAQuickOneAndABrokenOneNotMuch(Outcome fate, int times) {
+    void aFaultyDiscoveryIsNotOverloadedWithCalls(Outcome fate, int times) {
         long[] calls = new long[2];
         for (int i = 0; i < 2; i++) {
             Outcome all = i == 0 ? Outcome.ANSWERED : fate;
-            VirtualDiscovery discovery = new VirtualDiscovery(new Pace(false, 0), at -> all);
+            VirtualDiscovery discovery = new VirtualDiscovery(new Speed(false, 0), at -> all);
             discovery.start(4, 1_000, seed -> seed);
             discovery.run(300_000);
             calls[i] = discovery.calls;
@@ -210,7 +213,7 @@
 
         @Override
         public void cancel(long id, CallEnd why) {
-            actions.add("giveUp " + id + " " + why);
+            actions.add("cancel " + id + " " + why);
         }
 
         @Override
@@ -223,7 +226,7 @@
     private final WatchSchedule schedule = new WatchSchedule(recorder, 2_500, 41, 1);
 
     @Test
-    void aCallIsKeptWhileAnotherGoesOutAndItsLateAnswerCounts() {
+    void aCallIsKeptBesideAnExtraCallAndItsLateAnswerIsAccepted() {
         schedule.watch(0, true);
         schedule.timer(4_500);
         assertEquals(List.of("call 1 41 2500", "call 2 41 250"), recorder.actions);
@@ -234,7 +237,7 @@
     }
 
     @Test
-    void anOlderListNeverTakesThePlaceOfANewerOne() {
+    void anOlderListNeverReplacesANewerOne() {
         schedule.watch(0, true);
         schedule.timer(4_500);
         schedule.answered(4_600, 1, 50, true);
@@ -244,7 +247,7 @@
     }
 
     @Test
-    void aDiscoveryThatHasBegunAnewWithLowerVersionsIsAskedForAllAndBelieved() {
+    void aRestartedDiscoveryWithLowerVersionsIsAskedForTheWholeList() {
         schedule.watch(0, true);
         schedule.answered(100, 1, 50, true);
         assertTrue(schedule.accepts(2, 3, true));
@@ -258,7 +261,7 @@
     }
 
     @Test
-    void aDiscoveryThatAnswersWithoutWaitingForNewsIsNotCalledWithoutEnd() {
+    void aDiscoveryThatDoesNotWaitForChangesIsNotCalledInATightLoop() {
         schedule.watch(0, true);
         schedule.answered(1, 1, 41, false);
         assertEquals(1, recorder.actions.size());
@@ -271,12 +274,12 @@
         schedule.watch(0, true);
         schedule.timer(4_500);
         schedule.answered(4_600, 2, 50, true);
-        assertEquals(List.of("call 1 41 2500", "call 2 41 250", "giveUp 1 SUPERSEDED", "call 3 50 2500"),
+        assertEquals(List.of("call 1 41 2500", "call 2 41 250", "cancel 1 SUPERSEDED", "call 3 50 2500"),
                 recorder.actions);
     }
 
     @Test
-    void theFirstRetryComesSoonAndLaterOnesBackOff() {
+    void retriesBackOff() {
         schedule.watch(0, true);
         double now = 0;
         for (int i = 1; i <= 8; i++) {
@@ -291,14 +294,14 @@
     }
 
     @Test
-    void anotherAddressIsCalledAtOnceAndTheOldCallsAreGivenUp() {
+    void aNewAddressIsCalledAtOnceAndOldCallsAreCancelled() {
         schedule.watch(0, true);
         schedule.failed(1, 1);
         schedule.addressChanged(2);
         assertEquals("call 2 41 2500", recorder.actions.get(1));
         schedule.addressChanged(3);
-        assertEquals(List.of("giveUp 2 STOPPED", "call 3 41 2500"), recorder.actions.subList(2, 4));
+        assertEquals(List.of("cancel 2 STOPPED", "call 3 41 2500"), recorder.actions.subList(2, 4));
         schedule.watch(4, false);
-        assertEquals("giveUp 3 STOPPED", recorder.actions.get(4));
+        assertEquals("cancel 3 STOPPED", recorder.actions.get(4));
     }
 }
