--- a/src/main/java/cranedeal/node/FleetConfig.java
+++ b/src/main/java/cranedeal/node/FleetConfig.java
@@ -13,7 +13,7 @@
  *
  * @param name the name of the fleet
  * @param listen the address that receives datagrams and calls of other members
- * @param advertise the address that other members are told to use
+ * @param advertise the address announced to other members
  * @param seeds addresses of members to contact first
  * @param stateDir the folder in which known members are saved; null if they are not
  * @param periodMs the interval between probes of other members
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -613,7 +613,7 @@
         metrics.registerClasses(changed.classes());
         upstreams.settingsChanged(changed.settings());
         frontend.settingsChanged(changed);
-        // Before the module is told, since it may start its own watch.
+        // Before the module is notified, since it may start its own watch.
         discovery.setPushed(!changed.settings().subscribe());
         tell(null, () -> balancer.settingsChanged(clock.now(), changed.settings()));
         discovery.moveTo(changed.discovery());
--- a/src/main/java/cranedeal/node/NodeConfig.java
+++ b/src/main/java/cranedeal/node/NodeConfig.java
@@ -140,12 +140,12 @@
         flatten("", section, lines);
         Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
         List<String> zones = names(section.path("zones"));
-        List<String> kinds = names(section.path("machineTypes"));
+        List<String> machineTypes = names(section.path("machineTypes"));
         return new NodeConfig(path, root.path("name").asText("balancer"), address(root, "listen"),
                 admin(root), address(root, "discovery"), seed(root.path("seed").asText("")),
-                root.path("limits").path("sockets").asInt(1_024), settings, zones, kinds,
+                root.path("limits").path("sockets").asInt(1_024), settings, zones, machineTypes,
                 classes, names(section.path("tenants")), keys,
-                UpstreamList.parse(root.path("known"), zones, kinds), folder(root, "state_dir"),
+                UpstreamList.parse(root.path("known"), zones, machineTypes), folder(root, "state_dir"),
                 FleetConfig.parse(root));
     }
 
@@ -168,7 +168,7 @@
             byEffect.computeIfAbsent(service.path("idempotency").asText(), effect -> new HashSet<>(classKeys))
                     .retainAll(classKeys);
         }
-        byEffect.forEach((effect, own) -> own.forEach(
+        byEffect.forEach((effect, classKeys) -> classKeys.forEach(
                 key -> keys.add(CLASS_KEY_PREFIX + effect + "." + key)));
         return Set.copyOf(keys);
     }
@@ -192,10 +192,10 @@
 
     /** The environment variable, which is set for this process alone, overrides the file. */
     private static InetSocketAddress admin(JsonNode root) {
-        String given = System.getenv("PROXY_ADMIN_ADDR");
-        if (given != null && !given.isEmpty()) {
+        String address = System.getenv("PROXY_ADMIN_ADDR");
+        if (address != null && !address.isEmpty()) {
             try {
-                return UpstreamList.address(given);
+                return UpstreamList.address(address);
             } catch (IllegalArgumentException e) {
                 throw new IllegalArgumentException("PROXY_ADMIN_ADDR: " + e.getMessage(), e);
             }
@@ -205,14 +205,14 @@
 
     /** The folder that a key names; null if the key is absent. */
     static Path folder(JsonNode object, String key) {
-        JsonNode given = object.path(key);
-        if (given.isMissingNode()) {
+        JsonNode value = object.path(key);
+        if (value.isMissingNode()) {
             return null;
         }
-        if (!given.isTextual() || given.textValue().isBlank()) {
+        if (!value.isTextual() || value.textValue().isBlank()) {
             throw new IllegalArgumentException(key + " must name a folder");
         }
-        return Path.of(given.textValue());
+        return Path.of(value.textValue());
     }
 
     private static long seed(String text) {
--- a/src/main/java/cranedeal/node/discovery/DiscoveryCall.java
+++ b/src/main/java/cranedeal/node/discovery/DiscoveryCall.java
@@ -71,11 +71,11 @@
 
     /** Sends the request once a connection is established. */
     void start(ChannelFuture connecting, String host) {
-        connecting.addListener((ChannelFuture up) -> {
+        connecting.addListener((ChannelFuture connected) -> {
             if (done) {
-                up.channel().close();
-            } else if (up.isSuccess()) {
-                start(up.channel(), host);
+                connected.channel().close();
+            } else if (connected.isSuccess()) {
+                start(connected.channel(), host);
             } else {
                 fail(CallEnd.NOT_CONNECTED);
             }
--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -145,8 +145,9 @@
                 for (int size : ListBenchmark.SIZES) {
                     futures.put(size, threads.submit(() -> run(size)));
                 }
-                for (Map.Entry<Integer, Future<RunResult>> one : futures.entrySet()) {
-                    runs.computeIfAbsent(one.getKey(), absent -> new ArrayList<>()).add(one.getValue().get());
+                for (Map.Entry<Integer, Future<RunResult>> entry : futures.entrySet()) {
+                    runs.computeIfAbsent(entry.getKey(), absent -> new ArrayList<>())
+                            .add(entry.getValue().get());
                 }
             }
         } finally {
@@ -183,9 +184,9 @@
     }
 
     private static void add(SlopeReport report, String name, String unit, Map<Integer, List<RunResult>> runs,
-            Measure figure) {
-        report.add(name, unit, Basis.MEASURED, runs.entrySet().stream().map(one -> new Point(one.getKey(),
-                one.getValue().stream().map(seen -> figure.of(one.getKey(), seen)).toList())).toList());
+            Measure measure) {
+        report.add(name, unit, Basis.MEASURED, runs.entrySet().stream().map(entry -> new Point(entry.getKey(),
+                entry.getValue().stream().map(seen -> measure.of(entry.getKey(), seen)).toList())).toList());
     }
 
     private RunResult run(int size) throws Exception {
--- a/src/test/java/cranedeal/node/DiscoveryReturnTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryReturnTest.java
@@ -35,11 +35,11 @@
     /** What happens to a call while discovery is down. */
     private enum Outage { REFUSED, REFUSED_LATE, RESET, NO_CONNECTION, SILENT, CROWD }
 
-    private record Event(double at, long order, Runnable action) { }
+    private record Event(double at, long sequence, Runnable action) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private long order;
+            Comparator.comparingDouble(Event::at).thenComparingLong(Event::sequence));
+    private long nextSequence;
     private double now;
     private Outage outage;
     private double busyUntil;
@@ -47,8 +47,8 @@
     private final TreeMap<Integer, Integer> calls = new TreeMap<>();
     private int rejected;
 
-    private void schedule(double time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    private void schedule(double time, Runnable action) {
+        events.add(new Event(time, nextSequence++, action));
     }
 
     /** A balancer's watch. */
@@ -58,7 +58,7 @@
         private final Set<Long> open = new HashSet<>();
         private double updatedAt = Double.NaN;
         /** Its calls refused by the overloaded discovery since its return, without the one in flight then. */
-        private int crowdedOut;
+        private int refusals;
         private double wakeAt;
 
         Watcher(long seed) {
@@ -99,8 +99,8 @@
             boolean down = now >= DOWN_FROM_MS && now < BACK_AT_MS;
             if (down && outage == Outage.NO_CONNECTION) {
                 failLater(now + CONNECT_TIMEOUT_MS, id);
-            } else if (outage == Outage.CROWD && now >= BACK_AT_MS && crowdedOut < 1) {
-                crowdedOut++;
+            } else if (outage == Outage.CROWD && now >= BACK_AT_MS && refusals < 1) {
+                refusals++;
                 failLater(now + MAX_QUEUE_MS, id);
             } else if (down && outage != Outage.SILENT) {
                 boolean late = outage == Outage.REFUSED_LATE || outage == Outage.CROWD;
--- a/src/test/java/cranedeal/node/DiscoveryTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryTest.java
@@ -186,7 +186,7 @@
     }
 
     private interface WatchTest {
-        void run(HttpPeer silent, LinkedBlockingQueue<String> told) throws Exception;
+        void run(HttpPeer silent, LinkedBlockingQueue<String> events) throws Exception;
     }
 
     /** Runs a test with a watch that waits for 100 ms at most and whose first call gets no answer. */
@@ -195,7 +195,7 @@
         Path file = Files.createTempFile("node", ".json");
         try (fixture) {
             Files.writeString(file, fixture.config());
-            LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+            LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
             NodeConfig config = NodeConfig.read(file.toString());
             DiscoveryClient discovery = new DiscoveryClient(loop, new Clock()::now,
                     new DiscoveryClient.Options(
@@ -203,18 +203,18 @@
                     ByteBufAllocator.DEFAULT, new DiscoveryClient.Listener() {
                         @Override
                         public void changed(UpstreamList list) {
-                            told.add("version " + list.version());
+                            events.add("version " + list.version());
                         }
 
                         @Override
                         public void callFailed(CallEnd how) {
-                            told.add(how.name());
+                            events.add(how.name());
                         }
                     });
             loop.execute(() -> discovery.watch(true));
             HttpPeer watch = fixture.discovery.accept();
             assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", watch.read().firstLine());
-            test.run(watch, told);
+            test.run(watch, events);
         } finally {
             Files.delete(file);
             loop.parent().shutdownGracefully();
@@ -229,47 +229,47 @@
 
     @Test
     void anExtraCallIsSentBesideASilentWatchAndItsAnswerEndsTheFirst() throws Exception {
-        withSilentWatch((silent, told) -> {
+        withSilentWatch((silent, events) -> {
             // The client sends it by itself; a request by the module might come too late.
-            HttpPeer anew = furtherCall();
-            assertTrue(told.isEmpty());
-            anew.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
-            assertEquals("version 45", ScriptedBalancer.next(told));
+            HttpPeer extra = furtherCall();
+            assertTrue(events.isEmpty());
+            extra.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
+            assertEquals("version 45", ScriptedBalancer.next(events));
             assertTrue(silent.awaitClose());
-            assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", anew.read().firstLine());
+            assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", extra.read().firstLine());
         });
     }
 
     @Test
     void aCallIsKeptBesideAnExtraCallAndItsLateAnswerIsAccepted() throws Exception {
-        withSilentWatch((silent, told) -> {
+        withSilentWatch((silent, events) -> {
             HttpPeer second = furtherCall();
             silent.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
-            assertEquals("version 45", ScriptedBalancer.next(told));
+            assertEquals("version 45", ScriptedBalancer.next(events));
             // An older list must not replace a newer one, but it still ends its call.
             second.write(NodeFixture.ok(NodeFixture.listJson(44, false)));
             assertEquals("GET /catalog/members?index=45&wait=100 HTTP/1.1", second.read().firstLine());
-            assertTrue(told.isEmpty());
+            assertTrue(events.isEmpty());
         });
     }
 
     @Test
     void ifAllCallsAreSilentTheOldestIsKeptAndAnotherIsCancelled() throws Exception {
-        withSilentWatch((silent, told) -> {
+        withSilentWatch((silent, events) -> {
             HttpPeer second = furtherCall();
             furtherCall();
             furtherCall();
             assertTrue(second.awaitClose());
-            assertEquals("TIMED_OUT", ScriptedBalancer.next(told));
+            assertEquals("TIMED_OUT", ScriptedBalancer.next(events));
             silent.write(NodeFixture.ok(NodeFixture.listJson(45, false)));
-            assertEquals("version 45", ScriptedBalancer.next(told));
+            assertEquals("version 45", ScriptedBalancer.next(events));
         });
     }
 
     /** Three such lists at once take most of the direct memory of a balancer in production. */
     @Test
     void aLongIndentedListIsAcceptedBesideTwoUnfinishedOnes() throws Exception {
-        withSilentWatch((silent, told) -> {
+        withSilentWatch((silent, events) -> {
             String[] entries = new String[3_200];
             for (int i = 0; i < entries.length; i++) {
                 entries[i] = NodeFixture.listEntry(i, "127.0.0.1:" + (1 + i), "up").replace(",",
@@ -281,7 +281,7 @@
             second.write(answer.substring(0, answer.length() - 1));
             HttpPeer third = furtherCall();
             third.write(answer);
-            assertEquals("version 45", ScriptedBalancer.next(told));
+            assertEquals("version 45", ScriptedBalancer.next(events));
             assertTrue(second.awaitClose());
         });
     }
--- a/src/test/java/cranedeal/node/LoopMonitorTest.java
+++ b/src/test/java/cranedeal/node/LoopMonitorTest.java
@@ -64,7 +64,7 @@
         }
     }
 
-    private void look() {
+    private void poll() {
         monitor.run(new Context());
     }
 
@@ -72,17 +72,17 @@
     void dataArrivingWhileTheLoopWaitsHasNoLag() {
         wait = () -> now += 4;
         read = () -> assertEquals(0, monitor.lag());
-        look();
+        poll();
         assertEquals(4, monitor.idleTime(), EXACT);
     }
 
     @Test
     void dataArrivingWhileTheLoopIsBusyHasLag() {
-        look();
+        poll();
         now += 200;
         canBlock = false;
         read = () -> assertEquals(200, monitor.lag(), EXACT);
-        look();
+        poll();
         assertEquals(0, monitor.idleTime(), EXACT);
         assertEquals(200, monitor.takeLongestBusy(), EXACT);
     }
@@ -92,13 +92,13 @@
     void dataArrivingWhileTheProcessIsSuspendedHasLag() {
         wait = () -> now += 505;
         read = () -> assertEquals(500, monitor.lag(), EXACT);
-        look();
+        poll();
         assertEquals(5, monitor.idleTime(), EXACT);
     }
 
     @Test
     void aTimerCountsDataSinceTheLastPollAsUnread() {
-        look();
+        poll();
         now += 120;
         assertEquals(120, monitor.lag(), EXACT);
     }
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -95,7 +95,7 @@
         OverrideStore store = Fleet.overrideStore(folder.resolve("state"), old);
         assertEquals(Set.of(id(1)), store.read().disabledUpstreams());
         assertEquals(Set.of(id(0), id(1)),
-                store.change(orders -> orders.withUpstream(id(0), true)).disabledUpstreams());
+                store.change(overrides -> overrides.withUpstream(id(0), true)).disabledUpstreams());
         new OperatorOverrides(Set.of("another"), false, 9).write(old);
         assertEquals(Set.of(id(0), id(1)), store.read().disabledUpstreams());
     }
@@ -106,7 +106,8 @@
         for (int i = 0; i < 1_000; i++) {
             String id = "s-" + i % 7;
             boolean banned = i % 3 != 0;
-            OperatorOverrides changed = store.change(orders -> orders.withUpstream(id, banned).withReload());
+            OperatorOverrides changed = store.change(
+                    overrides -> overrides.withUpstream(id, banned).withReload());
             assertEquals(i + 1, changed.reloads());
         }
         assertEquals(1_000, store.read().reloads());
--- a/src/test/java/cranedeal/node/ThreadCost.java
+++ b/src/test/java/cranedeal/node/ThreadCost.java
@@ -42,10 +42,10 @@
         Map<Integer, List<Double>> bytes = new LinkedHashMap<>();
         // Sizes alternate, so that other load on the machine affects all of them alike.
         for (int repeat = 0; repeat < REPEATS; repeat++) {
-            for (Map.Entry<Integer, Code> one : bySize.entrySet()) {
-                double[] cost = run(one.getValue(), REPEAT_NANOS);
-                cpu.computeIfAbsent(one.getKey(), absent -> new ArrayList<>()).add(cost[0]);
-                bytes.computeIfAbsent(one.getKey(), absent -> new ArrayList<>()).add(cost[1]);
+            for (Map.Entry<Integer, Code> entry : bySize.entrySet()) {
+                double[] cost = run(entry.getValue(), REPEAT_NANOS);
+                cpu.computeIfAbsent(entry.getKey(), absent -> new ArrayList<>()).add(cost[0]);
+                bytes.computeIfAbsent(entry.getKey(), absent -> new ArrayList<>()).add(cost[1]);
             }
         }
         report.add("cpu-" + name, "us", SlopeReport.Basis.MEASURED, points(cpu));
@@ -69,6 +69,6 @@
     }
 
     static List<Point> points(Map<Integer, List<Double>> values) {
-        return values.entrySet().stream().map(one -> new Point(one.getKey(), one.getValue())).toList();
+        return values.entrySet().stream().map(entry -> new Point(entry.getKey(), entry.getValue())).toList();
     }
 }
--- a/src/test/java/cranedeal/node/UpgradeTest.java
+++ b/src/test/java/cranedeal/node/UpgradeTest.java
@@ -60,7 +60,7 @@
                         "\"admin_addr\":\"127.0.0.1:" + admin.getPort() + "\""));
         Process process = DrainTest.start(folder, file, "serve");
         processes.add(process);
-        while (order(admin, "GET", "/ops/readiness") != 200) {
+        while (operatorCall(admin, "GET", "/ops/readiness") != 200) {
             assertTrue(process.isAlive());
             Thread.onSpinWait();
         }
@@ -68,7 +68,7 @@
     }
 
     /** Makes an operator's call and returns its status; 0 if the connection is refused. */
-    private static int order(InetSocketAddress admin, String method, String path) throws IOException {
+    private static int operatorCall(InetSocketAddress admin, String method, String path) throws IOException {
         try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
@@ -95,20 +95,20 @@
     void overridesInTheStateFolderSurviveEveryProcess() throws Exception {
         fixture.stateDir = folder.resolve("state");
         InetSocketAddress first = start();
-        assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
+        assertEquals(200, operatorCall(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
         assertEquals("edge_proxy.targets_disabled=1", disabled(second));
         // Each process applies the overrides set at the other one.
-        assertEquals(200, order(second, "PUT", "/ops/upstreams/up/s-00000000"));
+        assertEquals(200, operatorCall(second, "PUT", "/ops/upstreams/up/s-00000000"));
         while (!disabled(first).endsWith("=0")) {
             Thread.onSpinWait();
         }
-        assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
+        assertEquals(200, operatorCall(first, "PUT", "/ops/upstreams/down/s-00000000"));
         processes.get(0).destroyForcibly().waitFor();
         killLast();
         InetSocketAddress third = start();
         assertEquals("edge_proxy.targets_disabled=1", disabled(third));
-        assertEquals(200, order(third, "PUT", "/ops/upstreams/up/s-00000000"));
+        assertEquals(200, operatorCall(third, "PUT", "/ops/upstreams/up/s-00000000"));
         killLast();
         assertEquals("edge_proxy.targets_disabled=0", disabled(start()));
         assertFalse(Files.exists(folder.resolve("orders")), "not saved in the shared folder");
@@ -155,9 +155,9 @@
     @Test
     void anyThreadMayCheckForASuccessor() throws Exception {
         ProcessHandover processes = ProcessHandover.join(folder);
-        List<CompletableFuture<Boolean>> asked = new ArrayList<>();
+        List<CompletableFuture<Boolean>> results = new ArrayList<>();
         for (int thread = 0; thread < 4; thread++) {
-            asked.add(CompletableFuture.supplyAsync(() -> {
+            results.add(CompletableFuture.supplyAsync(() -> {
                 try {
                     boolean any = false;
                     for (int i = 0; i < 5_000; i++) {
@@ -169,8 +169,8 @@
                 }
             }));
         }
-        for (CompletableFuture<Boolean> one : asked) {
-            assertFalse(one.get());
+        for (CompletableFuture<Boolean> result : results) {
+            assertFalse(result.get());
         }
         processes.leave();
     }
@@ -262,19 +262,19 @@
     @Test
     void overridesApplyToBothProcesses() throws Exception {
         InetSocketAddress first = start();
-        assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
+        assertEquals(200, operatorCall(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
         assertTrue(hasDisabledUpstream(second));
-        assertEquals(200, order(second, "PUT", "/ops/upstreams/up/s-00000000"));
+        assertEquals(200, operatorCall(second, "PUT", "/ops/upstreams/up/s-00000000"));
         while (hasDisabledUpstream(first)) {
             Thread.sleep(1);
         }
-        assertEquals(200, order(first, "PUT", "/ops/drain/start"));
-        while (order(second, "GET", "/ops/readiness") == 200) {
+        assertEquals(200, operatorCall(first, "PUT", "/ops/drain/start"));
+        while (operatorCall(second, "GET", "/ops/readiness") == 200) {
             Thread.sleep(1);
         }
-        assertEquals(200, order(second, "PUT", "/ops/drain/stop"));
-        while (order(first, "GET", "/ops/readiness") != 200) {
+        assertEquals(200, operatorCall(second, "PUT", "/ops/drain/stop"));
+        while (operatorCall(first, "GET", "/ops/readiness") != 200) {
             Thread.sleep(1);
         }
     }
--- a/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
+++ b/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
@@ -29,19 +29,19 @@
      */
     record Speed(boolean serial, double answerMs) { }
 
-    private record Event(double at, long order, Runnable action) { }
+    private record Event(double at, long sequence, Runnable action) { }
 
     private record PendingCall(Watcher watcher, long id, long index, Outcome outcome) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
+            Comparator.comparingDouble(Event::at).thenComparingLong(Event::sequence));
     private final Speed speed;
     private final DoubleFunction<Outcome> outcomes;
     private final List<PendingCall> pendingCalls = new ArrayList<>();
     /** When each version was created. */
     private final Map<Long, Double> changes = new HashMap<>();
     final List<Watcher> watchers = new ArrayList<>();
-    private long order;
+    private long nextSequence;
     private double now;
     private double busyUntil;
     private long version = FIRST_VERSION;
@@ -69,8 +69,8 @@
         return changes.get(which);
     }
 
-    void schedule(double time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    void schedule(double time, Runnable action) {
+        events.add(new Event(time, nextSequence++, action));
     }
 
     /** Starts processes, spread evenly between 0 and {@code within}. */
--- a/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
+++ b/src/test/java/cranedeal/node/discovery/WatchScheduleTest.java
@@ -183,7 +183,7 @@
             discovery.run(300_000);
             calls[i] = discovery.calls;
         }
-        assertTrue(calls[1] <= calls[0], calls[1] + " calls, " + calls[0] + " to a quick one");
+        assertTrue(calls[1] <= calls[0], calls[1] + " calls, " + calls[0] + " to a fast one");
     }
 
     /** Discovery is not overloaded by processes that got no answer for long. */
@@ -198,7 +198,7 @@
             discovery.run(300_000);
             calls[i] = discovery.calls;
         }
-        assertTrue(calls[1] <= times * calls[0], calls[1] + " calls, " + calls[0] + " to a quick one");
+        assertTrue(calls[1] <= times * calls[0], calls[1] + " calls, " + calls[0] + " to a fast one");
     }
 
     /** Records actions, for tests that pass events in by themselves. */
