--- a/src/main/java/cranedeal/node/AdminEndpoint.java
+++ b/src/main/java/cranedeal/node/AdminEndpoint.java
@@ -67,7 +67,7 @@
         CompletionStage<Boolean> stopDrain();
 
         /** Disables or enables an upstream; completes with false for an id that was never listed. */
-        CompletionStage<Boolean> ban(String id, boolean banned);
+        CompletionStage<Boolean> setDisabled(String id, boolean disabled);
     }
 
     private final Operations operations;
@@ -195,7 +195,7 @@
             } else if (isDrain) {
                 runOnNode(call.equals("drain/start") ? operations::startDrain : operations::stopDrain);
             } else {
-                runOnNode(() -> operations.ban(disabledId == null ? enabledId : disabledId,
+                runOnNode(() -> operations.setDisabled(disabledId == null ? enabledId : disabledId,
                         disabledId != null));
             }
         }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -262,11 +262,11 @@
                 config.knownUpstreams().members());
         upstreams.update(known);
         discovery.setPushed(!config.settings().subscribe());
-        tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
+        notifyModule(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
         if (warmState != null) {
-            tell(null, () -> warmStateSaver.restore(warmState, balancer));
+            notifyModule(null, () -> warmStateSaver.restore(warmState, balancer));
         }
-        tell(null, () -> listChanged(Change.CACHED, entries(known)));
+        notifyModule(null, () -> listChanged(Change.CACHED, entries(known)));
         known.members().forEach(member -> everListed.put(member.upstream().id(), true));
         applyOverrides(savedOverrides, savedOverrides.reloads());
         if (handover != null) {
@@ -353,13 +353,13 @@
     }
 
     @Override
-    public CompletionStage<Boolean> ban(String id, boolean banned) {
+    public CompletionStage<Boolean> setDisabled(String id, boolean disabled) {
         long upstream = UpstreamList.numericId(id);
         if (!everListed.containsKey(upstream) && !upstreams.isListed(upstream)
                 && !overrides.disabledUpstreams().contains(id)) {
             return CompletableFuture.completedFuture(false);
         }
-        return updateOverrides(given -> given.withUpstream(id, banned));
+        return updateOverrides(given -> given.withUpstream(id, disabled));
     }
 
     /** Changes the overrides without blocking this loop on disk writes. */
@@ -439,7 +439,7 @@
         LOG.info(id + (inUse ? " was enabled" : " was disabled") + " by an operator");
         long upstream = UpstreamList.numericId(id);
         upstreams.ban(upstream, !inUse);
-        tell(null, () -> {
+        notifyModule(null, () -> {
             balancer.upstreamDisabled(clock.now(), upstream, !inUse);
             metrics.upstreamCounts(upstreams.listedCount(), balancer.excludedUpstreams());
         });
@@ -615,7 +615,7 @@
         frontend.settingsChanged(changed);
         // Before the module is notified, since it may start its own watch.
         discovery.setPushed(!changed.settings().subscribe());
-        tell(null, () -> balancer.settingsChanged(clock.now(), changed.settings()));
+        notifyModule(null, () -> balancer.settingsChanged(clock.now(), changed.settings()));
         discovery.moveTo(changed.discovery());
         LOG.info("goes by a new configuration; discovery is at " + changed.discovery());
     }
@@ -645,7 +645,7 @@
      * Passes an event to the module. An action of the module may cause another event at once, such as a
      * refused connection; that event is queued until the module has returned from its current call.
      */
-    private void tell(Exchange about, Runnable call) {
+    private void notifyModule(Exchange about, Runnable call) {
         events.add(new Event(about, call));
         if (deciding) {
             return;
@@ -694,13 +694,13 @@
             List<Upstream> entries = entries(list);
             upstreams.update(list);
             list.members().forEach(member -> everListed.put(member.upstream().id(), true));
-            tell(null, () -> listChanged(list.full() ? Change.FULL : Change.DELTA, entries));
+            notifyModule(null, () -> listChanged(list.full() ? Change.FULL : Change.DELTA, entries));
             metrics.listInForce(list.version(), clock.now() - arrivedAt);
         }
 
         @Override
         public void callFailed(CallEnd how) {
-            tell(null, () -> listChanged(Change.FAILED, List.of()));
+            notifyModule(null, () -> listChanged(Change.FAILED, List.of()));
         }
     }
 
@@ -720,7 +720,7 @@
         exchange.receivedAt = clock.now();
         if (exchange.upload == null) {
             watch(exchange);
-            tell(exchange, () -> balancer.request(clock.now(), request));
+            notifyModule(exchange, () -> balancer.request(clock.now(), request));
         } else {
             receiveBody(exchange, request);
         }
@@ -733,7 +733,7 @@
         watch(exchange);
         exchange.deadline = Double.POSITIVE_INFINITY;
         exchange.receivedAt = Double.NaN;
-        tell(exchange, () -> balancer.requestStarted(clock.now(), request));
+        notifyModule(exchange, () -> balancer.requestStarted(clock.now(), request));
         exchange.upload.setListener(new Upload.Listener() {
             @Override
             public void onComplete() {
@@ -746,7 +746,8 @@
                 watch(exchange);
                 exchange.attempts.stream().filter(Objects::nonNull)
                         .forEach(attempt -> attempt.setDeadline(exchange.deadline));
-                tell(exchange, () -> balancer.bodyArrived(clock.now(), exchange.id, exchange.deadline));
+                notifyModule(exchange,
+                        () -> balancer.bodyArrived(clock.now(), exchange.id, exchange.deadline));
             }
 
             @Override
@@ -787,7 +788,7 @@
             if (streamed) {
                 abandon(exchange);
             } else {
-                tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
+                notifyModule(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
                 releaseIfDone(exchange);
             }
         }
@@ -796,7 +797,7 @@
     /** Cancels the attempts for a client that no longer waits, and notifies the module. */
     private void abandon(Exchange exchange) {
         exchange.attempts.forEach(Node::cancel);
-        tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
+        notifyModule(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
         releaseIfDone(exchange);
     }
 
@@ -816,8 +817,8 @@
         } else if (result == Result.OK) {
             exchange.answer(HttpResponseStatus.OK, response.content(), 0);
         }
-        tell(exchange, () -> balancer.attemptFinished(clock.now(), new Outcome(exchange.id, number, upstream,
-                result, !exchange.isOpen(), elapsed(exchange, number, sentAt), report)));
+        notifyModule(exchange, () -> balancer.attemptFinished(clock.now(), new Outcome(exchange.id, number,
+                upstream, result, !exchange.isOpen(), elapsed(exchange, number, sentAt), report)));
         releaseIfDone(exchange);
     }
 
@@ -834,15 +835,15 @@
     }
 
     /** An answer too large to be buffered has started; returns null if nobody waits for it any more. */
-    private ResponseSink begun(Exchange exchange, int number, double sentAt, UpstreamClient.Attempt attempt,
-            long length) {
+    private ResponseSink startStreaming(Exchange exchange, int number, double sentAt,
+            UpstreamClient.Attempt attempt, long length) {
         if (!exchange.isOpen() || exchange.isStreaming()) {
             return null;
         }
-        ResponseSink download = exchange.startStream(length, attempt::resume);
-        tell(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number,
+        ResponseSink sink = exchange.startStream(length, attempt::resume);
+        notifyModule(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number,
                 elapsed(exchange, number, sentAt)));
-        return download;
+        return sink;
     }
 
     /** Releases a request once it is answered and no attempt is running. */
@@ -899,7 +900,7 @@
 
             @Override
             public ResponseSink streamStarted(UpstreamClient.Attempt attempt, long length) {
-                return Node.this.begun(exchange, number, now, attempt, length);
+                return Node.this.startStreaming(exchange, number, now, attempt, length);
             }
         };
         exchange.attempts.add(upstreams.send(upstream, exchange.request, until, exchange.deadline, listener));
@@ -957,7 +958,7 @@
             ByteBuf body = result == Result.OK ? response.content() : Unpooled.EMPTY_BUFFER;
             double[] report = LoadReport.parse(body.toString(StandardCharsets.UTF_8),
                     config.settings().reportFields());
-            tell(null, () -> balancer.probeResult(clock.now(), upstream, result, clock.now() - sentAt,
+            notifyModule(null, () -> balancer.probeResult(clock.now(), upstream, result, clock.now() - sentAt,
                     report));
         });
     }
@@ -991,7 +992,7 @@
     }
 
     private void fireTimer(Exchange about, long token) {
-        tell(about, () -> balancer.timer(clock.now(), token));
+        notifyModule(about, () -> balancer.timer(clock.now(), token));
     }
 
     /** Not supported: balancers of this deployment have no channel between each other. */
