--- a/src/test/java/cranedeal/node/DiscoveryBenchmark.java
+++ b/src/test/java/cranedeal/node/DiscoveryBenchmark.java
@@ -1,11 +1,11 @@
 package cranedeal.node;
 
-import cranedeal.node.discovery.CallEnd;
 import cranedeal.lab.slope.Point;
-import cranedeal.lab.slope.SlopeReport;
 import cranedeal.lab.slope.SlopeReport.Basis;
+import cranedeal.lab.slope.SlopeReport;
 import cranedeal.lab.standin.DiscoveryServer;
 import cranedeal.lab.standin.LabClock;
+import cranedeal.node.discovery.CallEnd;
 import cranedeal.node.discovery.DiscoveryClient;
 import cranedeal.node.discovery.UpstreamList;
 import io.netty.buffer.UnpooledByteBufAllocator;
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Repair;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.node.discovery.UpstreamList;
 import java.nio.file.Files;
 import java.nio.file.Path;
