--- a/src/test/java/cranedeal/node/LoopMonitorTest.java
+++ b/src/test/java/cranedeal/node/LoopMonitorTest.java
@@ -8,7 +8,7 @@
 import io.netty.channel.IoRegistration;
 import org.junit.jupiter.api.Test;
 
-/** How late a loop is, and how much spare time it has, in virtual time. */
+/** Tests the measured lag and idle time of a loop in virtual time. */
 class LoopMonitorTest {
 
     private static final double EXACT = 2;
@@ -17,7 +17,7 @@
     private double nextTimerMs = 5;
     private boolean canBlock = true;
     private LoopMonitor monitor;
-    /** What happens while the loop waits for its sockets, and what it does with what it found. */
+    /** Actions while the loop waits for its sockets, and while it handles the events that it found. */
     private Runnable wait = () -> { };
     private Runnable read = () -> { };
 
@@ -64,41 +64,41 @@
         }
     }
 
-    private void look() {
+    private void poll() {
         monitor.run(new Context());
     }
 
     @Test
-    void whatComesWhileTheLoopWaitsIsReadAtOnce() {
+    void dataArrivingWhileTheLoopWaitsHasNoLag() {
         wait = () -> now += 4;
         read = () -> assertEquals(0, monitor.lag());
-        look();
+        poll();
         assertEquals(4, monitor.idleTime(), EXACT);
     }
 
     @Test
-    void whatComesWhileTheLoopIsBusyHasWaited() {
-        look();
+    void dataArrivingWhileTheLoopIsBusyHasLag() {
+        poll();
         now += 200;
         canBlock = false;
         read = () -> assertEquals(200, monitor.lag(), EXACT);
-        look();
+        poll();
         assertEquals(0, monitor.idleTime(), EXACT);
         assertEquals(200, monitor.takeLongestBusy(), EXACT);
     }
 
-    /** The process is stopped while it waits: it wakes long after its next timer was due. */
+    /** The process is suspended while it waits, so it wakes long after its next timer was due. */
     @Test
-    void whatComesWhileTheProcessIsStoppedHasWaited() {
+    void dataArrivingWhileTheProcessIsSuspendedHasLag() {
         wait = () -> now += 505;
         read = () -> assertEquals(500, monitor.lag(), EXACT);
-        look();
+        poll();
         assertEquals(5, monitor.idleTime(), EXACT);
     }
 
     @Test
-    void aTimerCountsWhatHasComeSinceTheLastLookAsUnread() {
-        look();
+    void aTimerCountsDataSinceTheLastPollAsUnread() {
+        poll();
         now += 120;
         assertEquals(120, monitor.lag(), EXACT);
     }
--- a/src/test/java/cranedeal/node/NodeMetricsTest.java
+++ b/src/test/java/cranedeal/node/NodeMetricsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Every figure is counted where its event happens. */
+/** Tests that each metric is counted when its event happens. */
 @Timeout(60)
 class NodeMetricsTest {
 
@@ -18,55 +18,55 @@
                 .collect(Collectors.toMap(pair -> pair[0], pair -> Long.parseLong(pair[1])));
     }
 
-    private static void assertFigure(long expected, NodeFixture fixture, String name) {
+    private static void assertMetric(long expected, NodeFixture fixture, String name) {
         assertEquals(expected, read(fixture).get("edge_proxy." + name), name);
     }
 
-    /** Waits until the caller's event has reached the node. */
+    /** Waits until a metric has a value, as the event may not have reached the node yet. */
     private static void await(long expected, NodeFixture fixture, String name) throws InterruptedException {
         for (int i = 0; i < HttpPeer.TIMEOUT_MS && read(fixture).get("edge_proxy." + name) != expected; i++) {
             Thread.sleep(1);
         }
-        assertFigure(expected, fixture, name);
+        assertMetric(expected, fixture, name);
     }
 
     @Test
-    void allAreShownBeforeTheFirstRequest() throws Exception {
+    void allMetricsAreShownBeforeTheFirstRequest() throws Exception {
         try (NodeFixture fixture = new NodeFixture(3).start()) {
-            Map<String, Long> figures = read(fixture);
+            Map<String, Long> metrics = read(fixture);
             for (String name : new String[] {"success", "overload", "error"}) {
-                assertEquals(0, figures.get("edge_proxy." + name + ".look-up"));
-                assertEquals(0, figures.get("edge_proxy." + name + ".credit-spend"));
+                assertEquals(0, metrics.get("edge_proxy." + name + ".look-up"));
+                assertEquals(0, metrics.get("edge_proxy." + name + ".credit-spend"));
             }
             for (String name : new String[] {"concurrent", "dispatches", "targets_disabled", "reload_success",
                 "reload_failure"}) {
-                assertEquals(0, figures.get("edge_proxy." + name), name);
+                assertEquals(0, metrics.get("edge_proxy." + name), name);
             }
-            assertEquals(3, figures.get("edge_proxy.targets"));
+            assertEquals(3, metrics.get("edge_proxy.targets"));
             for (String name : new String[] {"list_stale", "discovery_answered", "discovery_broken"}) {
-                assertEquals(0, figures.get("edge_proxy." + name), name);
+                assertEquals(0, metrics.get("edge_proxy." + name), name);
             }
-            assertEquals(72, figures.size());
+            assertEquals(72, metrics.size());
         }
     }
 
     @Test
-    void aClassWhoseNameWouldBreakItsLineIsShownAllTheSame() {
-        NodeMetrics figures = new NodeMetrics();
-        figures.registerClasses(List.of("slide=ct.1", "50% off\nnow"));
+    void classNamesThatWouldBreakALineAreEscaped() {
+        NodeMetrics metrics = new NodeMetrics();
+        metrics.registerClasses(List.of("slide=ct.1", "50% off\nnow"));
         assertEquals("edge_proxy.success.50%25%20off%0Anow=0",
-                figures.text().lines().findFirst().orElseThrow());
-        assertTrue(figures.text().contains("edge_proxy.success.slide%3Dct.1=0\n"), figures.text());
+                metrics.text().lines().findFirst().orElseThrow());
+        assertTrue(metrics.text().contains("edge_proxy.success.slide%3Dct.1=0\n"), metrics.text());
     }
 
     @Test
-    void eachWayInWhichARequestEndsIsCountedForItsClass() throws Exception {
+    void eachRequestResultIsCountedForItsClass() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertFigure(1, fixture, "concurrent");
+            assertMetric(1, fixture, "concurrent");
             await(1, fixture, "dispatches");
             upstream.write(NodeFixture.ok("well"));
             assertEquals(200, caller.read().status());
@@ -76,22 +76,22 @@
             fixture.balancer.onRequest = request -> fixture.balancer.actions.fail(request.id());
             caller.write(NodeFixture.spend("3", "x"));
             assertEquals(502, caller.read().status());
-            assertFigure(1, fixture, "success.look-up");
-            assertFigure(1, fixture, "overload.look-up");
-            assertFigure(0, fixture, "error.look-up");
-            assertFigure(1, fixture, "error.credit-spend");
-            assertFigure(1, fixture, "dispatches");
-            assertFigure(0, fixture, "concurrent");
+            assertMetric(1, fixture, "success.look-up");
+            assertMetric(1, fixture, "overload.look-up");
+            assertMetric(0, fixture, "error.look-up");
+            assertMetric(1, fixture, "error.credit-spend");
+            assertMetric(1, fixture, "dispatches");
+            assertMetric(0, fixture, "concurrent");
         }
     }
 
     @Test
-    void aRequestWhoseCallerLeavesIsNoLongerConcurrent() throws Exception {
+    void aRequestOfADisconnectedCallerIsNoLongerConcurrent() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
             fixture.upstreams.get(0).accept().read();
-            assertFigure(1, fixture, "concurrent");
+            assertMetric(1, fixture, "concurrent");
             caller.close();
             ScriptedBalancer.next(fixture.balancer.gone);
             await(0, fixture, "concurrent");
@@ -99,13 +99,13 @@
     }
 
     @Test
-    void whatIsNotWrittenWholeIsNoDispatch() throws Exception {
+    void anIncompletelyWrittenAttemptIsNotADispatch() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.upstreams.get(0).refuseConnections();
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
             assertEquals(502, caller.read().status());
-            assertFigure(0, fixture, "dispatches");
+            assertMetric(0, fixture, "dispatches");
         }
     }
 
--- a/src/test/java/cranedeal/node/ReconfigureTest.java
+++ b/src/test/java/cranedeal/node/ReconfigureTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A configuration that is read again holds as a whole, or not at all. */
+/** Tests that a reloaded configuration is applied as a whole, or not at all. */
 @Timeout(60)
 class ReconfigureTest {
 
@@ -28,7 +28,7 @@
         return fixture.config().replace("\"name\":\"" + from + "\"", "\"name\":\"" + to + "\"");
     }
 
-    private static void assertFigure(NodeFixture fixture, String line) {
+    private static void assertMetric(NodeFixture fixture, String line) {
         assertTrue(fixture.node.stats().contains("edge_proxy." + line + "\n"), fixture.node.stats());
     }
 
@@ -59,22 +59,22 @@
         "\"name\":\"look-up\"|\"name\":\"credit-spend\"",
         "\"zones\":[\"dakar-a\"]|\"zones\":[\"dakar-b\"]",
         "\"settings\"|\"setting\""})
-    void aBadFileChangesNothing(String from, String to) throws Exception {
+    void anInvalidFileChangesNothing(String from, String to) throws Exception {
         try (NodeFixture fixture = new NodeFixture().start(); TestServer moved = new TestServer()) {
             String good = fixture.config().replace(fixture.discovery.address(), moved.address())
                     .replace("\"name\":\"tile-order\"", "\"name\":\"tile-view\"");
             String bad = good.replace(from, to == null ? "" : to);
             assertTrue(!bad.equals(good));
             reload(fixture, bad);
-            assertFigure(fixture, "reload_failure=1");
-            assertFigure(fixture, "reload_success=0");
+            assertMetric(fixture, "reload_failure=1");
+            assertMetric(fixture, "reload_success=0");
             assertTrue(!fixture.node.stats().contains("tile-view"));
             fixture.assertServes();
         }
     }
 
     @Test
-    void aFileThatIsEmptyOrCutShortChangesNothing() throws Exception {
+    void anEmptyOrTruncatedFileChangesNothing() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             String good = fixture.config();
             int tried = 0;
@@ -83,41 +83,41 @@
                 tried++;
             }
             reload(fixture, good + good);
-            assertFigure(fixture, "reload_failure=" + (tried + 1));
+            assertMetric(fixture, "reload_failure=" + (tried + 1));
             fixture.assertServes();
         }
     }
 
     @Test
-    void classesComeAndGoAndWhatIsUnderWayEndsByItsOwn() throws Exception {
+    void classesChangeWhileRequestsInProgressKeepTheirOwn() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.spend("1", "x"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             reload(fixture, rename(fixture, "credit-spend", "debit"));
-            assertFigure(fixture, "reload_success=1");
-            assertFigure(fixture, "success.debit=0");
+            assertMetric(fixture, "reload_success=1");
+            assertMetric(fixture, "success.debit=0");
             upstream.write(NodeFixture.ok("served"));
             assertEquals("served", caller.read().body());
-            assertFigure(fixture, "success.credit-spend=1");
+            assertMetric(fixture, "success.credit-spend=1");
             assertEquals(400, status(fixture, NodeFixture.spend("2", "x")));
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             assertEquals(503, status(fixture, NodeFixture.spend("3", "x").replace("credit-spend", "debit")));
             reload(fixture, fixture.config());
-            assertFigure(fixture, "success.credit-spend=1");
-            assertFigure(fixture, "overload.debit=1");
+            assertMetric(fixture, "success.credit-spend=1");
+            assertMetric(fixture, "overload.debit=1");
         }
     }
 
     @Test
-    void aStricterEffectAndFewerAttemptsBindWhatComesNext() throws Exception {
+    void stricterIdempotencyAndFewerAttemptsApplyToNewRequests() throws Exception {
         try (NodeFixture fixture = new NodeFixture().start()) {
             fixture.upstreams.get(0).refuseConnections();
             fixture.balancer.sendUntilNotSent(0);
             reload(fixture, fixture.config().replace("\"attemptsCap\":4", "\"attemptsCap\":2")
                     .replace("\"idempotency\":\"idempotent\"", "\"idempotency\":\"at_most_once\""));
-            assertFigure(fixture, "reload_success=1");
+            assertMetric(fixture, "reload_success=1");
             assertEquals(400, status(fixture, NodeFixture.get("1", "10")));
             assertEquals(503, status(fixture, NodeFixture.spend("2", "x")));
             assertEquals(3, fixture.balancer.outcomes.size());
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Repair;
+import cranedeal.fleet.store.StoreLimits;
 import cranedeal.node.discovery.UpstreamList;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators have ordered is kept in the folder that the configuration names, over any end. */
+/**
+ * Tests that operators' overrides are saved in the configured state folder, and survive a kill of the
+ * process.
+ */
 @Timeout(120)
 class StateDirTest {
 
@@ -38,13 +41,13 @@
     }
 
     @Test
-    void aFleetThatIsWrongIsToldByItsKey() throws Exception {
+    void aBadFleetSettingIsReportedByItsKey() throws Exception {
         String good = "\"fleet\":{\"name\":\"clinics\",\"listen\":\"127.0.0.1:9301\","
                 + "\"seeds\":[\"127.0.0.1:9302\"]}";
         Map<String, String> wrong = Map.of("clinics", "a b", "127.0.0.1:9301", "8.8.8.8:9301",
                 "127.0.0.1:9302", "no address", "\"seeds\"", "\"seedz\"", "}", ",\"state_dir\":\"\"}",
                 "{", "{\"probe_period_ms\":1,");
-        Map<String, String> told = Map.of("clinics", "fleet.name", "127.0.0.1:9301", "fleet.listen",
+        Map<String, String> expectedKey = Map.of("clinics", "fleet.name", "127.0.0.1:9301", "fleet.listen",
                 "127.0.0.1:9302", "fleet.seeds[0]", "\"seeds\"", "fleet.seedz", "}", "fleet.state_dir",
                 "{", "fleet.probe_period_ms");
         Path file = folder.resolve("config.json");
@@ -56,7 +59,8 @@
                         + good.replace(change.getKey(), change.getValue()) + ","));
                 ConfigException e = assertThrows(ConfigException.class,
                         () -> NodeConfig.read(file.toString()));
-                assertTrue(e.getMessage().contains(file + ": " + told.get(change.getKey())), e.getMessage());
+                assertTrue(e.getMessage().contains(file + ": " + expectedKey.get(change.getKey())),
+                        e.getMessage());
             }
         }
     }
@@ -66,7 +70,7 @@
     }
 
     @Test
-    void bansAndADrainHoldAfterTheNodeWasKilled() throws Exception {
+    void disabledUpstreamsAndDrainSurviveAKill() throws Exception {
         try (NodeFixture fixture = fixture().start()) {
             assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
             assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(1)));
@@ -78,41 +82,42 @@
             assertEquals(503, fixture.order("GET", "/ops/readiness"));
             assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
             assertEquals(200, fixture.order("GET", "/ops/readiness"));
-            assertTrue(fixture.balancer.banned.contains(UpstreamList.numericId(id(0))), "the module is told");
+            assertTrue(fixture.balancer.banned.contains(UpstreamList.numericId(id(0))), "module notified");
             assertEquals(1, fixture.balancer.banned.size());
             assertTrue(stats(fixture).contains("orders_unknown=0"));
         }
     }
 
     @Test
-    void theOrdersOfAnUpgradesFolderAreTakenOverOnce() throws Exception {
+    void overridesOfTheSharedFolderAreMigratedOnce() throws Exception {
         Path old = Files.createDirectory(folder.resolve("tmp"));
         new OperatorOverrides(Set.of(id(1)), false, 3).write(old);
-        OverrideStore book = Fleet.overrideStore(folder.resolve("state"), old);
-        assertEquals(Set.of(id(1)), book.read().disabledUpstreams());
+        OverrideStore store = Fleet.overrideStore(folder.resolve("state"), old);
+        assertEquals(Set.of(id(1)), store.read().disabledUpstreams());
         assertEquals(Set.of(id(0), id(1)),
-                book.change(orders -> orders.withUpstream(id(0), true)).disabledUpstreams());
+                store.change(overrides -> overrides.withUpstream(id(0), true)).disabledUpstreams());
         new OperatorOverrides(Set.of("another"), false, 9).write(old);
-        assertEquals(Set.of(id(0), id(1)), book.read().disabledUpstreams());
+        assertEquals(Set.of(id(0), id(1)), store.read().disabledUpstreams());
     }
 
     @Test
-    void manyChangesLeaveASmallFolderAndTheLastOfThem() throws Exception {
-        OverrideStore book = Fleet.overrideStore(folder, null);
+    void manyChangesLeaveASmallFolderWithTheLastOne() throws Exception {
+        OverrideStore store = Fleet.overrideStore(folder, null);
         for (int i = 0; i < 1_000; i++) {
             String id = "s-" + i % 7;
             boolean banned = i % 3 != 0;
-            OperatorOverrides changed = book.change(orders -> orders.withUpstream(id, banned).withReload());
+            OperatorOverrides changed = store.change(
+                    overrides -> overrides.withUpstream(id, banned).withReload());
             assertEquals(i + 1, changed.reloads());
         }
-        assertEquals(1_000, book.read().reloads());
+        assertEquals(1_000, store.read().reloads());
         try (var files = Files.list(folder)) {
             assertTrue(files.count() <= 6);
         }
     }
 
     @Test
-    void aFolderThatCannotBeMadeStopsNobodyAndKeepsNoOrder() throws Exception {
+    void aFolderThatCannotBeCreatedDoesNotPreventServing() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.stateDir = Path.of("/proc/self/no-such-folder");
             fixture.start();
@@ -123,7 +128,7 @@
     }
 
     @Test
-    void aDamagedFolderStopsNobodyIsSaidAndTakesNoOrderUntilItIsRepaired() throws Exception {
+    void aDamagedFolderIsReportedAndRejectsOverridesUntilRepaired() throws Exception {
         Path state = folder.resolve("state");
         try (NodeFixture fixture = fixture().start()) {
             for (int i = 0; i < 3; i++) {
