--- a/src/main/java/cranedeal/node/AdminEndpoint.java
+++ b/src/main/java/cranedeal/node/AdminEndpoint.java
@@ -173,7 +173,7 @@
             if (path.startsWith(OPS_PREFIX)) {
                 route(path.substring(OPS_PREFIX.length()), request.method());
             } else {
-                answer(HttpResponseStatus.NOT_FOUND, "unknown path\n");
+                answer(HttpResponseStatus.NOT_FOUND, "no such call\n");
             }
         }
 
@@ -183,13 +183,13 @@
             String enabledId = idAfter(ENABLE_PREFIX, call);
             boolean isDrain = call.equals("drain/start") || call.equals("drain/stop");
             if (!isQuery && !isDrain && disabledId == null && enabledId == null) {
-                answer(HttpResponseStatus.NOT_FOUND, "unknown path\n");
+                answer(HttpResponseStatus.NOT_FOUND, "no such call\n");
             } else if (!method.equals(isQuery ? HttpMethod.GET : HttpMethod.PUT)) {
-                answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "method not allowed\n");
+                answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "another method is wanted\n");
             } else if (call.equals("readiness")) {
                 boolean ready = operations.isReady();
                 answer(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        ready ? "ready\n" : "not ready\n");
+                        ready ? "takes clients\n" : "takes no clients\n");
             } else if (call.equals("stats")) {
                 answer(HttpResponseStatus.OK, operations.stats());
             } else if (isDrain) {
@@ -218,7 +218,7 @@
             });
             loop.schedule(() -> {
                 if (startedOrExpired.compareAndSet(false, true)) {
-                    answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "node is busy; nothing was changed\n");
+                    answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy, nothing was changed\n");
                 }
             }, COMMAND_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
