--- a/src/main/java/cranedeal/fleet/agent/package-info.java
+++ b/src/main/java/cranedeal/fleet/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The processes and versions of one machine: what is started, watched, upgraded and put back there. Uses
+ * Manages the processes and program versions of one machine: starts, monitors, upgrades and rolls back. Uses
  * {@code store} and {@code membership}.
  */
 package cranedeal.fleet.agent;
--- a/src/main/java/cranedeal/fleet/duty/package-info.java
+++ b/src/main/java/cranedeal/fleet/duty/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What only one process may do at a time: leases, epochs, and the coordinators' state machine that grants
- * them. Here goes what a majority has to agree on. Uses {@code store}.
+ * Tasks that only one process may perform at a time: leases, epochs, and the coordinators' state machine that
+ * grants them. Decisions that need a majority belong here. Uses {@code store}.
  */
 package cranedeal.fleet.duty;
--- a/src/main/java/cranedeal/fleet/release/package-info.java
+++ b/src/main/java/cranedeal/fleet/release/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Staged releases: plans, stages, gates, and the conductor that leads through them with a halt and a way
- * back. Uses {@code membership} and {@code duty}.
+ * Staged releases: plans, stages, gates, and the controller that runs them and can halt and roll back. Uses
+ * {@code membership} and {@code duty}.
  */
 package cranedeal.fleet.release;
--- a/src/main/java/cranedeal/fleet/store/Disk.java
+++ b/src/main/java/cranedeal/fleet/store/Disk.java
@@ -6,53 +6,53 @@
 import java.util.List;
 
 /**
- * The files of one folder, as far as a store needs them. What is written, made, renamed or deleted is there
- * after a power loss only once it was forced: bytes by {@link Output#force()}, names by {@link
+ * The operations on the files of one folder that a store needs. A change survives a power loss only once it
+ * was forced: file contents by {@link Output#force()}; created, renamed and deleted files by {@link
  * #forceDirectory()}.
  */
 public interface Disk {
 
-    /** A file that is written to at its end. */
+    /** A file open for appending. */
     interface Output extends Closeable {
 
-        /** Writes all of the buffer, or throws and may have written a part of it. */
+        /** Writes the whole buffer. If it throws, a part may have been written. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns once all that was written will outlast a power loss. */
+        /** Returns once everything written so far survives a power loss. */
         void force() throws IOException;
 
-        /** Cuts the file to a size that it has reached before. */
+        /** Truncates the file to a size that is not above its present one. */
         void truncate(long size) throws IOException;
     }
 
-    /** The names of all files, in no order. */
+    /** The names of all files, in no particular order. */
     List<String> fileNames() throws IOException;
 
     /** The size of a file in bytes. */
     long size(String name) throws IOException;
 
-    /** Reads from an offset on until the buffer is full or the file ends; returns how many bytes. */
+    /** Reads from an offset until the buffer is full or the file ends; returns the number of bytes read. */
     int read(String name, long offset, ByteBuffer into) throws IOException;
 
-    /** Makes a new file; there must be none of that name. */
+    /** Creates a file. Fails if a file of that name exists. */
     Output create(String name) throws IOException;
 
-    /** Opens a file to write on at its end. */
+    /** Opens an existing file for appending. */
     Output append(String name) throws IOException;
 
-    /** Gives a file another name, in place of whatever has that. */
+    /** Renames a file and replaces any file that has the new name. */
     void rename(String from, String to) throws IOException;
 
     /** Deletes a file. */
     void delete(String name) throws IOException;
 
-    /** Returns once all that was made, renamed and deleted will outlast a power loss. */
+    /** Returns once all creations, renames and deletions so far survive a power loss. */
     void forceDirectory() throws IOException;
 
     /**
-     * Takes the folder for this process until the result is closed, or the process ends, however it does;
-     * null if another process has it. A shared one is for reading, beside others that read, and can be had of
-     * a folder that can't be written to.
+     * Locks the folder until the result is closed or the process ends in any way. Returns null if the
+     * lock of another holder excludes that. A shared lock is for reading, can be held by several processes at
+     * once, and also works on a folder that can't be written to.
      */
     Closeable tryLock(boolean shared) throws IOException;
 }
--- a/src/main/java/cranedeal/fleet/store/DurableValue.java
+++ b/src/main/java/cranedeal/fleet/store/DurableValue.java
@@ -7,8 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * One value that outlasts a power loss: each record has it whole, and the last one holds. The folder is
- * opened for each change, since the two processes of an upgrade take turns; so it is for what seldom changes.
+ * A single value that survives a power loss. Each record holds the whole value, and the last record is the
+ * current one. The folder is opened and closed for each update, because both processes of a hot restart use
+ * it; so this is for values that seldom change.
  */
 public final class DurableValue {
 
@@ -21,9 +22,9 @@
     private final Consumer<String> warn;
 
     /**
-     * The value in a folder, which need not be there yet.
+     * A value stored in a folder, which need not exist yet.
      *
-     * @param warn told what went wrong after a change was kept
+     * @param warn receives warnings about failures after an update was stored
      */
     public DurableValue(Path folder, Consumer<String> warn) {
         this.folder = folder;
@@ -31,14 +32,18 @@
         this.warn = warn;
     }
 
-    /** What makes the new value of the old one, which is null at first. */
+    /** Computes the new value from the old one. */
     public interface Update {
 
-        /** Throws {@link IOException} where it can't; then nothing is changed. */
+        /**
+         * Returns the new value. If it throws, nothing is changed.
+         *
+         * @param before the old value; null if there is none
+         */
         byte[] apply(byte[] before) throws IOException;
     }
 
-    /** The value; null if none was kept so far. Throws as {@link Store#open} does. */
+    /** The value; null if none was stored so far. Throws as {@link Store#open} does. */
     public byte[] read() throws IOException {
         Last last = new Last();
         if (Files.exists(folder)) {
@@ -47,7 +52,7 @@
         return last.value;
     }
 
-    /** Changes the value; it is kept once this returns, with what it is now. */
+    /** Updates the value and returns the new one, which is forced to disk by then. */
     public byte[] update(Update change) throws IOException {
         Files.createDirectories(folder);
         Last last = new Last();
@@ -62,13 +67,13 @@
         }
     }
 
-    /** The value is kept by now, so it holds whether this succeeds or not; the next change tries again. */
+    /** A failure is only logged: the value is on disk already, and the next update tries again. */
     private void replaceBySnapshot(Store store, byte[] bytes) {
         try (Store.Snapshot snapshot = store.snapshot()) {
             snapshot.write(bytes);
             snapshot.commit();
         } catch (IOException e) {
-            warn.accept("records in " + folder + " can't be replaced by a snapshot: " + e.getMessage());
+            warn.accept("cannot write a snapshot in " + folder + ": " + e.getMessage());
         }
     }
 
@@ -77,7 +82,7 @@
         T open() throws IOException;
     }
 
-    /** Opening it takes milliseconds, so another process is soon done with it. */
+    /** Retries while another process has the folder, which it holds for some milliseconds only. */
     private static <T> T whenFree(Opening<T> opening) throws IOException {
         for (int i = 1;; i++) {
             try {
@@ -100,7 +105,7 @@
         }
     }
 
-    /** Keeps the last value that it is shown. */
+    /** Remembers the last value of the store. */
     private static final class Last implements ReplayHandler {
 
         private byte[] value;
--- a/src/main/java/cranedeal/fleet/store/FileKind.java
+++ b/src/main/java/cranedeal/fleet/store/FileKind.java
@@ -5,22 +5,24 @@
 import java.util.zip.CRC32C;
 
 /**
- * The two kinds of files, their names and their heads: a mark (4 bytes), the format's version (4), the number
- * in the name (8), CRC32C of these (4).
+ * The two kinds of files, their names and their headers. A header has a magic number (4 bytes), the format
+ * version (4), the number in the file's name (8) and the CRC32C of these (4).
  */
 enum FileKind {
 
-    /** Records, from the one of the number on. */
+    /** A segment of the journal; its number is the sequence number of its first record. */
     JOURNAL("journal-", 0x4f53504a),
-    /** A state that holds all records up to the one of the number, in pieces. */
+    /** A snapshot in chunks; its number is the sequence number of the last record that it includes. */
     SNAPSHOT("snapshot-", 0x4f535053);
 
     static final int HEAD = 20;
-    /** The version written; older ones are read. */
+    /** The format version that is written. Older ones can be read. */
     static final int VERSION = 1;
-    /** Ends the name of a file that is not finished. */
+    /** The suffix of files that are not finished yet. */
     static final String UNFINISHED = ".new";
+    /** The number of hexadecimal digits in a file name; also used as their radix. */
     private static final int DIGITS = 16;
+    /** The checksum covers the bytes before it. */
     private static final int CHECKED = 16;
 
     private final String prefix;
@@ -35,7 +37,7 @@
         return prefix + String.format(Locale.ROOT, "%016x", number);
     }
 
-    /** Whether a finished file of this kind has the name. */
+    /** Returns true if this is the name of a finished file of this kind. */
     boolean has(String name) {
         return name.startsWith(prefix) && name.length() == prefix.length() + DIGITS
                 && name.substring(prefix.length()).chars().allMatch(c -> Character.digit(c, DIGITS) >= 0);
@@ -51,9 +53,10 @@
     }
 
     /**
-     * Whether a head is whole and this file's; throws {@link StoreException} if a later version wrote it.
+     * Returns true if a header is intact and belongs to the named file. Throws {@link StoreException} if a
+     * later version of the program wrote it.
      *
-     * @param head {@link #HEAD} bytes, or fewer if the file is shorter
+     * @param head {@link #HEAD} bytes, or fewer if the file is shorter than that
      */
     boolean isHead(ByteBuffer head, String name) throws StoreException {
         if (head.remaining() < HEAD || head.getInt(0) != mark || head.getInt(CHECKED) != crc(head)
@@ -62,8 +65,8 @@
         }
         if (head.getInt(4) > VERSION) {
             throw new StoreException(name + " has format " + head.getInt(4)
-                    + ", and this program reads up to "
-                    + VERSION + "; use the program that wrote it");
+                    + ", but this program reads formats up to "
+                    + VERSION + "; use the version of the program that wrote it");
         }
         return true;
     }
--- a/src/main/java/cranedeal/fleet/store/FolderDisk.java
+++ b/src/main/java/cranedeal/fleet/store/FolderDisk.java
@@ -13,14 +13,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder. */
+/** A folder of the file system. */
 public final class FolderDisk implements Disk {
 
     private static final String LOCK = "lock";
 
     private final Path folder;
 
-    /** A folder that is there. */
+    /** Uses an existing folder. */
     public FolderDisk(Path folder) {
         this.folder = folder;
     }
@@ -73,7 +73,7 @@
 
             @Override
             public void force() throws IOException {
-                // The size belongs to what is forced either way; other times of the file do not matter.
+                // The file's size is forced even without metadata; its timestamps don't matter.
                 file.force(false);
             }
 
@@ -117,7 +117,7 @@
                             StandardOpenOption.WRITE);
         } catch (IOException e) {
             if (shared && !Files.exists(name)) {
-                // Nobody has ever written here, and nobody can.
+                // No process has written here, and none can, so there is nothing to lock against.
                 return () -> { };
             }
             throw e;
@@ -126,7 +126,7 @@
         try {
             lock = file.tryLock(0, Long.MAX_VALUE, shared);
         } catch (OverlappingFileLockException e) {
-            // This very process has it.
+            // This process holds the lock already.
             lock = null;
         } finally {
             if (lock == null) {
--- a/src/main/java/cranedeal/fleet/store/Frame.java
+++ b/src/main/java/cranedeal/fleet/store/Frame.java
@@ -4,23 +4,24 @@
 import java.util.zip.CRC32C;
 
 /**
- * How a record lies in a file: length of the payload (4 bytes), type (4), sequence number (8), the highest
- * sequence number that was known to be forced when it was written (8), payload, CRC32C of all of that (4);
- * big-endian. The forced number lets recovery tell damage from a tear: what lies before it was acknowledged.
+ * A record as encoded in a file, big-endian: payload length (4 bytes), type (4), sequence number (8), the
+ * highest sequence number known to be forced at the time of the write (8), payload, CRC32C of all of that
+ * (4). The forced number lets recovery tell damage from an incomplete last write: all records up to it were
+ * acknowledged.
  *
- * @param forced the highest sequence number known to be forced when this was written
+ * @param forced the highest sequence number known to be forced when this frame was written
  */
 record Frame(Record record, long forced) {
 
     static final int HEAD = 24;
     static final int OVERHEAD = HEAD + 4;
 
-    /** How many bytes it takes. */
+    /** The size in bytes of a frame with a payload of the given size. */
     static int size(int payload) {
         return payload + OVERHEAD;
     }
 
-    /** Puts a record behind what the buffer holds. */
+    /** Encodes a record at the buffer's position. */
     static void put(Record record, long forced, ByteBuffer into) {
         int start = into.position();
         into.putInt(record.payload().length).putInt(record.type()).putLong(record.sequence()).putLong(forced)
@@ -29,8 +30,8 @@
     }
 
     /**
-     * Reads the frame at the buffer's position, and moves behind it; null, and the position as it was, if
-     * there is none that is whole.
+     * Decodes the frame at the buffer's position and advances past it. Returns null and leaves the position
+     * unchanged if there is no intact frame.
      */
     static Frame take(ByteBuffer from, int mostPayload) {
         int start = from.position();
--- a/src/main/java/cranedeal/fleet/store/FrameReader.java
+++ b/src/main/java/cranedeal/fleet/store/FrameReader.java
@@ -12,26 +12,26 @@
     private final String name;
     private final int mostPayload;
     private final ByteBuffer buffer;
-    /** Where in the file the buffer begins. */
+    /** The offset in the file of the buffer's first byte. */
     private long bufferAt;
     private boolean atEnd;
 
-    /** Reads from an offset on. */
+    /** Reads from an offset to the end of the file. */
     FrameReader(Disk disk, String name, long offset, int mostPayload) {
         this.disk = disk;
         this.name = name;
         this.mostPayload = mostPayload;
-        // Room to look for a frame behind any byte of a chunk.
+        // So that a frame of the largest size fits at any byte of a chunk.
         buffer = ByteBuffer.allocate(CHUNK + Frame.size(mostPayload)).limit(0);
         bufferAt = offset;
     }
 
-    /** Where the next frame begins. */
+    /** The file offset at which the next frame begins. */
     long offset() {
         return bufferAt + buffer.position();
     }
 
-    /** The next frame; null where none that is whole lies, be it the end of the file or not. */
+    /** The next frame; null if no intact frame is at the offset, whether or not the file ends there. */
     Frame next() throws IOException {
         Frame frame = Frame.take(buffer, mostPayload);
         if (frame == null && refill()) {
@@ -40,7 +40,7 @@
         return frame;
     }
 
-    /** The next whole frame, be it behind bytes that are none; null if there is none up to the end. */
+    /** The next intact frame, skipping bytes that belong to none; null if none is left in the file. */
     Frame nextBehindDamage() throws IOException {
         while (true) {
             if (!atEnd && buffer.remaining() < Frame.size(mostPayload)) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Drops what was read and reads on; false if nothing more came. */
+    /** Drops the consumed bytes and reads more; returns false if the file has no more. */
     private boolean refill() throws IOException {
         bufferAt += buffer.position();
         buffer.compact();
--- a/src/main/java/cranedeal/fleet/store/GroupCommit.java
+++ b/src/main/java/cranedeal/fleet/store/GroupCommit.java
@@ -9,19 +9,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Lets many threads append to one store and share its forces: whatever has come while one force was under way
- * goes with the next. The store belongs to this object's thread from then on.
+ * Lets many threads append to one store and share its forces: records that arrive while a force is in
+ * progress are committed together by the next one. The store is used only by this object's thread from then
+ * on.
  */
 public final class GroupCommit implements Closeable {
 
-    /** Something to do with the store, between two batches. */
+    /** A task that uses the store between two batches. */
     public interface Task<T> {
 
-        /** Does it. */
+        /** Runs the task. */
         T run(Store store) throws IOException;
     }
 
-    /** An append, or another task if {@code payload} is null. */
+    /** An append, or a task if {@code payload} is null. */
     private record Call(int type, byte[] payload, Task<?> task, CompletableFuture<Object> result) { }
 
     private static final Call LAST = new Call(0, null, null, null);
@@ -31,7 +32,12 @@
     private final Thread thread;
     private volatile boolean closed;
 
-    /** Takes over a store, with so many calls that may wait. */
+    /**
+     * Takes over a store.
+     *
+     * @param mostWaiting how many operations may wait; more are refused
+     * @param name the name of the thread
+     */
     public GroupCommit(Store store, int mostWaiting, String name) {
         this.store = store;
         calls = new ArrayBlockingQueue<>(mostWaiting);
@@ -41,14 +47,14 @@
     }
 
     /**
-     * Appends a record; the result is its sequence number, once it is kept. It fails with {@link
-     * StoreException} if it could not be kept, or at once if too many wait.
+     * Appends a record. The result completes with its sequence number once the record is forced to disk. It
+     * fails with {@link StoreException} if that was not possible, or at once if too many operations wait.
      */
     public CompletableFuture<Long> append(int type, byte[] payload) {
         return offer(new Call(type, payload, null, new CompletableFuture<>())).thenApply(Long.class::cast);
     }
 
-    /** Has something done on the store's thread, all that was appended before being kept by then. */
+    /** Runs a task on the store's thread, after everything appended before it has been forced to disk. */
     @SuppressWarnings("unchecked")
     public <T> CompletableFuture<T> run(Task<T> task) {
         return offer(new Call(0, null, task, new CompletableFuture<>())).thenApply(result -> (T) result);
@@ -57,7 +63,7 @@
     private CompletableFuture<Object> offer(Call call) {
         if (closed || !calls.offer(call)) {
             call.result().completeExceptionally(new StoreException(closed ? "the store is closed"
-                    : "too much waits to be written; try again"));
+                    : "too many operations wait to be written; try again"));
         }
         return call.result();
     }
@@ -79,7 +85,7 @@
                 if (call != null && call.task() != null) {
                     perform(call);
                 } else if (call != null && call.payload() != null) {
-                    // It begins the next batch.
+                    // It did not fit in the batch, so it is committed on its own.
                     append(call);
                     commit(List.of(call));
                 }
@@ -125,7 +131,7 @@
         }
     }
 
-    /** Keeps what waits, and closes the store. */
+    /** Commits what waits in the queue and closes the store. */
     @Override
     public void close() throws IOException {
         closed = true;
--- a/src/main/java/cranedeal/fleet/store/Record.java
+++ b/src/main/java/cranedeal/fleet/store/Record.java
@@ -1,11 +1,11 @@
 package cranedeal.fleet.store;
 
 /**
- * What a store keeps.
+ * A record of the journal.
  *
- * @param sequence counts records from 1, with no gap
- * @param type means what its owner says; 0 and above
- * @param payload belongs to whoever holds the record, and is not changed any more
+ * @param sequence the sequence number; the first record has 1, and there are no gaps
+ * @param type 0 or above; its meaning is up to the owner of the store
+ * @param payload must not be changed once it is in the record
  */
 public record Record(long sequence, int type, byte[] payload) {
 }
--- a/src/main/java/cranedeal/fleet/store/Recovery.java
+++ b/src/main/java/cranedeal/fleet/store/Recovery.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Reads what a folder holds and changes nothing: the newest snapshot that is whole, and the records behind
- * it. A tear at the end of the last segment is told apart from damage by the records behind it: if one of
- * them says that the missing one was forced, that was acknowledged, and the store must not be used.
+ * Reads a folder without changing it: the newest intact snapshot, and the records after it. A gap at the end
+ * of the last segment is an incomplete write, or damage. The frames after the gap tell these apart: if one of
+ * them says that the missing record was forced, the record was acknowledged, and the store must not be used.
  */
 final class Recovery {
 
@@ -22,21 +22,21 @@
     }
 
     /**
-     * What was found.
+     * The result of a recovery.
      *
-     * @param last the highest sequence number of all
-     * @param records how many records behind the snapshot were read
-     * @param bytes what these take up
-     * @param segment the segment to write on; null if there is none
-     * @param end where its whole records end, in bytes
-     * @param torn how many bytes lie behind that
-     * @param unfinished files that were never finished, and may be deleted
-     * @param notes what somebody should know, a line each
+     * @param last the highest sequence number
+     * @param records how many records after the snapshot were read
+     * @param bytes the size of these records in the journal
+     * @param segment the segment to append to; null if there is none
+     * @param end the offset in bytes at which its intact records end
+     * @param torn the number of bytes after that, which an incomplete write left
+     * @param unfinished files that were never finished and may be deleted
+     * @param notes messages for the operator, a line each
      */
     record Found(long last, long records, long bytes, String segment, long end, long torn,
             List<String> unfinished, List<String> notes) { }
 
-    /** Reads all; throws {@link StoreDamagedException} for acknowledged records that can't be read. */
+    /** Reads everything; throws {@link StoreDamagedException} if an acknowledged record can't be read. */
     Found read(ReplayHandler reader) throws IOException {
         List<String> unfinished = new ArrayList<>();
         List<String> notes = new ArrayList<>();
@@ -52,11 +52,11 @@
             if (isWhole(name)) {
                 used = name;
             } else {
-                notes.add(name + " is damaged and was left out");
+                notes.add(name + " is damaged and was skipped");
             }
         }
         if (used == null && !snapshots.isEmpty()) {
-            throw new StoreDamagedException(snapshots.get(snapshots.size() - 1), 0, "no snapshot is whole");
+            throw new StoreDamagedException(snapshots.get(snapshots.size() - 1), 0, "no snapshot is intact");
         }
         long covered = used == null ? 0 : FileKind.SNAPSHOT.number(used);
         if (used != null) {
@@ -65,7 +65,7 @@
         return segments(reader, covered, unfinished, notes);
     }
 
-    /** The finished files of a kind, by their numbers. */
+    /** The finished files of a kind, ordered by number. */
     List<String> files(FileKind kind) throws IOException {
         return disk.fileNames().stream().filter(kind::has)
                 .sorted(Comparator.comparing(kind::number, Long::compareUnsigned)).toList();
@@ -91,9 +91,9 @@
             long first = FileKind.JOURNAL.number(name);
             if (!hasHead(name)) {
                 mayBeTorn(name, 0, first, isLast);
-                // It was made but never used.
+                // It was created, but nothing was written to it.
                 unfinished.add(name);
-                notes.add(name + " was never begun");
+                notes.add(name + " was created but never used");
                 break;
             }
             if (first > last + 1) {
@@ -106,10 +106,10 @@
             end = FileKind.HEAD;
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 if (frame.record().sequence() != expected) {
-                    throw new StoreDamagedException(name, end, "record " + expected + " is wanted, and "
-                            + frame.record().sequence() + " is there");
+                    throw new StoreDamagedException(name, end, "record " + expected + " is expected, but "
+                            + frame.record().sequence() + " was found");
                 }
-                // What a snapshot or an earlier segment holds was told already.
+                // Records that the snapshot or an earlier segment holds were replayed already.
                 if (expected > last) {
                     reader.record(frame.record());
                     last = expected;
@@ -123,14 +123,14 @@
             torn = disk.size(name) - end;
             if (torn > 0) {
                 mayBeTorn(name, end, expected, isLast);
-                notes.add(name + " was cut at byte " + end + ", " + torn
-                        + " bytes behind it were never acknowledged");
+                notes.add(name + " was truncated at byte " + end + "; the " + torn
+                        + " bytes after it were never acknowledged");
             }
         }
         return new Found(last, records, bytes, current, end, torn, unfinished, notes);
     }
 
-    /** Throws unless what is not whole at a place can only be what was never acknowledged. */
+    /** Throws if the record that is missing at an offset was acknowledged. */
     private void mayBeTorn(String name, long offset, long missing, boolean isLast) throws IOException {
         boolean acknowledged = !isLast;
         FrameReader frames = new FrameReader(disk, name, offset, limits.maxRecordBytes());
@@ -140,7 +140,7 @@
         }
         if (acknowledged) {
             throw new StoreDamagedException(name, offset, "record " + missing
-                    + " was acknowledged and is not whole");
+                    + " was acknowledged but is not intact");
         }
     }
 
@@ -150,9 +150,9 @@
         return FileKind.JOURNAL.isHead(head.flip(), segment);
     }
 
-    /** The segments that hold nothing but what a snapshot covers, of all in their order. */
+    /** Of all segments in order, those whose records are all included in the snapshot. */
     static List<String> unneeded(List<String> segments, long covered) {
-        // A segment is needed unless the next one begins at or before the first record that is not covered.
+        // A segment is obsolete if the next one begins at or before the first record that is not included.
         int count = 0;
         while (count + 1 < segments.size()
                 && FileKind.JOURNAL.number(segments.get(count + 1)) <= covered + 1) {
--- a/src/main/java/cranedeal/fleet/store/Repair.java
+++ b/src/main/java/cranedeal/fleet/store/Repair.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Makes a damaged folder usable again, at an operator's word only: keeps a copy of all files, and cuts at the
- * damage. What lay behind it is gone from the store, and is listed.
+ * Makes a damaged folder usable again; only run at an operator's request. Copies all files to a backup,
+ * truncates the store at the damage, and lists the records after it, which are lost to the store.
  */
 public final class Repair {
 
@@ -19,12 +19,12 @@
     }
 
     /**
-     * What was done.
+     * The result of a repair.
      *
-     * @param backupFolder where the files of before are
-     * @param repairedDamage what was damaged, and is cut; empty if nothing was
-     * @param droppedSequences the sequence numbers of whole records that were dropped, the first thousand
-     * @param droppedCount how many those were in all
+     * @param backupFolder the folder with the files as they were before; null if nothing was repaired
+     * @param repairedDamage a message for each damage that was cut out; empty if there was none
+     * @param droppedSequences the sequence numbers of intact records that were dropped, at most 1000 of them
+     * @param droppedCount how many intact records were dropped in all
      */
     public record Outcome(Path backupFolder, List<String> repairedDamage, List<Long> droppedSequences,
             long droppedCount) { }
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Repairs a folder; what needs none is left as it is.
+     * Repairs a folder. A folder without damage is left unchanged.
      *
-     * @param keepIn a folder that is not there yet, for the files of before
+     * @param keepIn the backup folder, which must not exist yet
      */
     public static Outcome repair(Path folder, StoreLimits limits, Path keepIn) throws IOException {
         FolderDisk disk = new FolderDisk(folder);
@@ -87,12 +87,12 @@
 
                 @Override
                 public void snapshotChunk(byte[] piece) {
-                    // Only whether it can be read is asked.
+                    // Reading it is the check.
                 }
 
                 @Override
                 public void record(Record record) {
-                    // Only whether it can be read is asked.
+                    // Reading it is the check.
                 }
             });
             return null;
@@ -108,7 +108,9 @@
         }
     }
 
-    /** Cuts a file at its damage and drops what lies behind; returns how many whole records that were. */
+    /**
+     * Truncates a file at its damage and deletes later files; returns how many intact records were dropped.
+     */
     private static long cut(Disk disk, StoreLimits limits, StoreDamagedException damage, List<Long> dropped)
             throws IOException {
         if (FileKind.SNAPSHOT.has(damage.file())) {
--- a/src/main/java/cranedeal/fleet/store/ReplayHandler.java
+++ b/src/main/java/cranedeal/fleet/store/ReplayHandler.java
@@ -1,11 +1,11 @@
 package cranedeal.fleet.store;
 
-/** Is told what a store holds: the pieces of the snapshot, if there is one, then the records behind it. */
+/** Receives a store's contents: the chunks of the snapshot, if there is one, then the records after it. */
 public interface ReplayHandler {
 
-    /** A piece of the snapshot, as its owner wrote it. */
+    /** Called for each chunk of the snapshot, as it was written. */
     void snapshotChunk(byte[] piece);
 
-    /** A record; none comes twice, and none is left out. */
+    /** Called for each record in order, without gaps or duplicates. */
     void record(Record record);
 }
--- a/src/main/java/cranedeal/fleet/store/Snapshots.java
+++ b/src/main/java/cranedeal/fleet/store/Snapshots.java
@@ -4,7 +4,10 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** How a snapshot lies in its file: pieces as frames numbered from 1, and a last one that says how many. */
+/**
+ * The format of a snapshot file: chunks as frames numbered from 1, and an end marker with the next number,
+ * which shows that no chunk is missing.
+ */
 final class Snapshots {
 
     private static final int PIECE = 0;
@@ -21,7 +24,10 @@
         return new Record(number, END, new byte[0]);
     }
 
-    /** Tells the pieces of a snapshot; false if it is not whole, be it that some were told by then. */
+    /**
+     * Passes on the chunks of a snapshot. Returns false if the snapshot is not intact; some chunks may have
+     * been passed on by then.
+     */
     static boolean pieces(Disk disk, String name, StoreLimits limits, Consumer<byte[]> to)
             throws IOException {
         String finished = name.endsWith(FileKind.UNFINISHED)
--- a/src/main/java/cranedeal/fleet/store/Store.java
+++ b/src/main/java/cranedeal/fleet/store/Store.java
@@ -8,25 +8,27 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A journal with snapshots in one folder. Belongs to one thread; to share its forces among many, see {@link
- * GroupCommit}.
+ * A journal with snapshots in one folder. Not thread-safe; {@link GroupCommit} shares a store and its forces
+ * among threads.
  *
- * <p>{@link #append} only collects; what was appended is kept once {@link #force} has returned. If writing
- * fails, as on a full disk, what was collected is dropped, and the store goes on from where it was. If
- * forcing fails, nobody knows what is on the disk: the store says so from then on and does nothing more
- * (Rebello et al., Can Applications Recover from fsync Failures?, 2020).
+ * <p>{@link #append} only collects records in a batch; they are on disk once {@link #force} has returned. If
+ * a write fails, as on a full disk, the batch is dropped and the store can be used further. If a force fails,
+ * it is unknown what is on the disk: appends, forces and snapshots fail from then on, and the store must be
+ * opened anew (Rebello et al., Can Applications Recover from fsync Failures?, 2020).
  */
 public final class Store implements Closeable {
 
-    /** How many snapshots are kept. */
+    /** The number of snapshots that are kept. */
     private static final int GENERATIONS = 2;
+    /** The longest force time that the histogram records, in microseconds. */
     private static final long HIGHEST_US = 600_000_000;
     /**
-     * Share of the state's size from which on records are reason for a snapshot. Twice that is kept beside
-     * two snapshots, which leaves some for frames where three times the state is the most.
+     * A snapshot is due when the records since the last one exceed this share of the state's size. Records of
+     * up to twice this share are kept beside two snapshots, which leaves room for the frames' overhead within
+     * the bound of three times the state.
      */
     private static final double BEHIND = 0.4;
-    /** Records of fewer bytes are no reason for a snapshot. */
+    /** No snapshot is due while the records since the last one take fewer bytes. */
     private static final long LEAST_BEHIND = 1 << 16;
 
     private final Disk disk;
@@ -43,11 +45,12 @@
     private long last;
     private long forced;
     private long bytes;
-    /** What the records behind the newest snapshot take up, in bytes. */
+    /** The size of the records after the newest snapshot, in bytes. */
     private long behind;
-    /** Whether the next write begins a segment, so that the one before can go as a whole. */
+    /** True if the next write begins a segment, so that the one before it can be deleted as a whole. */
     private boolean rollNext;
     private boolean writingSnapshot;
+    /** The failure after which the store can't be used any more; null if there was none. */
     private StoreException poison;
 
     private Store(Disk disk, StoreLimits limits, Closeable lock, Recovery recovery, Recovery.Found found,
@@ -64,7 +67,8 @@
     }
 
     /**
-     * Opens a folder's store, and tells what it holds. A tear is cut off; {@link Stats#notes()} says so.
+     * Opens a folder's store and replays its contents. The rest of an incomplete last write is cut off, which
+     * {@link Stats#notes()} reports.
      * Throws {@link StoreInUseException} if another process has the folder, {@link StoreDamagedException} if
      * what was
      * acknowledged can't be read, and {@link StoreException} if a later version wrote it.
@@ -90,7 +94,7 @@
         }
     }
 
-    /** Cuts what is torn, and has all that was read forced: it may have been written and never forced. */
+    /** Cuts off an incomplete write, and forces what was read: it may have been written but never forced. */
     private void begin() throws IOException {
         if (found.segment() != null) {
             segmentName = found.segment();
@@ -108,11 +112,11 @@
         forced = last;
     }
 
-    /** What a store has done since it was opened, and what it found then. */
+    /** Counters since the store was opened, and the result of its recovery. */
     public record Stats(long last, long forced, long bytes, long forces, double forceP50Ms,
             double forceP99Ms, long recovered, double recoveryMs, long cut, List<String> notes) { }
 
-    /** The figures. */
+    /** The current counters. */
     public Stats stats() {
         return new Stats(last, forced, bytes, forceMicros.getTotalCount(),
                 forceMicros.getValueAtPercentile(50) / 1e3, forceMicros.getValueAtPercentile(99) / 1e3,
@@ -124,26 +128,26 @@
         return last;
     }
 
-    /** Up to which sequence number all is kept. */
+    /** The sequence number up to which all records are on disk. */
     public long forcedSequence() {
         return forced;
     }
 
     /**
-     * Collects a record, and returns its sequence number. Throws {@link IllegalArgumentException} for one
-     * that is larger than the limits say, and {@link StoreException} if what is collected has to be forced
+     * Adds a record to the batch and returns its sequence number. Throws {@link IllegalArgumentException} if
+     * the record exceeds the limits, and {@link StoreException} if the batch has no room and must be forced
      * first.
      */
     public long append(int type, byte[] payload) throws IOException {
         usable();
         if (payload.length > limits.maxRecordBytes() || type < 0) {
-            throw new IllegalArgumentException("no record of type " + type + " with " + payload.length
-                    + " bytes");
+            throw new IllegalArgumentException("a record of type " + type + " with " + payload.length
+                    + " bytes is not allowed");
         }
         int size = Frame.size(payload.length);
         if (batch.position() + size > limits.maxBatchBytes()) {
             throw new StoreException("more than " + limits.maxBatchBytes()
-                    + " bytes are collected; force them");
+                    + " bytes wait to be written; force them first");
         }
         if (batch.remaining() < size) {
             int larger = Math.min(limits.maxBatchBytes(), Math.max(2 * batch.capacity(), batch.position()
@@ -155,13 +159,13 @@
         return last;
     }
 
-    /** Whether a record of a size can be appended before the next force. */
+    /** Returns true if a payload of this size can be appended before the next force. */
     public boolean fitsInBatch(int payload) {
         return batch.position() + Frame.size(payload) <= limits.maxBatchBytes();
     }
 
     /**
-     * Keeps all that was appended. If this throws, nothing of it is kept for sure.
+     * Writes and forces all that was appended. If this throws, none of it is guaranteed to be on disk.
      */
     public void force() throws IOException {
         usable();
@@ -202,25 +206,25 @@
         bytes += size;
     }
 
-    /** Takes back a write that did not come to its end. */
+    /** Removes what an incomplete write has left. */
     private void cutBack(IOException cause) throws IOException {
         if (segment != null) {
             try {
                 segment.truncate(segmentSize);
-                // Or what was dropped might be back after a power loss, between records that were not.
+                // Without the force, dropped records could reappear after a power loss, between others.
                 segment.force();
             } catch (IOException e) {
                 e.addSuppressed(cause);
-                throw poisoned("cannot cut " + segmentName + " back after a failed write", e);
+                throw poisoned("cannot truncate " + segmentName + " after a failed write", e);
             }
         }
     }
 
-    /** Begins a segment; all of the one before is forced by then. */
+    /** Begins a new segment. Everything in the one before has been forced by then. */
     private void roll() throws IOException {
         String name = FileKind.JOURNAL.name(forced + 1);
         if (disk.fileNames().contains(name)) {
-            // An earlier try that came to nothing.
+            // Left by an earlier attempt that failed.
             disk.delete(name);
         }
         Disk.Output fresh = disk.create(name);
@@ -249,30 +253,31 @@
     }
 
     /**
-     * Whether a snapshot of a state of so many bytes is worth its write by now. Taken whenever it is, the
-     * two snapshots and the records that are kept come to less than three times the state, or to some 130 kB
-     * more than two of it where it is small.
+     * Returns true if enough records have been written since the last snapshot to write another one of a
+     * state of this size. If a snapshot is written whenever one is due, the two snapshots and the records
+     * that are kept take less than three times the state's size, or some 130 kB more than twice its size if
+     * it is small.
      */
     public boolean isSnapshotDue(long stateBytes) {
         return behind >= Math.max(LEAST_BEHIND, (long) (BEHIND * stateBytes));
     }
 
     /**
-     * Begins a snapshot of the state that all forced records have led to. Records may be appended while it is
-     * written; one snapshot at a time.
+     * Begins a snapshot of the state after all forced records. Records may be appended while it is written.
+     * Only one snapshot can be written at a time.
      */
     public Snapshot snapshot() throws IOException {
         usable();
         if (writingSnapshot) {
-            throw new StoreException("a snapshot is being written");
+            throw new StoreException("another snapshot is being written");
         }
         if (forced == 0) {
-            throw new StoreException("there is nothing to make a snapshot of");
+            throw new StoreException("no record is on disk, so there is no state to snapshot");
         }
         return new Snapshot(forced);
     }
 
-    /** A snapshot that is being written. Closed without {@link #commit} it leaves nothing. */
+    /** A snapshot that is being written. It is deleted if closed without {@link #commit}. */
     public final class Snapshot implements Closeable {
 
         private final long covers;
@@ -302,15 +307,15 @@
             }
         }
 
-        /** The highest sequence number that it stands for. */
+        /** The sequence number of the last record that is included. */
         public long lastIncludedSequence() {
             return covers;
         }
 
-        /** Writes a piece; what it means is its owner's affair. */
+        /** Writes a chunk of the state, in a format of the owner's choice. */
         public void write(byte[] piece) throws IOException {
             if (piece.length > limits.maxRecordBytes()) {
-                throw new IllegalArgumentException("a piece of " + piece.length + " bytes");
+                throw new IllegalArgumentException("a chunk of " + piece.length + " bytes is too large");
             }
             pieces++;
             put(Snapshots.piece(pieces, piece));
@@ -322,7 +327,7 @@
             out.write(frame.flip());
         }
 
-        /** Puts it in place once it is read back whole, and drops what is needed no more. */
+        /** Reads the snapshot back, puts it in place if it is intact, and deletes obsolete files. */
         public void commit() throws IOException {
             usable();
             put(Snapshots.end(pieces + 1));
@@ -330,7 +335,7 @@
             out.close();
             String unfinished = name + FileKind.UNFINISHED;
             if (!Snapshots.pieces(disk, unfinished, limits, piece -> { })) {
-                throw new StoreException(unfinished + " does not read back as it was written");
+                throw new StoreException(unfinished + " is not intact when read back");
             }
             disk.rename(unfinished, name);
             try {
@@ -345,7 +350,7 @@
             compact();
         }
 
-        /** Drops it, unless it was committed. */
+        /** Deletes the snapshot unless it was committed. */
         @Override
         public void close() throws IOException {
             if (!ended) {
@@ -357,7 +362,7 @@
         }
     }
 
-    /** Deletes snapshots but the newest two, and the segments that the older of these covers. */
+    /** Deletes all snapshots but the newest two, and the segments that the older of these includes. */
     private void compact() throws IOException {
         List<String> snapshots = new ArrayList<>(recovery.files(FileKind.SNAPSHOT));
         while (snapshots.size() > GENERATIONS) {
@@ -367,7 +372,7 @@
             return;
         }
         long covered = FileKind.SNAPSHOT.number(snapshots.get(0));
-        // Those snapshots' names are forced, so it does not matter which deletions outlast a power loss.
+        // The directory entries of both snapshots are forced, so any of these deletions may be lost or kept.
         for (String name : Recovery.unneeded(recovery.files(FileKind.JOURNAL), covered)) {
             disk.delete(name);
         }
@@ -376,17 +381,17 @@
 
     private void usable() throws StoreException {
         if (poison != null) {
-            throw new StoreException("the store is out of use: " + poison.getMessage(), poison);
+            throw new StoreException("the store can't be used: " + poison.getMessage(), poison);
         }
     }
 
     private StoreException poisoned(String what, IOException cause) {
         poison = new StoreException(what + ": " + cause.getMessage()
-                + "; what is on the disk is not known, so the store has to be opened anew", cause);
+                + "; the state on disk is unknown, so the store has to be opened anew", cause);
         return poison;
     }
 
-    /** Ends; what was appended and not forced is dropped. */
+    /** Closes the store. Records that were appended but not forced are dropped. */
     @Override
     public void close() throws IOException {
         try {
--- a/src/main/java/cranedeal/fleet/store/StoreDamagedException.java
+++ b/src/main/java/cranedeal/fleet/store/StoreDamagedException.java
@@ -1,6 +1,6 @@
 package cranedeal.fleet.store;
 
-/** What was acknowledged can't be read any more; nothing was changed. */
+/** Acknowledged records can't be read any more. The files were not changed. */
 public final class StoreDamagedException extends StoreException {
 
     private static final long serialVersionUID = 1;
@@ -9,17 +9,17 @@
 
     StoreDamagedException(String file, long offset, String what) {
         super(file + " is damaged at byte " + offset + ": " + what
-                + "; 'fleet store verify' shows what is left, 'fleet store repair' cuts there");
+                + "; 'fleet store verify' shows the state, 'fleet store repair' truncates the store there");
         this.file = file;
         this.offset = offset;
     }
 
-    /** The file that is damaged. */
+    /** The name of the damaged file. */
     public String file() {
         return file;
     }
 
-    /** Where its damage begins, in bytes. */
+    /** The offset in bytes at which the damage begins. */
     public long offset() {
         return offset;
     }
--- a/src/main/java/cranedeal/fleet/store/StoreException.java
+++ b/src/main/java/cranedeal/fleet/store/StoreException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A store can't be opened or used; the message is one plain line that names the file. */
+/** A store can't be opened or used. The message is a single line for the operator. */
 public class StoreException extends IOException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cranedeal/fleet/store/StoreInUseException.java
+++ b/src/main/java/cranedeal/fleet/store/StoreInUseException.java
@@ -1,6 +1,6 @@
 package cranedeal.fleet.store;
 
-/** Another process has the folder now. */
+/** The folder is locked by another process. */
 public final class StoreInUseException extends StoreException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cranedeal/fleet/store/package-info.java
+++ b/src/main/java/cranedeal/fleet/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a process keeps on disk: a journal, its snapshots, and recovery from both. Here goes whatever must be
- * on disk before it is acknowledged, whoever acknowledges it; what the records mean is their owners' affair.
- * Uses nothing else of this project.
+ * Durable storage of a process: a journal, its snapshots, and recovery from both. Everything that must be on
+ * disk before it is acknowledged is stored here. The owners of the records define what these mean. Depends on
+ * no other package of this project.
  */
 package cranedeal.fleet.store;
