--- a/src/main/java/cranedeal/fleet/command/CommandException.java
+++ b/src/main/java/cranedeal/fleet/command/CommandException.java
@@ -1,6 +1,6 @@
 package cranedeal.fleet.command;
 
-/** A command can't do what it was asked for; the message is one plain line for whoever asked. */
+/** A command failed. The message is a single line for the user. */
 public final class CommandException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cranedeal/fleet/command/ConfigCommand.java
+++ b/src/main/java/cranedeal/fleet/command/ConfigCommand.java
@@ -30,15 +30,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Changes the configuration of a fleet, and shows who goes by which version. */
+/** Changes the configuration of a fleet and shows which process uses which version. */
 @Command(name = "config", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
         subcommands = ConfigStatusCommand.class,
-        description = "Publishes the configuration of a fleet, and shows who goes by which version.")
+        description = "Publishes the configuration of a fleet and shows which process uses which version.")
 final class ConfigCommand implements Callable<Integer> {
 
     static final JsonMapper JSON = new JsonMapper();
     static final Duration CONNECT = Duration.ofSeconds(2);
-    /** Longer than a coordinator waits for the others. */
+    /** Longer than a coordinator waits for the other coordinators. */
     private static final Duration PATIENCE = Duration.ofSeconds(6);
 
     @Spec
@@ -49,11 +49,11 @@
         return Program.missingSubcommand(spec);
     }
 
-    /** Where coordinators listen. */
+    /** The options that say which coordinators to ask. */
     static final class To {
 
         @Option(names = "--to", paramLabel = "ADDRESS", split = ",", required = true,
-                description = "Where coordinators listen; the first that answers tells who leads.")
+                description = "Where coordinators listen; the first one that answers names the leader.")
         private List<String> addresses;
         @Option(names = "--json", description = "Answer in JSON.")
         private boolean json;
@@ -70,14 +70,14 @@
         }
     }
 
-    /** How a change is known. */
+    /** The options that identify a change. */
     static final class Operation {
 
         @Option(names = "--operation", paramLabel = "ID",
-                description = "By which the change is known if it is asked for again; drawn if not given.")
+                description = "Identifies the change, so that it can be retried safely; random if not given.")
         private String id;
         @Option(names = "--author", paramLabel = "NAME",
-                description = "Who changes it; the user if not given.")
+                description = "The author of the change; the current user if not given.")
         private String author;
 
         String query() {
@@ -89,7 +89,8 @@
 
     static void requireAddress(String address) throws CommandException {
         if (!address.matches("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}")) {
-            throw new CommandException(Program.USAGE_ERROR, "'" + address + "' is no address with a port");
+            throw new CommandException(Program.USAGE_ERROR, "'" + address
+                    + "' is not an address with a port");
         }
     }
 
@@ -99,8 +100,8 @@
 
     @Command(name = "publish", mixinStandardHelpOptions = true,
             description = "Publishes a document as the newest version. Exit code 0: it is on the disks of a"
-                    + " majority of the coordinators; 1: it is not, or not for sure; 2: it can't be"
-                    + " published.")
+                    + " majority of the coordinators; 1: it is not, or that is unknown; 2: the document"
+                    + " or an argument is invalid.")
     private int publish(@Parameters(paramLabel = "FILE", description = "The document, in JSON.") Path file,
             @Mixin To to, @Mixin Operation operation) throws CommandException {
         byte[] document;
@@ -117,7 +118,7 @@
 
     @Command(name = "rollback", mixinStandardHelpOptions = true,
             description = "Publishes the document of an earlier version again, as the newest version. Exit"
-                    + " code as publish has it.")
+                    + " codes as for publish.")
     private int rollback(@Parameters(paramLabel = "NUMBER",
             description = "The number of the earlier version.") long number, @Mixin To to,
             @Mixin Operation operation) throws CommandException {
@@ -126,11 +127,11 @@
     }
 
     @Command(name = "take-over", mixinStandardHelpOptions = true,
-            description = "Has one coordinator lead from now on, under a higher epoch: at the start of a"
-                    + " fleet, and when the one that led is lost. Exit code 0: it leads; 1: it does not.")
+            description = "Makes one coordinator the leader, with a higher epoch: when a fleet is first"
+                    + " started, or when the leader is lost. Exit code 0: it leads; 1: it does not.")
     private int takeOver(@Mixin To to) throws CommandException {
         if (to.addresses().size() > 1) {
-            throw new CommandException(Program.USAGE_ERROR, "one coordinator can lead; --to names "
+            throw new CommandException(Program.USAGE_ERROR, "only one coordinator can lead, but --to names "
                     + to.addresses().size());
         }
         Answer answer = ask(to.addresses().get(0), ConfigCalls.TAKE_OVER, new byte[0]);
@@ -139,11 +140,11 @@
         }
         boolean done = answer.status() == 200;
         tell(to, answer, done ? to.addresses().get(0) + " leads with epoch "
-                + answer.json().path("epoch").asText() : "it does not lead: " + answer.why());
+                + answer.json().path("epoch").asText() : "the coordinator does not lead: " + answer.why());
         return done ? 0 : 1;
     }
 
-    /** An answer of a coordinator. */
+    /** A coordinator's answer. */
     private record Answer(int status, JsonNode json, String text) {
 
         String why() {
@@ -167,7 +168,8 @@
                 continue;
             }
             boolean settled = answer.status() != 409 && answer.status() != 503;
-            // Whoever is not sure may lead no longer, and whoever does knows the operation if it got there.
+            // A coordinator that isn't sure may have lost the lead; the new leader knows the operation if it
+            // got through.
             last = settled || last == null || last.status() == 409 ? answer : last;
             if (settled) {
                 break;
@@ -177,7 +179,7 @@
                 left.addFirst(leader);
             }
         }
-        String again = "; with --operation " + operation + " it can be asked for again without harm";
+        String again = "; it can be retried safely with --operation " + operation;
         if (last == null) {
             throw new CommandException(1, "no coordinator answers at " + String.join(", ", asked) + again);
         }
@@ -186,7 +188,7 @@
         tell(to, last, done ? "version " + last.json().path("version").asText()
                 + " is on the disks of a majority of the coordinators"
                 + (last.why().isEmpty() ? "" : " (" + last.why() + ")")
-                : "it was not published: " + last.why() + (silent.contains(last.json().path("leader")
+                : "the version was not published: " + last.why() + (silent.contains(last.json().path("leader")
                 .asText()) ? " and does not answer; see fleet config take-over" : "")
                 + (unsure ? again : ""));
         return done ? 0 : last.status() == 400 ? Program.USAGE_ERROR : 1;
--- a/src/main/java/cranedeal/fleet/command/ConfigStatusCommand.java
+++ b/src/main/java/cranedeal/fleet/command/ConfigStatusCommand.java
@@ -25,11 +25,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Shows which version each process of a fleet has, by asking each. */
+/** Asks each process of a fleet for its configuration version and shows them. */
 @Command(name = "status", mixinStandardHelpOptions = true,
-        description = "Shows who goes by which version, by asking each member that --to sees, be that a"
-                + " coordinator or not. Exit code 0: all go by the newest, and a coordinator leads; 1: not"
-                + " so; 2: nothing was asked.")
+        description = "Shows which process uses which version, by asking each member that --to sees;"
+                + " --to may name any members. Exit code 0: all use the newest version, and a coordinator"
+                + " leads; 1: otherwise; 2: wrong arguments, nothing was asked.")
 final class ConfigStatusCommand implements Callable<Integer> {
 
     private static final Duration PATIENCE = Duration.ofSeconds(3);
@@ -52,7 +52,7 @@
             view = its == null ? view : its;
         }
         if (view == null || !view.has("members")) {
-            throw new CommandException(1, "nobody answers at " + String.join(", ", to.addresses()));
+            throw new CommandException(1, "no member answers at " + String.join(", ", to.addresses()));
         }
         Map<String, CompletableFuture<JsonNode>> asked = new LinkedHashMap<>();
         Map<String, JsonNode> members = new LinkedHashMap<>();
@@ -78,7 +78,7 @@
         return status.path("whole").asBoolean() ? 0 : 1;
     }
 
-    /** A JSON answer; null if there is none, and an empty object if it is another one. */
+    /** The answer in JSON; null if there is none, and an empty object for a status other than 200. */
     private CompletableFuture<JsonNode> ask(String address, String path) {
         room.acquireUninterruptibly();
         return http.sendAsync(HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(PATIENCE)
@@ -98,7 +98,7 @@
         return of.hasNonNull(key) ? VersionId.parse(of.path(key).asText()) : VersionId.NONE;
     }
 
-    /** Who has what, of those that answered and those that did not. */
+    /** Summarises the versions of all members; those that did not answer have a null answer. */
     private static ObjectNode status(Map<String, JsonNode> members, Map<String, JsonNode> answers) {
         VersionId newest = VersionId.NONE;
         for (JsonNode answer : answers.values()) {
@@ -166,8 +166,8 @@
     private static void show(ObjectNode status, PrintWriter out) {
         String newest = status.path("newest").asText();
         if (status.path("coordinators_answering").asInt() == 0) {
-            out.println("no coordinator answers: all serve on by what they have, and nothing can be"
-                    + " published");
+            out.println("no coordinator answers: all serve on with the configuration they have, and nothing"
+                    + " can be published");
         } else if (status.path("leader").asText().isEmpty()) {
             out.println("no coordinator leads, so nothing can be published; see fleet config take-over");
         } else {
--- a/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
+++ b/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
@@ -20,9 +20,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A process that keeps the configuration of a fleet. */
+/** Runs a coordinator, a process that stores the configuration of a fleet. */
 @Command(name = "coordinator", mixinStandardHelpOptions = true,
-        description = "Runs one of the processes, three usually, that keep the configuration of a fleet."
+        description = "Runs one of the processes, usually three, that store the configuration of a fleet."
                 + " SIGTERM ends it.")
 public final class CoordinatorCommand implements Role, Callable<Integer> {
 
@@ -30,25 +30,26 @@
             "state_dir", "zone", "probe_period_ms");
     private static final double USUAL_PERIOD_MS = 1_000;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "A file in JSON with fleet, name, listen,"
-            + " advertise, peers, state_dir, zone, probe_period_ms. Flags go before it.")
+    @Option(names = "--config", paramLabel = "FILE", description = "A JSON file with fleet, name, listen,"
+            + " advertise, peers, state_dir, zone, probe_period_ms. Options override it.")
     private Path file;
     @Option(names = "--fleet", paramLabel = "NAME", description = "The fleet's name.")
     private String fleet;
     @Option(names = "--name", paramLabel = "NAME", description = "This coordinator's name in the fleet.")
     private String name;
-    @Option(names = "--listen", paramLabel = "ADDRESS", description = "Where it listens, as 127.0.0.1:9301.")
+    @Option(names = "--listen", paramLabel = "ADDRESS",
+            description = "Where it listens, such as 127.0.0.1:9301.")
     private String listen;
     @Option(names = "--advertise", paramLabel = "ADDRESS",
-            description = "Where the others reach it; --listen if not given.")
+            description = "Where the others reach it; same as --listen if not given.")
     private String advertise;
     @Option(names = "--peers", paramLabel = "ADDRESS", split = ",",
-            description = "Where the coordinators are reached, this one or not; the same for all of them.")
+            description = "Where all coordinators are reached, with or without this one; the same for each.")
     private List<String> peers;
-    @Option(names = "--state-dir", paramLabel = "FOLDER", description = "Where it keeps what it has.")
+    @Option(names = "--state-dir", paramLabel = "FOLDER", description = "Where it stores its state.")
     private Path stateDir;
     @Option(names = "--zone", paramLabel = "NAME",
-            description = "Where it runs; balancers near it ask it first.")
+            description = "The zone it runs in; balancers of that zone ask it first.")
     private String zone;
 
     @Override
@@ -97,7 +98,7 @@
             }
         }, "end"));
         coordinator.start();
-        // All threads are daemons, so that the end of the shutdown hook ends the process.
+        // All other threads are daemons, so the process ends once the shutdown hook has run.
         new CountDownLatch(1).await();
         return 0;
     }
@@ -114,11 +115,11 @@
         try {
             JsonNode given = json.readTree(file.toFile());
             if (given == null || !given.isObject()) {
-                throw wrong("it is no object");
+                throw wrong("the file must hold a JSON object");
             }
             for (String key : (Iterable<String>) given::fieldNames) {
                 if (!KEYS.contains(key)) {
-                    throw wrong(key + " is no key of a coordinator");
+                    throw wrong(key + " is not a known key");
                 }
             }
             return given;
@@ -128,7 +129,9 @@
         }
     }
 
-    /** A flag's value, or the file's, or the usual one; null for a usual one says that there is none. */
+    /**
+     * The value of the option, else of the file, else the default. A null default means that it is required.
+     */
     private String text(JsonNode given, String key, String flag, String usual) throws CommandException {
         String value = flag != null ? flag : given.path(key).asText(usual == null ? "" : usual);
         if (value.isEmpty() && usual == null) {
@@ -148,8 +151,8 @@
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            throw wrong(key + ": '" + text + "' is no address with a port");
+            throw wrong(key + ": '" + text + "' is not an address with a port");
         }
-        throw wrong(key + ": '" + text + "' is no loopback address with a port");
+        throw wrong(key + ": '" + text + "' is not a loopback address with a port");
     }
 }
--- a/src/main/java/cranedeal/fleet/command/FleetCommand.java
+++ b/src/main/java/cranedeal/fleet/command/FleetCommand.java
@@ -8,7 +8,7 @@
 /** The operators' commands. */
 @Command(name = "fleet", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
         subcommands = {StoreCommand.class, MembersCommand.class, ConfigCommand.class},
-        description = "What operators ask of a fleet and its processes.")
+        description = "The operators' commands for a fleet and its processes.")
 public final class FleetCommand implements Role, Callable<Integer> {
 
     @Spec
--- a/src/main/java/cranedeal/fleet/command/MembersCommand.java
+++ b/src/main/java/cranedeal/fleet/command/MembersCommand.java
@@ -23,10 +23,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Shows who is present, as one member sees it, or as all do. */
+/** Shows the members of a fleet as one member sees them, or compares the views of all. */
 @Command(name = "members", mixinStandardHelpOptions = true,
-        description = "Shows the members of a fleet as one of them sees them. Exit code 0: it sees them, and"
-                + " with --compare all agree; 1: they don't, or it is isolated, or it does not answer.")
+        description = "Shows the members of a fleet as one of them sees them. Exit code 0: it answers, is not"
+                + " isolated, and with --compare all agree; 1: otherwise; 2: wrong arguments.")
 final class MembersCommand implements Callable<Integer> {
 
     private static final JsonMapper JSON = new JsonMapper();
@@ -35,9 +35,10 @@
 
     @Spec
     private CommandSpec spec;
-    @Parameters(paramLabel = "ADDRESS", description = "Where a member listens, by its fleet.listen.")
+    @Parameters(paramLabel = "ADDRESS", description = "Where a member listens: its fleet.listen.")
     private String address;
-    @Option(names = "--compare", description = "Ask each member that this one sees, and show who differs.")
+    @Option(names = "--compare",
+            description = "Ask each member that this one sees, and show differing views.")
     private boolean compare;
     @Option(names = "--json", description = "Answer in JSON.")
     private boolean json;
@@ -51,7 +52,8 @@
         try {
             request = request(address);
         } catch (IllegalArgumentException e) {
-            throw new CommandException(Program.USAGE_ERROR, "'" + address + "' is no address with a port");
+            throw new CommandException(Program.USAGE_ERROR, "'" + address
+                    + "' is not an address with a port");
         }
         JsonNode view = ask(request).join();
         if (view == null) {
@@ -68,7 +70,7 @@
         return HttpRequest.newBuilder(members).timeout(PATIENCE).build();
     }
 
-    /** A member's view; null if it gives none. */
+    /** A member's view; null if it does not answer. */
     private CompletableFuture<JsonNode> ask(HttpRequest request) {
         var answer = http.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray());
         return answer.handle((response, failure) -> {
@@ -173,7 +175,7 @@
         return state.equals("alive") || state.equals("suspect");
     }
 
-    /** Who is present, and by which process; a member that is gone is as one that was never known. */
+    /** The present members and the process of each. A member that has gone counts as unknown. */
     private static Map<String, String> states(JsonNode view) {
         Map<String, String> states = new LinkedHashMap<>();
         for (JsonNode member : view.path("members")) {
--- a/src/main/java/cranedeal/fleet/command/Program.java
+++ b/src/main/java/cranedeal/fleet/command/Program.java
@@ -12,15 +12,15 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The whole command line. Exit codes: 0, all is well; 1, what was asked for failed; 2, it was asked for in a
- * wrong way, and nothing was done.
+ * The command line. Exit codes: 0, success; 1, the command failed; 2, the arguments were wrong and nothing
+ * was done.
  */
 @Command(name = "sablehinge", mixinStandardHelpOptions = true, versionProvider = Program.Version.class,
         synopsisSubcommandLabel = "COMMAND",
-        description = "A load balancer for services that call services, and the tools around it.")
+        description = "A load balancer for services that call services, and its tools.")
 public final class Program implements Callable<Integer> {
 
-    /** The command was given a file or a value that it can't use. */
+    /** The exit code for a file or a value that the command can't use. */
     public static final int USAGE_ERROR = CommandLine.ExitCode.USAGE;
     private static final int WIDTH = 100;
 
@@ -35,10 +35,10 @@
         return missingSubcommand(spec);
     }
 
-    /** A role that the caller brings along. */
+    /** A subcommand that the caller of {@link #run} supplies. */
     public record SuppliedCommand(String description, Callable<Integer> start) { }
 
-    /** Runs what the arguments name, and returns the exit code. */
+    /** Runs the command that the arguments name and returns the exit code. */
     public static int run(Map<String, SuppliedCommand> brought, String... args) {
         CommandLine line = new CommandLine(new Program());
         brought.forEach((name, role) -> line.addSubcommand(name, describe(role)));
@@ -66,18 +66,18 @@
                 .mixinStandardHelpOptions(true);
     }
 
-    /** What a command without a subcommand of its own does: says that one is missing. */
+    /** For commands that only have subcommands: reports that one is missing. */
     public static int missingSubcommand(CommandSpec spec) {
         throw new ParameterException(spec.commandLine(), "a subcommand is missing");
     }
 
-    /** The version as the build wrote it into the jar. */
+    /** The version, as the build writes it into the jar. */
     static final class Version implements IVersionProvider {
 
         @Override
         public String[] getVersion() {
             String version = Program.class.getPackage().getImplementationVersion();
-            return new String[] {"sablehinge " + (version == null ? "(not packed)" : version)};
+            return new String[] {"sablehinge " + (version == null ? "(not packaged)" : version)};
         }
     }
 }
--- a/src/main/java/cranedeal/fleet/command/StoreCommand.java
+++ b/src/main/java/cranedeal/fleet/command/StoreCommand.java
@@ -26,9 +26,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What a process keeps on disk: looked at, and, at an operator's word, repaired. */
+/** Checks, prints and repairs the store of a process. */
 @Command(name = "store", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        description = "Looks at and repairs the folder in which a process keeps its state.")
+        description = "Checks, prints and repairs the folder in which a process stores its state.")
 final class StoreCommand implements Callable<Integer> {
 
     private static final JsonMapper JSON = new JsonMapper();
@@ -43,7 +43,7 @@
     }
 
     @Command(name = "verify", mixinStandardHelpOptions = true,
-            description = "Reads it and changes nothing. Exit code 0: it can be used; 1: it is damaged.")
+            description = "Checks it and changes nothing. Exit code 0: it can be used; 1: it is damaged.")
     private int verify(@Parameters(paramLabel = "FOLDER") Path folder,
             @Option(names = "--json", description = "Answer in JSON.") boolean json) throws CommandException {
         try {
@@ -51,8 +51,8 @@
             if (json) {
                 line(JSON.valueToTree(figures).toString());
             } else {
-                line(folder + " is whole: " + figures.recovered()
-                        + " records behind the snapshot, the last is "
+                line(folder + " is intact: " + figures.recovered()
+                        + " records after the snapshot, the last is "
                         + figures.last());
                 figures.notes().forEach(note -> line("  " + note));
             }
@@ -63,7 +63,7 @@
     }
 
     @Command(name = "dump", mixinStandardHelpOptions = true,
-            description = "Prints what it holds, a line of JSON for each piece and each record.")
+            description = "Prints the contents, a line of JSON for each snapshot chunk and each record.")
     private int dump(@Parameters(paramLabel = "FOLDER") Path folder) throws CommandException {
         try {
             Repair.verify(disk(folder), StoreLimits.DEFAULT, new ReplayHandler() {
@@ -86,7 +86,7 @@
     }
 
     @Command(name = "repair", mixinStandardHelpOptions = true,
-            description = "Cuts it at its damage. The files of before are kept in a folder inside.")
+            description = "Truncates the store at its damage. The old files are kept in a folder inside it.")
     private int repair(@Parameters(paramLabel = "FOLDER") Path folder,
             @Option(names = "--json", description = "Answer in JSON.") boolean json) throws CommandException {
         disk(folder);
@@ -103,12 +103,12 @@
                 answer.set("dropped", JSON.valueToTree(outcome.droppedSequences()));
                 line(answer.toString());
             } else if (outcome.repairedDamage().isEmpty()) {
-                line(folder + " is whole; nothing was changed");
+                line(folder + " is intact; nothing was changed");
             } else {
                 outcome.repairedDamage().forEach(this::line);
-                line(outcome.droppedCount() + " records behind the damage were dropped: "
+                line(outcome.droppedCount() + " records after the damage were dropped: "
                         + outcome.droppedSequences());
-                line("the files of before are in " + outcome.backupFolder());
+                line("the old files are in " + outcome.backupFolder());
             }
             return 0;
         } catch (IOException e) {
@@ -138,17 +138,17 @@
         out.flush();
     }
 
-    /** Is told, and does nothing. */
+    /** Ignores the contents. */
     private static final class Nobody implements ReplayHandler {
 
         @Override
         public void snapshotChunk(byte[] piece) {
-            // Reading it has shown that it is whole.
+            // Reading it is the check.
         }
 
         @Override
         public void record(Record record) {
-            // Likewise.
+            // Reading it is the check.
         }
     }
 }
