--- a/src/main/java/cranedeal/lab/link/AddressBlock.java
+++ b/src/main/java/cranedeal/lab/link/AddressBlock.java
@@ -8,26 +8,26 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * A block of loopback addresses, {@code 127.B.0.0/16}, that one lab has for itself: a socket held at its last
- * address keeps other labs out. Connections without an address of their own come from 127.0.0.1, so no port
- * in the block is taken by chance between its choice and its use. Each party has one IP address.
+ * A block of loopback addresses, {@code 127.B.0.0/16}, reserved for one lab: a socket bound to its last
+ * address keeps other labs out. Connections that are not bound to an address come from 127.0.0.1, so their
+ * ephemeral ports can't collide with ports of the block. Each party has one IP address.
  */
 public final class AddressBlock implements AutoCloseable {
 
-    /** Where a party itself listens. */
+    /** The port at which a party itself listens. */
     public static final int LISTEN_PORT = 8_081;
-    /** Where a party's operators' door listens; the next ports are for its further processes. */
+    /** The port of a party's admin endpoint; the next ports are for its further processes. */
     public static final int ADMIN_PORT = 8_090;
-    /** Where a member of a fleet listens, and the port of the same by which the others reach it. */
+    /** The port at which a member of a fleet listens, and the one at which the other members reach it. */
     public static final int MEMBER_PORT = 8_095;
     public static final int MEMBER_LINK_PORT = 8_096;
-    /** The first port at which links to a party listen, one for each party that they come from. */
+    /** The first port of the links to a party: one port for each party that connects. */
     private static final int LINK_PORT = 10_000;
     private static final int GUARD_PORT = 8_080;
     private static final int FIRST_BLOCK = 32;
     private static final int BLOCKS = 192;
     private static final int HOSTS = 250;
-    /** How many parties a block has room for. */
+    /** The number of parties that a block has addresses for. */
     public static final int MAX_PARTIES = 20_000;
 
     private final int block;
@@ -38,7 +38,7 @@
         this.guard = guard;
     }
 
-    /** Takes a block that no other lab has; throws {@link IOException} if there is none. */
+    /** Reserves a block that no other lab has; throws {@link IOException} if none is free. */
     public static AddressBlock reserve() throws IOException {
         int first = ThreadLocalRandom.current().nextInt(BLOCKS);
         for (int i = 0; i < BLOCKS; i++) {
@@ -62,12 +62,12 @@
         return ip(block, party / HOSTS, 1 + party % HOSTS);
     }
 
-    /** Where a party itself listens. */
+    /** The address at which a party itself listens. */
     public InetSocketAddress listenAddress(int party) {
         return new InetSocketAddress(ip(party), LISTEN_PORT);
     }
 
-    /** Where one party has to connect to reach another through their link. */
+    /** The address at which one party reaches another through their link. */
     public InetSocketAddress linkAddress(int from, int to) {
         return new InetSocketAddress(ip(to), LINK_PORT + from);
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Lets other labs have the block. */
+    /** Releases the block. */
     @Override
     public void close() throws IOException {
         guard.close();
--- a/src/main/java/cranedeal/lab/link/ConnectionRelay.java
+++ b/src/main/java/cranedeal/lab/link/ConnectionRelay.java
@@ -14,9 +14,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * Takes connections to a party's second address on to its own, as {@link DatagramLinks} does with datagrams.
- * Who connects is known by its address. While the way between the two is silent in either direction nothing
- * passes: a connection stays open and without an answer. Other faults of the way don't show on connections.
+ * Relays TCP connections from a party's link address to its own, as {@link DatagramLinks} does with
+ * datagrams. The source address identifies the connecting party. While either direction between the two
+ * parties is blocked, new connections stay open without an answer. Other impairments have no effect on these
+ * connections.
  */
 final class ConnectionRelay {
 
@@ -60,7 +61,7 @@
         });
     }
 
-    /** Passes on what comes, and the end; calls between members are short. */
+    /** Forwards data and the close. There is no backpressure, since calls between members are short. */
     private static final class Pass extends ChannelInboundHandlerAdapter {
 
         private final Channel to;
--- a/src/main/java/cranedeal/lab/link/DatagramLinks.java
+++ b/src/main/java/cranedeal/lab/link/DatagramLinks.java
@@ -20,19 +20,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Links over UDP between parties that know one another by one address each. A party listens at its own
- * address and tells others a second one, which is held here. What comes to that is known by the address it
- * comes from, goes through the link between the two, and leaves from the sender's second address, so that
- * the receiver can answer there. Connections to the second address are taken on likewise. All state belongs
- * to one loop.
+ * Emulates UDP links between parties. A party listens at its own address and advertises a second one, its
+ * link address, which is bound here. A datagram that arrives at a link address is matched to its sender by
+ * source address, passes the link between the two, and leaves from the sender's link address, so that the
+ * receiver can answer there. TCP connections to the link address are relayed likewise. All state belongs to
+ * one event loop.
  */
 public final class DatagramLinks {
 
-    /** How many datagrams wait for their time; beyond that they are lost, as in a full buffer. */
+    /** How many delayed datagrams are queued at most; further ones are lost, as with a full buffer. */
     private static final int MOST_WAITING = 65_536;
     private static final double NANOS_PER_MS = 1e6;
 
-    /** One party. */
+    /** A party: its own address, its group, and the channel at its link address. */
     private static final class Party {
 
         private final InetSocketAddress own;
@@ -52,29 +52,29 @@
     private final EventLoop loop;
     private final RandomGenerator random;
     private final Map<InetAddress, Party> parties = new HashMap<>();
-    /** Only of the pairs between which something has passed. */
+    /** Created for a pair when it is first used. */
     private final Map<Pair, Direction> directions = new HashMap<>();
     private final Map<Groups, Impairment> usual = new HashMap<>();
     private final List<Channel> relays = new ArrayList<>();
     private int waiting;
 
-    /** No parties yet. */
+    /** Starts without parties. */
     public DatagramLinks(EventLoop loop, RandomGenerator random) {
         this.loop = loop;
         this.random = random;
     }
 
     /**
-     * Takes in a party.
+     * Adds a party.
      *
      * @param own where it listens and sends from; no other party may have that IP address
-     * @param second where the others are to send to it
+     * @param second the link address to which the others send
      */
     public Future<?> addParty(InetSocketAddress own, InetSocketAddress second) {
         return addParty(own, second, 0);
     }
 
-    /** Takes in a party of a group; as {@link #addParty(InetSocketAddress, InetSocketAddress)} otherwise. */
+    /** Adds a party to a group; otherwise like {@link #addParty(InetSocketAddress, InetSocketAddress)}. */
     public Future<?> addParty(InetSocketAddress own, InetSocketAddress second, int group) {
         Party party = new Party(own, group);
         loop.execute(() -> parties.put(own.getAddress(), party));
@@ -83,7 +83,7 @@
                 .bind(second).addListener((ChannelFuture bound) -> party.second = bound.channel());
     }
 
-    /** Changes the way from one party to another; not the way back. */
+    /** Impairs the direction from one party to another; not the opposite one. */
     public Future<?> impair(InetAddress from, InetAddress to, Impairment impairment) {
         return loop.submit(() -> {
             Party sender = parties.get(from);
@@ -95,7 +95,7 @@
         });
     }
 
-    /** Changes all ways between the parties of two groups, there and back, in place of what they were. */
+    /** Impairs both directions between all parties of two groups; replaces earlier impairments. */
     public Future<?> impairGroups(int one, int other, Impairment impairment) {
         return loop.submit(() -> {
             Groups there = new Groups(one, other);
@@ -111,7 +111,10 @@
         });
     }
 
-    /** Whether anything passes both ways, as it always does for who is no party. On the links' loop. */
+    /**
+     * Returns true if neither direction between two parties is blocked, or if the first address is no
+     * party's. Runs on the event loop.
+     */
     boolean isOpen(InetAddress one, InetAddress other) {
         Party first = parties.get(one);
         Party second = parties.get(other);
@@ -119,7 +122,7 @@
                 && !direction(new Pair(second, first)).isSilent();
     }
 
-    /** Ends all links. */
+    /** Closes all links. */
     public void close() {
         relays.forEach(relay -> relay.close().awaitUninterruptibly());
         List<Channel> open = new ArrayList<>();
@@ -136,7 +139,7 @@
         });
     }
 
-    /** What comes to a party's second address. */
+    /** Handles datagrams that arrive at a party's link address. */
     private final class Arrivals extends SimpleChannelInboundHandler<DatagramPacket> {
 
         private final Party to;
@@ -167,7 +170,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A port where nobody listens is told by the kernel, and is no more than a lost datagram.
+            // The kernel reports a port without a listener; this counts as a lost datagram.
         }
     }
 }
--- a/src/main/java/cranedeal/lab/link/Direction.java
+++ b/src/main/java/cranedeal/lab/link/Direction.java
@@ -3,20 +3,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One direction of a link: decides when what goes in comes out. It has no clock; times are milliseconds on
- * whatever clock the caller has.
+ * One direction of a link: computes when data that enters is delivered. It has no clock; times are in
+ * milliseconds of the caller's clock.
  */
 final class Direction {
 
-    /** The shortest time after which TCP sends a lost segment again (Linux; RFC 6298 has 1 s). */
+    /** The shortest retransmission timeout of TCP on Linux (1 s in RFC 6298), in milliseconds. */
     static final double RETRANSMIT_MS = 200;
     private static final double MS_PER_SECOND = 1_000;
 
     private final RandomGenerator random;
     private Impairment impairment = Impairment.NONE;
-    /** When the link has room for the next byte. */
+    /** When the rate limit lets the next byte in. */
     private double roomAt;
-    /** When the last piece of a stream comes out: none may overtake it. */
+    /** When the last piece of a stream is delivered; later pieces must not overtake it. */
     private double lastOut;
 
     Direction(RandomGenerator random) {
@@ -31,10 +31,10 @@
         return impairment.blocked();
     }
 
-    /** When a piece of a stream comes out, never before the piece ahead of it. */
+    /** The delivery time of a piece of a stream, never before that of the piece ahead of it. */
     double ofStream(double now, int bytes) {
         double out = passed(now, bytes);
-        // Lost once more while it is sent again, it waits twice as long; so on for a few times.
+        // Each retransmission may be lost again; the timeout then doubles, a few times at most.
         for (double wait = RETRANSMIT_MS; draws(impairment.loss()) && wait < 8 * RETRANSMIT_MS; wait *= 2) {
             out += wait;
         }
@@ -42,7 +42,7 @@
         return lastOut;
     }
 
-    /** When a datagram comes out: never, once or twice. */
+    /** The delivery times of a datagram: none if it is lost, two if it is duplicated. */
     double[] ofDatagram(double now, int bytes) {
         if (impairment.blocked() || draws(impairment.loss())) {
             return new double[0];
--- a/src/main/java/cranedeal/lab/link/Impairment.java
+++ b/src/main/java/cranedeal/lab/link/Impairment.java
@@ -1,25 +1,25 @@
 package cranedeal.lab.link;
 
 /**
- * What is wrong with one direction of a link.
+ * The faults of one direction of a link.
  *
- * @param blocked nothing passes; what was sent comes through once that is over
- * @param delayMs how long everything takes, in milliseconds
- * @param jitterMs up to how much longer, drawn evenly for each piece
- * @param loss the share of pieces that are lost; on a stream a lost piece is sent again, and comes late
- * @param duplicate the share of datagrams that come twice; a stream shows none of that
- * @param reorder the share of datagrams that may be overtaken; a stream shows none of that
- * @param bytesPerSecond how much passes at most; 0 for no limit
+ * @param blocked nothing passes; streams deliver what was sent once this is over
+ * @param delayMs the delay of everything, in milliseconds
+ * @param jitterMs the largest additional delay, in milliseconds; uniformly distributed
+ * @param loss the share of pieces that are lost; on a stream a lost piece is retransmitted and comes late
+ * @param duplicate the share of datagrams that are duplicated; no effect on streams
+ * @param reorder the share of datagrams that later ones may overtake; no effect on streams
+ * @param bytesPerSecond the rate limit; 0 for none
  */
 public record Impairment(boolean blocked, double delayMs, double jitterMs, double loss, double duplicate,
         double reorder, double bytesPerSecond) {
 
-    /** A link in order. */
+    /** A link without faults. */
     public static final Impairment NONE = new Impairment(false, 0, 0, 0, 0, 0, 0);
-    /** A link that is cut. */
+    /** A link that lets nothing pass. */
     public static final Impairment BLOCKED = new Impairment(true, 0, 0, 0, 0, 0, 0);
 
-    /** Throws {@link IllegalArgumentException} for what no network does. */
+    /** Throws {@link IllegalArgumentException} for values out of range. */
     public Impairment {
         notNegative(delayMs, "a delay");
         notNegative(jitterMs, "a jitter");
@@ -31,13 +31,13 @@
 
     private static void notNegative(double value, String name) {
         if (!(value >= 0 && Double.isFinite(value))) {
-            throw new IllegalArgumentException(name + " of " + value);
+            throw new IllegalArgumentException(name + " of " + value + " is not allowed");
         }
     }
 
     private static void share(double value, String name) {
         if (!(value >= 0 && value <= 1)) {
-            throw new IllegalArgumentException(name + " of " + value + " is no share");
+            throw new IllegalArgumentException(name + " of " + value + " is not between 0 and 1");
         }
     }
 }
--- a/src/main/java/cranedeal/lab/link/RelayedConnection.java
+++ b/src/main/java/cranedeal/lab/link/RelayedConnection.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection through a {@link StreamLink}: two sockets, and in each direction a bounded queue of what
- * waits for its time. An end of the stream waits in the queue like bytes do; a reset goes ahead of them, as
- * it does in a network, unless the link is silent.
+ * A connection through a {@link StreamLink}: two sockets, and in each direction a bounded queue of data
+ * waiting for its delivery time. The end of a stream is queued behind the data; a reset overtakes them, as it
+ * does in a network, unless the link is blocked.
  */
 final class RelayedConnection {
 
-    /** How many bytes wait in one direction before the sender is no longer read. */
+    /** Reading from the sender pauses while at least this many bytes are queued in its direction. */
     private static final int MOST_WAITING = 256 * 1024;
     private static final double NANOS_PER_MS = 1e6;
 
@@ -57,13 +57,13 @@
         fromTarget.read();
     }
 
-    /** Goes on after a change of the link. */
+    /** Resumes delivery after a change of the link. */
     void resume() {
         fromParty.pump();
         fromTarget.pump();
     }
 
-    /** Resets both ends; what waits is lost. */
+    /** Resets both sockets; queued data is lost. */
     void reset() {
         if (!over) {
             over = true;
@@ -82,10 +82,10 @@
         }
     }
 
-    /** What waits for its time: bytes, or the end of the stream where there are none. */
+    /** Queued data and its delivery time; null bytes stand for the end of the stream. */
     private record Piece(double due, ByteBuf bytes) { }
 
-    /** One direction of the connection, as the handler of the socket that its bytes come from. */
+    /** One direction of the connection, and the handler of the socket that its bytes come from. */
     private final class Half extends ChannelInboundHandlerAdapter {
 
         private final Direction direction;
@@ -137,7 +137,7 @@
             pump();
         }
 
-        /** Sends on whatever is due, and comes back for the rest. */
+        /** Sends everything that is due and schedules the rest. */
         void pump() {
             if (over || out == null) {
                 return;
@@ -181,7 +181,7 @@
                 });
                 return true;
             }
-            // To end the stream while bytes before it are unwritten would throw them away.
+            // Shutting down the output while earlier bytes are unwritten would discard them.
             out.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> end());
             return false;
         }
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Both streams have ended in order. */
+    /** Called when both streams have ended in order. */
     private void finish() {
         over = true;
         link.ended(this);
--- a/src/main/java/cranedeal/lab/link/StreamLink.java
+++ b/src/main/java/cranedeal/lab/link/StreamLink.java
@@ -22,22 +22,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A link over TCP: a party connects to {@link #address()} and reaches the target as if it were there. All
- * state belongs to the link's loop; the methods may be called from any thread and tell by a future when the
+ * Emulates a TCP link: connections to {@link #address()} are relayed to the target. All state belongs to the
+ * link's event loop; the methods may be called from any thread and return a future that completes when the
  * change is in force.
  *
- * <p>A cut link keeps its open connections open and silent, and no new ones come up: the listening socket is
- * put back with the shortest accept queue and that is filled, so that the kernel drops what knocks. A link
- * whose target is down refuses, as the target would.
+ * <p>A blocked link keeps its connections open but silent, and no new connection can be established: the
+ * listening socket is replaced by one with the shortest accept queue, which is filled up, so that the kernel
+ * drops further SYNs. A link whose target is down refuses connections, as the target would.
  */
 public final class StreamLink {
 
     private static final int BACKLOG = 1_024;
-    /** Linux takes one connection more than the backlog says. */
+    /** Linux accepts one connection more than the backlog. */
     private static final int SHORTEST_BACKLOG = 1;
     private static final int FILLERS = SHORTEST_BACKLOG + 1;
     private static final int CONNECT_TIMEOUT_MS = 30_000;
-    /** How often, and how soon, to try for an address that is just given back. */
+    /** How often, and after which delay, to retry binding an address that has just been released. */
     private static final int BINDS = 2_000;
     private static final long BIND_AGAIN_MS = 1;
 
@@ -55,15 +55,15 @@
     private boolean up = true;
     private Door door = Door.CLOSED;
     private boolean ended;
-    /** Counts the changes of the door, so that a listening socket that comes late is not taken for ours. */
+    /** Counts changes of the listening state, so that a bind that completes late is recognised as stale. */
     private int turn;
 
     /**
-     * A link that is not open yet.
+     * Creates a link that does not listen yet.
      *
-     * @param address where the party connects
-     * @param target where it is taken to
-     * @param source the address it comes from there, by which the target knows the party
+     * @param address where the link listens
+     * @param target where connections are relayed to
+     * @param source the address they come from at the target, which identifies the party
      */
     public StreamLink(EventLoop loop, InetSocketAddress address, InetSocketAddress target, InetAddress source,
             RandomGenerator random) {
@@ -75,17 +75,17 @@
         back = new Direction(random);
     }
 
-    /** Where the party connects. */
+    /** The address at which the link listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Whether the target is there; while it is not, the link refuses. What is open stays. */
+    /** While the target is down, the link refuses connections. Open connections stay. */
     public Future<Void> setTargetUp(boolean isUp) {
         return change(() -> up = isUp);
     }
 
-    /** Changes both directions; what was held back by silence goes on its way when that is over. */
+    /** Impairs both directions. Data held back by a blocked direction is delivered once that is over. */
     public Future<Void> impair(Impairment there, Impairment andBack) {
         return change(() -> {
             toTarget.impair(there);
@@ -94,12 +94,12 @@
         });
     }
 
-    /** Resets all open connections at both ends, as a machine does that has forgotten them. */
+    /** Resets all open connections at both ends, as after a restart of a machine. */
     public Future<Void> reset() {
         return change(() -> List.copyOf(splices).forEach(RelayedConnection::reset));
     }
 
-    /** Ends the link and all its connections. */
+    /** Closes the link and resets its connections. */
     public Future<Void> close() {
         return change(() -> {
             ended = true;
@@ -116,7 +116,7 @@
         return inForce;
     }
 
-    /** Brings the listening socket in line with what the link is to be. */
+    /** Adjusts the listening socket to the state of the link. */
     private void settle(Promise<Void> inForce) {
         boolean cut = toTarget.isSilent() || back.isSilent();
         Door wanted = ended || !up && !cut ? Door.CLOSED : cut ? Door.STUFFED : Door.OPEN;
@@ -133,7 +133,7 @@
         door = wanted;
         turn++;
         int ofThisTurn = turn;
-        // A socket that a selector knows is given back to the system only at the next look at the selector.
+        // A closed socket that is registered with a selector is released only by the selector's next run.
         loop.schedule(() -> listen(ofThisTurn, BINDS, inForce), BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -174,7 +174,7 @@
         });
     }
 
-    /** Fills the accept queue, one connection after the other. */
+    /** Fills the accept queue, one connection at a time. */
     private void stuff(int more, Promise<Void> inForce) {
         if (more == 0 || door != Door.STUFFED) {
             inForce.setSuccess(null);
@@ -184,7 +184,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // Only there to take up room.
+                        // Only occupies a place in the accept queue.
                     }
                 }).connect(address);
         fillers.add(filler.channel());
--- a/src/main/java/cranedeal/lab/link/package-info.java
+++ b/src/main/java/cranedeal/lab/link/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Links between two parties that the lab owns, and what a network does to them. {@link
- * cranedeal.lab.link.Impairment} says what goes wrong, {@link cranedeal.lab.link.Direction} decides without a
- * clock when bytes come out, and the relays carry them.
+ * Emulated network links between two parties of the lab. {@link cranedeal.lab.link.Impairment} describes the
+ * faults, {@link cranedeal.lab.link.Direction} computes delivery times without a clock, and the relays carry
+ * the data.
  */
 package cranedeal.lab.link;
--- a/src/main/java/cranedeal/lab/process/ChildProcess.java
+++ b/src/main/java/cranedeal/lab/process/ChildProcess.java
@@ -13,11 +13,13 @@
 /** A process that the lab has started. */
 public final class ChildProcess {
 
-    /** The clock ticks in a second of /proc, the same on all Linux that Java runs on. */
+    /**
+     * The length of a clock tick in /proc, in milliseconds; the same on all Linux systems that Java runs on.
+     */
     private static final double TICK_MS = 10;
     private static final int PAGE_KB = 4;
     private static final double NANOS_PER_MS = 1e6;
-    /** Where user and system time stand in /proc/PID/stat, counted behind the command's name. */
+    /** The index of user time, with system time next, among the fields of /proc/PID/stat after the name. */
     private static final int USER_TIME = 11;
 
     private final String name;
@@ -30,7 +32,7 @@
         this.log = log;
     }
 
-    /** What it has used: CPU time in milliseconds since its start, and resident memory now. */
+    /** Resource usage: CPU time in milliseconds since the start, and resident memory now. */
     public record Usage(double cpuMs, long rssKb) { }
 
     public String name() {
@@ -45,24 +47,24 @@
         return process.isAlive();
     }
 
-    /** Its exit code, once it has ended. */
+    /** Completes with the exit code when the process ends. */
     public CompletableFuture<Integer> onExit() {
         return process.onExit().thenApply(Process::exitValue);
     }
 
-    /** SIGKILL; whatever it does, it ends. */
+    /** Sends SIGKILL. */
     public void kill() {
         process.destroyForcibly();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public void terminate() {
         process.destroy();
     }
 
     /**
-     * Sends a signal by its name without SIG, such as STOP; no matter if the process has ended. A process
-     * that is stopped takes none but CONT and KILL until it goes on.
+     * Sends a signal by its name without SIG, such as STOP; does nothing if the process has ended. A stopped
+     * process handles only CONT and KILL until it is continued.
      */
     public void signal(String signal) throws IOException, InterruptedException {
         if (!process.isAlive()) {
@@ -72,8 +74,8 @@
     }
 
     /**
-     * Whether its disk is full from now on: no file that it writes can grow, so that its writes fail as on a
-     * disk with no room (with EFBIG in place of ENOSPC). Its log is one of those files.
+     * Emulates a full disk from now on, or ends that: none of its files can grow, so that its writes fail as
+     * on a full disk (with EFBIG in place of ENOSPC). This includes its log.
      */
     public void setDiskFull(boolean full) throws IOException, InterruptedException {
         if (process.isAlive()) {
@@ -83,8 +85,8 @@
     }
 
     /**
-     * How many descriptors it may hold from now on. With fewer than it has, each socket, accept and open
-     * fails with EMFILE.
+     * Limits the number of open descriptors from now on. While the limit is below what it holds, each socket,
+     * accept and open fails with EMFILE.
      */
     public void limitDescriptors(int most) throws IOException, InterruptedException {
         if (process.isAlive()) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /** What it has used; empty once it has ended. */
+    /** The resource usage; empty if the process has ended. */
     public Optional<Usage> usage() {
         try {
             Path proc = Path.of("/proc", Long.toString(pid()));
@@ -118,8 +120,8 @@
     }
 
     /**
-     * The CPU time of its threads whose names begin so, in milliseconds since each began; 0 once it has
-     * ended. Names of threads are cut after 15 characters.
+     * The CPU time of all threads whose names start with the prefix, in milliseconds since each started; 0 if
+     * the process has ended. The system truncates thread names to 15 characters.
      */
     public double threadCpuMs(String prefix) {
         double sum = 0;
@@ -133,12 +135,12 @@
             }
             return sum;
         } catch (IOException | DirectoryIteratorException e) {
-            // It ends, or one of its threads does.
+            // The process or one of its threads has just ended.
             return 0;
         }
     }
 
-    /** Whether its output so far holds a text. */
+    /** Returns true if its output so far contains a text. */
     public boolean logContains(String text) throws IOException {
         return Files.exists(log) && Files.readString(log, StandardCharsets.ISO_8859_1).contains(text);
     }
--- a/src/main/java/cranedeal/lab/process/DiskFault.java
+++ b/src/main/java/cranedeal/lab/process/DiskFault.java
@@ -12,10 +12,10 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 
-/** Damage to a folder while the process that writes there is down. */
+/** Kinds of damage to a folder, applied while the process that writes there is down. */
 public enum DiskFault {
 
-    /** The newest file loses part of its end, as a write does that power loss has interrupted. */
+    /** The newest file loses part of its end, as when a power loss interrupts a write. */
     TORN_TAIL {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
@@ -23,7 +23,7 @@
             file.setLength(file.length() - lost);
         }
     },
-    /** One bit somewhere in the newest file is the other way. */
+    /** One bit somewhere in the newest file is flipped. */
     FLIPPED_BIT {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
@@ -34,7 +34,9 @@
             file.write(value ^ 1 << random.nextInt(Byte.SIZE));
         }
     },
-    /** The last sector of the newest file was never written, though the file has its length: zeros. */
+    /**
+     * The last sector of the newest file was never written, though the file has its full length: it is zeros.
+     */
     LOST_WRITE {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
@@ -49,7 +51,7 @@
     private static final long SECTOR = 512;
     private static final long MOST_TORN = 4_096;
 
-    /** Takes away the right to write to a folder and all that is in it, or gives its owner that back. */
+    /** Removes write permission from a folder and everything in it, or gives it back to the owner. */
     public static void setReadOnly(Path folder, boolean readOnly) throws IOException {
         List<Path> all;
         try (Stream<Path> files = Files.walk(folder)) {
@@ -69,7 +71,7 @@
     abstract void damage(RandomAccessFile file, RandomGenerator random) throws IOException;
 
     /**
-     * Damages the newest file of a folder that is not empty, and tells which; of files with one time, the
+     * Damages the newest file in a folder that is not empty, and returns it; of files of the same age, the
      * last by name. Throws {@link IOException} if there is none.
      */
     public Path apply(Path folder, RandomGenerator random) throws IOException {
--- a/src/main/java/cranedeal/lab/process/ProcessSupervisor.java
+++ b/src/main/java/cranedeal/lab/process/ProcessSupervisor.java
@@ -14,15 +14,17 @@
 import java.util.concurrent.Executors;
 
 /**
- * Starts processes that can't outlive it. The kernel is asked (prctl's PR_SET_PDEATHSIG, by util-linux's
- * setpriv) to kill each child when the thread that started it ends, so all are started by one thread that
- * ends only with the lab, whatever ends that. A child that the lab's death overtakes before it has asked sees
- * another parent, and does not start.
+ * Starts processes that can't outlive the lab. Each child sets a parent death signal (prctl's
+ * PR_SET_PDEATHSIG, by util-linux's setpriv), with which the kernel kills it when the thread that started it
+ * ends. So all children are started by one thread that ends only with the lab. If the lab ends before a child
+ * has set the signal, the child sees that its parent has changed and exits.
  */
 public final class ProcessSupervisor implements AutoCloseable {
 
     private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
-    /** Root's right to write whatever the permissions say, which would make a read-only folder no fault. */
+    /**
+     * Drops root's right to ignore file permissions, which would make the read-only folder fault ineffective.
+     */
     private static final List<String> AS_ORDINARY_USER = List.of("--bounding-set", "-dac_override");
     private static final String IF_PARENT_LIVES = "test \"$PPID\" = \"$0\" && exec \"$@\"";
 
@@ -34,19 +36,19 @@
     private final Set<ChildProcess> children = ConcurrentHashMap.newKeySet();
     private final Thread atExit = new Thread(this::killAll, "warden-exit");
 
-    /** Throws {@link IOException} where the system can't promise to end the children. */
+    /** Throws {@link IOException} if setpriv is missing, so that the children could outlive the lab. */
     public ProcessSupervisor() throws IOException {
         if (!Files.isExecutable(SETPRIV)) {
-            throw new IOException(SETPRIV + " (util-linux) is needed to end processes with the lab");
+            throw new IOException(SETPRIV + " (util-linux) is needed to end child processes with the lab");
         }
         Runtime.getRuntime().addShutdownHook(atExit);
     }
 
     /**
-     * Starts a process in the lab's own working folder.
+     * Starts a process in the lab's working directory.
      *
-     * @param environment added to the lab's own
-     * @param log where its output goes, behind what is there
+     * @param environment variables added to the lab's environment
+     * @param log the file to which its output is appended
      */
     public ChildProcess start(String name, List<String> command, Map<String, String> environment, Path log)
             throws IOException, InterruptedException {
@@ -75,7 +77,7 @@
         children.forEach(ChildProcess::kill);
     }
 
-    /** Kills all children, and returns when they have ended. */
+    /** Kills all children and waits until they have ended. */
     @Override
     public void close() {
         killAll();
@@ -84,7 +86,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(atExit);
         } catch (IllegalStateException e) {
-            // The lab is ending; the hook does the same once more.
+            // The lab is shutting down already, and the hook kills the children as well.
         }
     }
 }
--- a/src/main/java/cranedeal/lab/process/package-info.java
+++ b/src/main/java/cranedeal/lab/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The processes that an experiment starts, and what happens to them from outside: signals, their end with the
- * lab, the memory and CPU that they use, and damage to their folders while they are down.
+ * The processes that an experiment starts: signals, termination together with the lab, memory and CPU usage,
+ * and damage to their folders while they are down.
  */
 package cranedeal.lab.process;
