--- a/src/main/java/cranedeal/fleet/command/ConfigCommand.java
+++ b/src/main/java/cranedeal/fleet/command/ConfigCommand.java
@@ -37,9 +37,9 @@
 final class ConfigCommand implements Callable<Integer> {
 
     static final JsonMapper JSON = new JsonMapper();
-    static final Duration CONNECT = Duration.ofSeconds(2);
+    static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     /** Longer than a coordinator waits for the other coordinators. */
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(6);
 
     @Spec
     private CommandSpec spec;
@@ -50,7 +50,7 @@
     }
 
     /** The options that say which coordinators to ask. */
-    static final class To {
+    static final class CoordinatorOptions {
 
         @Option(names = "--to", paramLabel = "ADDRESS", split = ",", required = true,
                 description = "Where coordinators listen; the first one that answers names the leader.")
@@ -71,7 +71,7 @@
     }
 
     /** The options that identify a change. */
-    static final class Operation {
+    static final class OperationOptions {
 
         @Option(names = "--operation", paramLabel = "ID",
                 description = "Identifies the change, so that it can be retried safely; random if not given.")
@@ -103,7 +103,8 @@
                     + " majority of the coordinators; 1: it is not, or that is unknown; 2: the document"
                     + " or an argument is invalid.")
     private int publish(@Parameters(paramLabel = "FILE", description = "The document, in JSON.") Path file,
-            @Mixin To to, @Mixin Operation operation) throws CommandException {
+            @Mixin CoordinatorOptions coordinators, @Mixin OperationOptions operation)
+            throws CommandException {
         byte[] document;
         try {
             document = Files.readAllBytes(file);
@@ -113,92 +114,96 @@
         } catch (ConfigDocument.BadDocumentException e) {
             throw new CommandException(Program.USAGE_ERROR, file + ": " + e.getMessage());
         }
-        return change(to, ConfigCalls.PUBLISH + operation.query(), document, operation.id);
+        return requestChange(coordinators, ConfigCalls.PUBLISH + operation.query(), document, operation.id);
     }
 
     @Command(name = "rollback", mixinStandardHelpOptions = true,
             description = "Publishes the document of an earlier version again, as the newest version. Exit"
                     + " codes as for publish.")
     private int rollback(@Parameters(paramLabel = "NUMBER",
-            description = "The number of the earlier version.") long number, @Mixin To to,
-            @Mixin Operation operation) throws CommandException {
-        return change(to, ConfigCalls.ROLLBACK + operation.query() + "&number=" + number, new byte[0],
-                operation.id);
+            description = "The number of the earlier version.") long number,
+            @Mixin CoordinatorOptions coordinators, @Mixin OperationOptions operation)
+            throws CommandException {
+        return requestChange(coordinators, ConfigCalls.ROLLBACK + operation.query() + "&number=" + number,
+                new byte[0], operation.id);
     }
 
     @Command(name = "take-over", mixinStandardHelpOptions = true,
             description = "Makes one coordinator the leader, with a higher epoch: when a fleet is first"
                     + " started, or when the leader is lost. Exit code 0: it leads; 1: it does not.")
-    private int takeOver(@Mixin To to) throws CommandException {
-        if (to.addresses().size() > 1) {
+    private int takeOver(@Mixin CoordinatorOptions coordinators) throws CommandException {
+        if (coordinators.addresses().size() > 1) {
             throw new CommandException(Program.USAGE_ERROR, "only one coordinator can lead, but --to names "
-                    + to.addresses().size());
+                    + coordinators.addresses().size());
         }
-        Answer answer = ask(to.addresses().get(0), ConfigCalls.TAKE_OVER, new byte[0]);
+        Answer answer = post(coordinators.addresses().get(0), ConfigCalls.TAKE_OVER, new byte[0]);
         if (answer == null) {
-            throw new CommandException(1, "no coordinator answers at " + to.addresses().get(0));
+            throw new CommandException(1, "no coordinator answers at " + coordinators.addresses().get(0));
         }
-        boolean done = answer.status() == 200;
-        tell(to, answer, done ? to.addresses().get(0) + " leads with epoch "
-                + answer.json().path("epoch").asText() : "the coordinator does not lead: " + answer.why());
-        return done ? 0 : 1;
+        boolean succeeded = answer.status() == 200;
+        print(coordinators, answer, succeeded ? coordinators.addresses().get(0) + " leads with epoch "
+                + answer.json().path("epoch").asText() : "the coordinator does not lead: " + answer.reason());
+        return succeeded ? 0 : 1;
     }
 
     /** A coordinator's answer. */
     private record Answer(int status, JsonNode json, String text) {
 
-        String why() {
+        String reason() {
             return json.has("why") ? json.path("why").asText() : text.strip();
         }
     }
 
-    private int change(To to, String uri, byte[] body, String operation) throws CommandException {
-        Deque<String> left = new ArrayDeque<>(to.addresses());
+    private int requestChange(CoordinatorOptions coordinators, String uri, byte[] body, String operation)
+            throws CommandException {
+        Deque<String> remaining = new ArrayDeque<>(coordinators.addresses());
         Set<String> asked = new LinkedHashSet<>();
-        Set<String> silent = new LinkedHashSet<>();
-        Answer last = null;
-        while (!left.isEmpty()) {
-            String address = left.poll();
+        Set<String> unreachable = new LinkedHashSet<>();
+        Answer lastAnswer = null;
+        while (!remaining.isEmpty()) {
+            String address = remaining.poll();
             if (!asked.add(address)) {
                 continue;
             }
-            Answer answer = ask(address, uri, body);
+            Answer answer = post(address, uri, body);
             if (answer == null) {
-                silent.add(address);
+                unreachable.add(address);
                 continue;
             }
             boolean settled = answer.status() != 409 && answer.status() != 503;
             // A coordinator that isn't sure may have lost the lead; the new leader knows the operation if it
             // got through.
-            last = settled || last == null || last.status() == 409 ? answer : last;
+            lastAnswer = settled || lastAnswer == null || lastAnswer.status() == 409 ? answer : lastAnswer;
             if (settled) {
                 break;
             }
             String leader = answer.json().path("leader").asText("");
             if (!leader.isEmpty()) {
-                left.addFirst(leader);
+                remaining.addFirst(leader);
             }
         }
-        String again = "; it can be retried safely with --operation " + operation;
-        if (last == null) {
-            throw new CommandException(1, "no coordinator answers at " + String.join(", ", asked) + again);
+        String retryHint = "; it can be retried safely with --operation " + operation;
+        if (lastAnswer == null) {
+            throw new CommandException(1, "no coordinator answers at " + String.join(", ", asked)
+                    + retryHint);
         }
-        boolean done = last.status() == 200;
-        boolean unsure = last.status() == 503 || last.status() == 409;
-        tell(to, last, done ? "version " + last.json().path("version").asText()
+        boolean succeeded = lastAnswer.status() == 200;
+        boolean outcomeUnknown = lastAnswer.status() == 503 || lastAnswer.status() == 409;
+        print(coordinators, lastAnswer, succeeded ? "version " + lastAnswer.json().path("version").asText()
                 + " is on the disks of a majority of the coordinators"
-                + (last.why().isEmpty() ? "" : " (" + last.why() + ")")
-                : "the version was not published: " + last.why() + (silent.contains(last.json().path("leader")
+                + (lastAnswer.reason().isEmpty() ? "" : " (" + lastAnswer.reason() + ")")
+                : "the version was not published: " + lastAnswer.reason()
+                + (unreachable.contains(lastAnswer.json().path("leader")
                 .asText()) ? " and does not answer; see fleet config take-over" : "")
-                + (unsure ? again : ""));
-        return done ? 0 : last.status() == 400 ? Program.USAGE_ERROR : 1;
+                + (outcomeUnknown ? retryHint : ""));
+        return succeeded ? 0 : lastAnswer.status() == 400 ? Program.USAGE_ERROR : 1;
     }
 
-    private void tell(To to, Answer answer, String line) throws CommandException {
+    private void print(CoordinatorOptions coordinators, Answer answer, String line) throws CommandException {
         PrintWriter out = spec.commandLine().getOut();
-        if (to.json()) {
+        if (coordinators.json()) {
             ObjectNode json = answer.json() instanceof ObjectNode given ? given
-                    : JSON.createObjectNode().put("result", "failed").put("why", answer.why());
+                    : JSON.createObjectNode().put("result", "failed").put("why", answer.reason());
             out.println(json);
         } else if (answer.status() == 200) {
             out.println(line);
@@ -208,12 +213,13 @@
         out.flush();
     }
 
-    private static Answer ask(String address, String uri, byte[] body) {
+    private static Answer post(String address, String uri, byte[] body) {
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(CONNECT).build();
+                .connectTimeout(CONNECT_TIMEOUT).build();
         try {
             HttpResponse<byte[]> response = http.send(HttpRequest.newBuilder(URI.create("http://" + address
-                    + uri)).timeout(PATIENCE).POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(),
+                    + uri)).timeout(REQUEST_TIMEOUT)
+                    .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(),
                     HttpResponse.BodyHandlers.ofByteArray());
             String text = new String(response.body(), StandardCharsets.UTF_8);
             return new Answer(response.statusCode(), text.startsWith("{") ? JSON.readTree(text)
--- a/src/main/java/cranedeal/fleet/command/ConfigStatusCommand.java
+++ b/src/main/java/cranedeal/fleet/command/ConfigStatusCommand.java
@@ -32,58 +32,60 @@
                 + " leads; 1: otherwise; 2: wrong arguments, nothing was asked.")
 final class ConfigStatusCommand implements Callable<Integer> {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final int AT_A_TIME = 32;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
+    private static final int MAX_CONCURRENT_REQUESTS = 32;
 
     @Spec
     private CommandSpec spec;
     @Mixin
-    private ConfigCommand.To to;
+    private ConfigCommand.CoordinatorOptions coordinatorOptions;
 
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(ConfigCommand.CONNECT).build();
-    private final Semaphore room = new Semaphore(AT_A_TIME);
+            .connectTimeout(ConfigCommand.CONNECT_TIMEOUT).build();
+    private final Semaphore requestPermits = new Semaphore(MAX_CONCURRENT_REQUESTS);
 
     @Override
     public Integer call() throws CommandException {
         JsonNode view = null;
-        for (String address : to.addresses()) {
-            JsonNode its = view == null ? ask(address, FleetMember.VIEW_PATH).join() : null;
-            view = its == null ? view : its;
+        for (String address : coordinatorOptions.addresses()) {
+            JsonNode answer = view == null ? get(address, FleetMember.VIEW_PATH).join() : null;
+            view = answer == null ? view : answer;
         }
         if (view == null || !view.has("members")) {
-            throw new CommandException(1, "no member answers at " + String.join(", ", to.addresses()));
+            throw new CommandException(1, "no member answers at "
+                    + String.join(", ", coordinatorOptions.addresses()));
         }
-        Map<String, CompletableFuture<JsonNode>> asked = new LinkedHashMap<>();
+        Map<String, CompletableFuture<JsonNode>> pending = new LinkedHashMap<>();
         Map<String, JsonNode> members = new LinkedHashMap<>();
         for (JsonNode member : view.path("members")) {
             String state = member.path("state").asText();
             if (!state.equals("left")) {
                 String name = member.path("name").asText();
                 members.put(name, member);
-                asked.put(name, state.equals("faulty") ? CompletableFuture.completedFuture(null)
-                        : ask(member.path("address").asText(), ConfigCalls.STATUS));
+                pending.put(name, state.equals("faulty") ? CompletableFuture.completedFuture(null)
+                        : get(member.path("address").asText(), ConfigCalls.STATUS));
             }
         }
         Map<String, JsonNode> answers = new LinkedHashMap<>();
-        asked.forEach((name, answer) -> answers.put(name, answer.join()));
-        ObjectNode status = status(members, answers);
+        pending.forEach((name, answer) -> answers.put(name, answer.join()));
+        ObjectNode status = summarize(members, answers);
         PrintWriter out = spec.commandLine().getOut();
-        if (to.json()) {
+        if (coordinatorOptions.json()) {
             out.println(status);
         } else {
-            show(status, out);
+            print(status, out);
         }
         out.flush();
         return status.path("whole").asBoolean() ? 0 : 1;
     }
 
     /** The answer in JSON; null if there is none, and an empty object for a status other than 200. */
-    private CompletableFuture<JsonNode> ask(String address, String path) {
-        room.acquireUninterruptibly();
-        return http.sendAsync(HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(PATIENCE)
+    private CompletableFuture<JsonNode> get(String address, String path) {
+        requestPermits.acquireUninterruptibly();
+        return http.sendAsync(HttpRequest.newBuilder(URI.create("http://" + address + path))
+                .timeout(REQUEST_TIMEOUT)
                 .build(), HttpResponse.BodyHandlers.ofByteArray()).handle((response, failure) -> {
-                    room.release();
+                    requestPermits.release();
                     try {
                         return failure != null ? null : response.statusCode() != 200
                                 ? ConfigCommand.JSON.createObjectNode()
@@ -94,76 +96,77 @@
                 });
     }
 
-    private static VersionId id(JsonNode of, String key) {
-        return of.hasNonNull(key) ? VersionId.parse(of.path(key).asText()) : VersionId.NONE;
+    private static VersionId versionId(JsonNode json, String key) {
+        return json.hasNonNull(key) ? VersionId.parse(json.path(key).asText()) : VersionId.NONE;
     }
 
     /** Summarises the versions of all members; those that did not answer have a null answer. */
-    private static ObjectNode status(Map<String, JsonNode> members, Map<String, JsonNode> answers) {
+    private static ObjectNode summarize(Map<String, JsonNode> members, Map<String, JsonNode> answers) {
         VersionId newest = VersionId.NONE;
         for (JsonNode answer : answers.values()) {
             for (String key : new String[] {"committed", "held"}) {
-                if (answer != null && id(answer, key).compareTo(newest) > 0) {
-                    newest = id(answer, key);
+                if (answer != null && versionId(answer, key).compareTo(newest) > 0) {
+                    newest = versionId(answer, key);
                 }
             }
         }
         ObjectNode status = ConfigCommand.JSON.createObjectNode().put("newest", newest.toString());
         ArrayNode coordinators = ConfigCommand.JSON.createArrayNode();
-        ArrayNode all = ConfigCommand.JSON.createArrayNode();
-        ArrayNode behind = ConfigCommand.JSON.createArrayNode();
+        ArrayNode others = ConfigCommand.JSON.createArrayNode();
+        ArrayNode outdated = ConfigCommand.JSON.createArrayNode();
         ArrayNode refused = ConfigCommand.JSON.createArrayNode();
-        ArrayNode silent = ConfigCommand.JSON.createArrayNode();
-        ArrayNode without = ConfigCommand.JSON.createArrayNode();
+        ArrayNode unreachable = ConfigCommand.JSON.createArrayNode();
+        ArrayNode usingOwnFile = ConfigCommand.JSON.createArrayNode();
         String leader = "";
         long epoch = 0;
         int answering = 0;
         int inForce = 0;
-        for (Map.Entry<String, JsonNode> one : answers.entrySet()) {
-            JsonNode answer = one.getValue();
-            JsonNode member = members.get(one.getKey());
-            boolean coordinates = member.path("role").asText().equals(Coordinator.ROLE);
-            ObjectNode line = (coordinates ? coordinators : all).addObject().put("name", one.getKey())
+        for (Map.Entry<String, JsonNode> entry : answers.entrySet()) {
+            JsonNode answer = entry.getValue();
+            JsonNode member = members.get(entry.getKey());
+            boolean isCoordinator = member.path("role").asText().equals(Coordinator.ROLE);
+            ObjectNode entryJson = (isCoordinator ? coordinators : others).addObject().put("name",
+                    entry.getKey())
                     .put("address", member.path("address").asText());
             if (answer == null) {
-                line.put("state", "not reached");
-                silent.add(one.getKey());
+                entryJson.put("state", "not reached");
+                unreachable.add(entry.getKey());
             } else if (!answer.has("role")) {
-                line.put("state", "goes by its own file");
-                without.add(one.getKey());
-            } else if (coordinates) {
+                entryJson.put("state", "goes by its own file");
+                usingOwnFile.add(entry.getKey());
+            } else if (isCoordinator) {
                 answering++;
-                line.setAll((ObjectNode) answer);
+                entryJson.setAll((ObjectNode) answer);
                 if (answer.path("leads").asBoolean() && answer.path("epoch").asLong() > epoch) {
-                    leader = one.getKey();
+                    leader = entry.getKey();
                     epoch = answer.path("epoch").asLong();
                 }
             } else {
-                line.setAll((ObjectNode) answer);
+                entryJson.setAll((ObjectNode) answer);
                 if (answer.has("refused")) {
-                    refused.addObject().put("name", one.getKey())
+                    refused.addObject().put("name", entry.getKey())
                             .put("in_force", answer.path("in_force").asText())
                             .setAll((ObjectNode) answer.path("refused"));
-                } else if (id(answer, "in_force").equals(newest)) {
+                } else if (versionId(answer, "in_force").equals(newest)) {
                     inForce++;
                 } else {
-                    behind.add(one.getKey());
+                    outdated.add(entry.getKey());
                 }
             }
         }
         status.put("leader", leader).put("epoch", epoch).put("in_force", inForce)
                 .put("coordinators_answering", answering);
-        status.set("behind", behind);
+        status.set("behind", outdated);
         status.set("refused", refused);
-        status.set("not_reached", silent);
-        status.set("own_file", without);
+        status.set("not_reached", unreachable);
+        status.set("own_file", usingOwnFile);
         status.set("coordinators", coordinators);
-        status.set("members", all);
-        return status.put("whole", behind.isEmpty() && refused.isEmpty() && silent.isEmpty()
+        status.set("members", others);
+        return status.put("whole", outdated.isEmpty() && refused.isEmpty() && unreachable.isEmpty()
                 && !leader.isEmpty());
     }
 
-    private static void show(ObjectNode status, PrintWriter out) {
+    private static void print(ObjectNode status, PrintWriter out) {
         String newest = status.path("newest").asText();
         if (status.path("coordinators_answering").asInt() == 0) {
             out.println("no coordinator answers: all serve on with the configuration they have, and nothing"
@@ -177,15 +180,17 @@
         out.println(newest.equals(VersionId.NONE.toString()) ? "nothing was published"
                 : "the newest version is " + newest + ", in force on " + status.path("in_force").asInt()
                 + " of " + status.path("members").size() + " members");
-        for (JsonNode one : status.path("coordinators")) {
-            out.println(String.format(Locale.ROOT, "  coordinator %-20s %-22s %s", one.path("name").asText(),
-                    one.path("address").asText(), one.has("state") ? one.path("state").asText()
-                    : "has " + one.path("committed").asText() + ", epoch " + one.path("epoch").asText()
-                    + (one.path("leads").asBoolean() ? ", leads" : "")));
+        for (JsonNode coordinator : status.path("coordinators")) {
+            out.println(String.format(Locale.ROOT, "  coordinator %-20s %-22s %s",
+                    coordinator.path("name").asText(), coordinator.path("address").asText(),
+                    coordinator.has("state") ? coordinator.path("state").asText()
+                    : "has " + coordinator.path("committed").asText() + ", epoch "
+                    + coordinator.path("epoch").asText()
+                    + (coordinator.path("leads").asBoolean() ? ", leads" : "")));
         }
-        for (JsonNode one : status.path("coordinators")) {
-            if (one.path("name").asText().equals(status.path("leader").asText())) {
-                for (JsonNode version : one.path("versions")) {
+        for (JsonNode coordinator : status.path("coordinators")) {
+            if (coordinator.path("name").asText().equals(status.path("leader").asText())) {
+                for (JsonNode version : coordinator.path("versions")) {
                     out.println(String.format(Locale.ROOT, "  version %-8s %s by %s, %d bytes%s%s",
                             version.path("version").asText(), java.time.Instant.ofEpochMilli(
                             version.path("time_ms").asLong()), version.path("author").asText(),
@@ -195,17 +200,18 @@
                 }
             }
         }
-        for (JsonNode one : status.path("refused")) {
-            out.println("  " + one.path("name").asText() + " refuses " + one.path("version").asText()
-                    + ", and goes by " + one.path("in_force").asText() + ": "
-                    + (one.path("key").asText().isEmpty() ? "" : one.path("key").asText() + ": ")
-                    + one.path("reason").asText());
+        for (JsonNode refusal : status.path("refused")) {
+            out.println("  " + refusal.path("name").asText() + " refuses " + refusal.path("version").asText()
+                    + ", and goes by " + refusal.path("in_force").asText() + ": "
+                    + (refusal.path("key").asText().isEmpty() ? "" : refusal.path("key").asText() + ": ")
+                    + refusal.path("reason").asText());
         }
-        for (JsonNode one : status.path("members")) {
-            if (!one.has("refused") && !one.path("in_force").asText().equals(newest)) {
-                out.println("  " + one.path("name").asText() + (one.has("state") ? " " + (one.path("state")
-                        .asText().startsWith("not") ? "is " : "") + one.path("state").asText()
-                        : " still goes by " + one.path("in_force").asText()));
+        for (JsonNode member : status.path("members")) {
+            if (!member.has("refused") && !member.path("in_force").asText().equals(newest)) {
+                out.println("  " + member.path("name").asText() + (member.has("state") ? " "
+                        + (member.path("state").asText().startsWith("not") ? "is " : "")
+                        + member.path("state").asText()
+                        : " still goes by " + member.path("in_force").asText()));
             }
         }
     }
--- a/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
+++ b/src/main/java/cranedeal/fleet/command/CoordinatorCommand.java
@@ -28,7 +28,7 @@
 
     private static final Set<String> KEYS = Set.of("fleet", "name", "listen", "advertise", "peers",
             "state_dir", "zone", "probe_period_ms");
-    private static final double USUAL_PERIOD_MS = 1_000;
+    private static final double DEFAULT_PROBE_PERIOD_MS = 1_000;
 
     @Option(names = "--config", paramLabel = "FILE", description = "A JSON file with fleet, name, listen,"
             + " advertise, peers, state_dir, zone, probe_period_ms. Options override it.")
@@ -54,39 +54,40 @@
 
     @Override
     public Integer call() throws CommandException, InterruptedException {
-        JsonNode given = read();
-        String own = text(given, "name", name, null);
-        InetSocketAddress at = address("listen", text(given, "listen", listen, null));
-        InetSocketAddress reached = address("advertise", text(given, "advertise", advertise,
-                at.getAddress().getHostAddress() + ":" + at.getPort()));
-        List<InetSocketAddress> others = new ArrayList<>();
-        List<String> named = new ArrayList<>();
-        given.path("peers").forEach(peer -> named.add(peer.asText()));
-        for (String peer : peers == null ? named : peers) {
-            others.add(address("peers", peer));
+        JsonNode config = readFile();
+        String ownName = setting(config, "name", name, null);
+        InetSocketAddress listenAddress = parseAddress("listen", setting(config, "listen", listen, null));
+        InetSocketAddress advertisedAddress = parseAddress("advertise", setting(config, "advertise",
+                advertise, listenAddress.getAddress().getHostAddress() + ":" + listenAddress.getPort()));
+        List<InetSocketAddress> peerAddresses = new ArrayList<>();
+        List<String> configuredPeers = new ArrayList<>();
+        config.path("peers").forEach(peer -> configuredPeers.add(peer.asText()));
+        for (String peer : peers == null ? configuredPeers : peers) {
+            peerAddresses.add(parseAddress("peers", peer));
         }
-        if (others.isEmpty()) {
-            throw wrong("peers is missing");
+        if (peerAddresses.isEmpty()) {
+            throw usageError("peers is missing");
         }
         String version = Program.class.getPackage().getImplementationVersion();
         Coordinator coordinator;
         try {
-            Settings settings = new Settings(given.path("probe_period_ms").asDouble(USUAL_PERIOD_MS),
+            Settings settings = new Settings(config.path("probe_period_ms").asDouble(DEFAULT_PROBE_PERIOD_MS),
                     Settings.DEFAULTS.forgetMs(), Settings.DEFAULTS.maxMembers(), true, true);
-            String of = text(given, "fleet", fleet, null);
-            Member.requireName(of);
-            Member.requireName(own);
-            String where = text(given, "zone", zone, "");
-            if (!where.isEmpty()) {
-                Member.requireName(where);
+            String fleetName = setting(config, "fleet", fleet, null);
+            Member.requireName(fleetName);
+            Member.requireName(ownName);
+            String zoneName = setting(config, "zone", zone, "");
+            if (!zoneName.isEmpty()) {
+                Member.requireName(zoneName);
             }
-            Path folder = Path.of(text(given, "state_dir", stateDir == null ? null : stateDir.toString(),
+            Path folder = Path.of(setting(config, "state_dir", stateDir == null ? null : stateDir.toString(),
                     null));
-            coordinator = new Coordinator(new FleetMember.Config(of, own, at, reached, others,
-                    Coordinator.ROLE, version == null ? "unpacked" : version, settings,
-                    new SecureRandom().nextLong()), others, where, folder);
+            coordinator = new Coordinator(new FleetMember.Config(fleetName, ownName, listenAddress,
+                    advertisedAddress, peerAddresses, Coordinator.ROLE,
+                    version == null ? "unpacked" : version, settings,
+                    new SecureRandom().nextLong()), peerAddresses, zoneName, folder);
         } catch (IllegalArgumentException e) {
-            throw wrong(e.getMessage());
+            throw usageError(e.getMessage());
         } catch (IOException e) {
             throw new CommandException(1, "cannot use state_dir: " + e.getMessage());
         }
@@ -103,26 +104,26 @@
         return 0;
     }
 
-    private CommandException wrong(String why) {
-        return new CommandException(Program.USAGE_ERROR, (file == null ? "" : file + ": ") + why);
+    private CommandException usageError(String reason) {
+        return new CommandException(Program.USAGE_ERROR, (file == null ? "" : file + ": ") + reason);
     }
 
-    private JsonNode read() throws CommandException {
+    private JsonNode readFile() throws CommandException {
         JsonMapper json = new JsonMapper();
         if (file == null) {
             return json.createObjectNode();
         }
         try {
-            JsonNode given = json.readTree(file.toFile());
-            if (given == null || !given.isObject()) {
-                throw wrong("the file must hold a JSON object");
+            JsonNode config = json.readTree(file.toFile());
+            if (config == null || !config.isObject()) {
+                throw usageError("the file must hold a JSON object");
             }
-            for (String key : (Iterable<String>) given::fieldNames) {
+            for (String key : (Iterable<String>) config::fieldNames) {
                 if (!KEYS.contains(key)) {
-                    throw wrong(key + " is not a known key");
+                    throw usageError(key + " is not a known key");
                 }
             }
-            return given;
+            return config;
         } catch (IOException e) {
             throw new CommandException(Program.USAGE_ERROR, "cannot read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
@@ -132,15 +133,17 @@
     /**
      * The value of the option, else of the file, else the default. A null default means that it is required.
      */
-    private String text(JsonNode given, String key, String flag, String usual) throws CommandException {
-        String value = flag != null ? flag : given.path(key).asText(usual == null ? "" : usual);
-        if (value.isEmpty() && usual == null) {
-            throw wrong(key + " is missing");
+    private String setting(JsonNode config, String key, String option, String defaultValue)
+            throws CommandException {
+        String value = option != null ? option : config.path(key).asText(defaultValue == null ? ""
+                : defaultValue);
+        if (value.isEmpty() && defaultValue == null) {
+            throw usageError(key + " is missing");
         }
         return value;
     }
 
-    private InetSocketAddress address(String key, String text) throws CommandException {
+    private InetSocketAddress parseAddress(String key, String text) throws CommandException {
         int colon = text.lastIndexOf(':');
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
         try {
@@ -151,8 +154,8 @@
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            throw wrong(key + ": '" + text + "' is not an address with a port");
+            throw usageError(key + ": '" + text + "' is not an address with a port");
         }
-        throw wrong(key + ": '" + text + "' is not a loopback address with a port");
+        throw usageError(key + ": '" + text + "' is not a loopback address with a port");
     }
 }
--- a/src/main/java/cranedeal/fleet/command/MembersCommand.java
+++ b/src/main/java/cranedeal/fleet/command/MembersCommand.java
@@ -30,7 +30,7 @@
 final class MembersCommand implements Callable<Integer> {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
     private static final double MS_PER_S = 1_000;
 
     @Spec
@@ -44,7 +44,7 @@
     private boolean json;
 
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(PATIENCE).build();
+            .connectTimeout(REQUEST_TIMEOUT).build();
 
     @Override
     public Integer call() throws CommandException {
@@ -55,23 +55,23 @@
             throw new CommandException(Program.USAGE_ERROR, "'" + address
                     + "' is not an address with a port");
         }
-        JsonNode view = ask(request).join();
+        JsonNode view = get(request).join();
         if (view == null) {
             throw new CommandException(1, "no member answers at " + address);
         }
         PrintWriter out = spec.commandLine().getOut();
-        int code = compare ? compare(view, out) : show(view, out);
+        int code = compare ? compareViews(view, out) : printView(view, out);
         out.flush();
         return code;
     }
 
-    private static HttpRequest request(String at) {
-        URI members = URI.create("http://" + at + FleetMember.VIEW_PATH);
-        return HttpRequest.newBuilder(members).timeout(PATIENCE).build();
+    private static HttpRequest request(String memberAddress) {
+        URI members = URI.create("http://" + memberAddress + FleetMember.VIEW_PATH);
+        return HttpRequest.newBuilder(members).timeout(REQUEST_TIMEOUT).build();
     }
 
     /** A member's view; null if it does not answer. */
-    private CompletableFuture<JsonNode> ask(HttpRequest request) {
+    private CompletableFuture<JsonNode> get(HttpRequest request) {
         var answer = http.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray());
         return answer.handle((response, failure) -> {
             try {
@@ -83,7 +83,7 @@
         });
     }
 
-    private int show(JsonNode view, PrintWriter out) {
+    private int printView(JsonNode view, PrintWriter out) {
         boolean isolated = view.path("isolated").asBoolean();
         if (json) {
             out.println(view);
@@ -107,61 +107,61 @@
         return ms == 0 ? "" : String.format(Locale.ROOT, "%.1f", ms / MS_PER_S);
     }
 
-    private int compare(JsonNode view, PrintWriter out) {
-        Map<String, CompletableFuture<JsonNode>> asked = new LinkedHashMap<>();
+    private int compareViews(JsonNode view, PrintWriter out) {
+        Map<String, CompletableFuture<JsonNode>> pending = new LinkedHashMap<>();
         for (JsonNode member : view.path("members")) {
             if (isPresent(member)) {
-                asked.put(member.path("name").asText(), ask(request(member.path("address").asText())));
+                pending.put(member.path("name").asText(), get(request(member.path("address").asText())));
             }
         }
         Map<String, Map<String, String>> views = new LinkedHashMap<>();
         ObjectNode result = JSON.createObjectNode();
-        ArrayNode silent = result.putArray("silent");
+        ArrayNode unreachable = result.putArray("silent");
         ArrayNode isolated = result.putArray("isolated");
-        asked.forEach((name, answer) -> {
-            JsonNode its = answer.join();
-            if (its == null) {
-                silent.add(name);
+        pending.forEach((name, answer) -> {
+            JsonNode memberView = answer.join();
+            if (memberView == null) {
+                unreachable.add(name);
             } else {
-                views.put(name, states(its));
-                if (its.path("isolated").asBoolean()) {
+                views.put(name, presentMembers(memberView));
+                if (memberView.path("isolated").asBoolean()) {
                     isolated.add(name);
                 }
             }
         });
         ArrayNode differ = result.putArray("differ");
-        Map<String, String> mine = states(view);
+        Map<String, String> statesInView = presentMembers(view);
         views.forEach((name, states) -> {
-            Map<String, String> all = new LinkedHashMap<>(mine);
+            Map<String, String> all = new LinkedHashMap<>(statesInView);
             states.forEach(all::putIfAbsent);
-            for (String of : all.keySet()) {
-                String here = mine.getOrDefault(of, "unknown");
-                String there = states.getOrDefault(of, "unknown");
-                if (!here.equals(there)) {
-                    differ.addObject().put("member", of).put("by", name).put("sees", there)
-                            .put("first_sees", here).put("for_ms", since(view, name));
+            for (String memberName : all.keySet()) {
+                String seenHere = statesInView.getOrDefault(memberName, "unknown");
+                String seenThere = states.getOrDefault(memberName, "unknown");
+                if (!seenHere.equals(seenThere)) {
+                    differ.addObject().put("member", memberName).put("by", name).put("sees", seenThere)
+                            .put("first_sees", seenHere).put("for_ms", differingForMs(view, name));
                 }
             }
         });
-        boolean agree = differ.isEmpty() && silent.isEmpty();
-        result.put("asked", asked.size()).put("agree", agree);
+        boolean agree = differ.isEmpty() && unreachable.isEmpty();
+        result.put("asked", pending.size()).put("agree", agree);
         if (json) {
             out.println(result);
         } else {
-            out.println(asked.size() + " members asked by the view of " + view.path("name").asText()
+            out.println(pending.size() + " members asked by the view of " + view.path("name").asText()
                     + (agree ? ": all agree" : ""));
-            silent.forEach(name -> out.println("  " + name.asText() + " does not answer"));
+            unreachable.forEach(name -> out.println("  " + name.asText() + " does not answer"));
             isolated.forEach(name -> out.println("  " + name.asText() + " is isolated"));
-            differ.forEach(one -> out.println("  " + one.path("by").asText() + " sees "
-                    + one.path("member").asText() + " " + one.path("sees").asText() + ", "
-                    + view.path("name").asText() + " sees it " + one.path("first_sees").asText()
-                    + (one.path("for_ms").asLong() > 0 ? "; they differ for "
-                    + seconds(one.path("for_ms").asLong()) + " s" : "")));
+            differ.forEach(difference -> out.println("  " + difference.path("by").asText() + " sees "
+                    + difference.path("member").asText() + " " + difference.path("sees").asText() + ", "
+                    + view.path("name").asText() + " sees it " + difference.path("first_sees").asText()
+                    + (difference.path("for_ms").asLong() > 0 ? "; they differ for "
+                    + seconds(difference.path("for_ms").asLong()) + " s" : "")));
         }
         return agree && isolated.isEmpty() ? 0 : 1;
     }
 
-    private static long since(JsonNode view, String name) {
+    private static long differingForMs(JsonNode view, String name) {
         for (JsonNode member : view.path("members")) {
             if (member.path("name").asText().equals(name)) {
                 return member.path("differs_ms").asLong();
@@ -176,7 +176,7 @@
     }
 
     /** The present members and the process of each. A member that has gone counts as unknown. */
-    private static Map<String, String> states(JsonNode view) {
+    private static Map<String, String> presentMembers(JsonNode view) {
         Map<String, String> states = new LinkedHashMap<>();
         for (JsonNode member : view.path("members")) {
             if (isPresent(member)) {
--- a/src/main/java/cranedeal/fleet/command/Program.java
+++ b/src/main/java/cranedeal/fleet/command/Program.java
@@ -22,7 +22,7 @@
 
     /** The exit code for a file or a value that the command can't use. */
     public static final int USAGE_ERROR = CommandLine.ExitCode.USAGE;
-    private static final int WIDTH = 100;
+    private static final int HELP_WIDTH = 100;
 
     @Spec
     private CommandSpec spec;
@@ -39,30 +39,31 @@
     public record SuppliedCommand(String description, Callable<Integer> start) { }
 
     /** Runs the command that the arguments name and returns the exit code. */
-    public static int run(Map<String, SuppliedCommand> brought, String... args) {
-        CommandLine line = new CommandLine(new Program());
-        brought.forEach((name, role) -> line.addSubcommand(name, describe(role)));
-        ServiceLoader.load(Role.class).forEach(line::addSubcommand);
-        line.setCaseInsensitiveEnumValuesAllowed(true).setExpandAtFiles(false).setUsageHelpWidth(WIDTH);
-        line.setParameterExceptionHandler((wrong, parsed) -> {
-            CommandLine command = wrong.getCommandLine();
-            command.getErr().println("sablehinge: " + wrong.getMessage().lines().findFirst().orElse("")
+    public static int run(Map<String, SuppliedCommand> supplied, String... args) {
+        CommandLine commandLine = new CommandLine(new Program());
+        supplied.forEach((name, command) -> commandLine.addSubcommand(name, describe(command)));
+        ServiceLoader.load(Role.class).forEach(commandLine::addSubcommand);
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true).setExpandAtFiles(false)
+                .setUsageHelpWidth(HELP_WIDTH);
+        commandLine.setParameterExceptionHandler((exception, parsed) -> {
+            CommandLine command = exception.getCommandLine();
+            command.getErr().println("sablehinge: " + exception.getMessage().lines().findFirst().orElse("")
                     + "; see " + command.getCommandSpec().qualifiedName() + " --help");
             return USAGE_ERROR;
         });
-        line.setExecutionExceptionHandler((failure, command, parsed) -> {
-            if (failure instanceof CommandException told) {
-                command.getErr().println("sablehinge: " + told.getMessage());
-                return told.exitCode();
+        commandLine.setExecutionExceptionHandler((failure, command, parsed) -> {
+            if (failure instanceof CommandException commandFailure) {
+                command.getErr().println("sablehinge: " + commandFailure.getMessage());
+                return commandFailure.exitCode();
             }
             throw failure;
         });
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
-    private static CommandSpec describe(SuppliedCommand role) {
-        return CommandSpec.wrapWithoutInspection(role.start())
-                .usageMessage(new UsageMessageSpec().description(role.description()))
+    private static CommandSpec describe(SuppliedCommand command) {
+        return CommandSpec.wrapWithoutInspection(command.start())
+                .usageMessage(new UsageMessageSpec().description(command.description()))
                 .mixinStandardHelpOptions(true);
     }
 
--- a/src/main/java/cranedeal/fleet/command/StoreCommand.java
+++ b/src/main/java/cranedeal/fleet/command/StoreCommand.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
 import cranedeal.fleet.store.Repair;
-import cranedeal.fleet.store.Store;
 import cranedeal.fleet.store.ReplayHandler;
+import cranedeal.fleet.store.Store;
+import cranedeal.fleet.store.StoreLimits;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.ByteBuffer;
@@ -32,7 +32,7 @@
 final class StoreCommand implements Callable<Integer> {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final DateTimeFormatter STAMP = DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss");
+    private static final DateTimeFormatter BACKUP_TIMESTAMP = DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss");
 
     @Spec
     private CommandSpec spec;
@@ -47,14 +47,14 @@
     private int verify(@Parameters(paramLabel = "FOLDER") Path folder,
             @Option(names = "--json", description = "Answer in JSON.") boolean json) throws CommandException {
         try {
-            Store.Stats figures = Repair.verify(disk(folder), StoreLimits.DEFAULT, new Nobody());
+            Store.Stats stats = Repair.verify(openFolder(folder), StoreLimits.DEFAULT, new IgnoringHandler());
             if (json) {
-                line(JSON.valueToTree(figures).toString());
+                printLine(JSON.valueToTree(stats).toString());
             } else {
-                line(folder + " is intact: " + figures.recovered()
+                printLine(folder + " is intact: " + stats.recovered()
                         + " records after the snapshot, the last is "
-                        + figures.last());
-                figures.notes().forEach(note -> line("  " + note));
+                        + stats.last());
+                stats.notes().forEach(note -> printLine("  " + note));
             }
             return 0;
         } catch (IOException e) {
@@ -66,16 +66,16 @@
             description = "Prints the contents, a line of JSON for each snapshot chunk and each record.")
     private int dump(@Parameters(paramLabel = "FOLDER") Path folder) throws CommandException {
         try {
-            Repair.verify(disk(folder), StoreLimits.DEFAULT, new ReplayHandler() {
+            Repair.verify(openFolder(folder), StoreLimits.DEFAULT, new ReplayHandler() {
 
                 @Override
-                public void snapshotChunk(byte[] piece) {
-                    line(content(JSON.createObjectNode().put("snapshot", true), piece).toString());
+                public void snapshotChunk(byte[] chunk) {
+                    printLine(withContent(JSON.createObjectNode().put("snapshot", true), chunk).toString());
                 }
 
                 @Override
                 public void record(Record record) {
-                    line(content(JSON.createObjectNode().put("sequence", record.sequence())
+                    printLine(withContent(JSON.createObjectNode().put("sequence", record.sequence())
                             .put("type", record.type()), record.payload()).toString());
                 }
             });
@@ -89,11 +89,12 @@
             description = "Truncates the store at its damage. The old files are kept in a folder inside it.")
     private int repair(@Parameters(paramLabel = "FOLDER") Path folder,
             @Option(names = "--json", description = "Answer in JSON.") boolean json) throws CommandException {
-        disk(folder);
-        Path kept = folder.resolve("before-repair-" + STAMP.format(Instant.now(Clock.systemUTC())
+        openFolder(folder);
+        Path backupFolder = folder.resolve("before-repair-"
+                + BACKUP_TIMESTAMP.format(Instant.now(Clock.systemUTC())
                 .atOffset(ZoneOffset.UTC)));
         try {
-            Repair.Outcome outcome = Repair.repair(folder, StoreLimits.DEFAULT, kept);
+            Repair.Outcome outcome = Repair.repair(folder, StoreLimits.DEFAULT, backupFolder);
             if (json) {
                 ObjectNode answer = JSON.createObjectNode()
                         .put("kept", outcome.backupFolder() == null ? null
@@ -101,14 +102,14 @@
                         .put("dropped_count", outcome.droppedCount());
                 answer.set("cut", JSON.valueToTree(outcome.repairedDamage()));
                 answer.set("dropped", JSON.valueToTree(outcome.droppedSequences()));
-                line(answer.toString());
+                printLine(answer.toString());
             } else if (outcome.repairedDamage().isEmpty()) {
-                line(folder + " is intact; nothing was changed");
+                printLine(folder + " is intact; nothing was changed");
             } else {
-                outcome.repairedDamage().forEach(this::line);
-                line(outcome.droppedCount() + " records after the damage were dropped: "
+                outcome.repairedDamage().forEach(this::printLine);
+                printLine(outcome.droppedCount() + " records after the damage were dropped: "
                         + outcome.droppedSequences());
-                line("the old files are in " + outcome.backupFolder());
+                printLine("the old files are in " + outcome.backupFolder());
             }
             return 0;
         } catch (IOException e) {
@@ -116,14 +117,14 @@
         }
     }
 
-    private static FolderDisk disk(Path folder) throws CommandException {
+    private static FolderDisk openFolder(Path folder) throws CommandException {
         if (!Files.isDirectory(folder)) {
             throw new CommandException(Program.USAGE_ERROR, folder + ": no such folder");
         }
         return new FolderDisk(folder);
     }
 
-    private static ObjectNode content(ObjectNode line, byte[] bytes) {
+    private static ObjectNode withContent(ObjectNode line, byte[] bytes) {
         try {
             return line.put("text",
                     StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
@@ -132,17 +133,17 @@
         }
     }
 
-    private void line(String text) {
+    private void printLine(String text) {
         PrintWriter out = spec.commandLine().getOut();
         out.println(text);
         out.flush();
     }
 
     /** Ignores the contents. */
-    private static final class Nobody implements ReplayHandler {
+    private static final class IgnoringHandler implements ReplayHandler {
 
         @Override
-        public void snapshotChunk(byte[] piece) {
+        public void snapshotChunk(byte[] chunk) {
             // Reading it is the check.
         }
 
--- a/src/main/java/cranedeal/fleet/store/DurableValue.java
+++ b/src/main/java/cranedeal/fleet/store/DurableValue.java
@@ -13,9 +13,9 @@
  */
 public final class DurableValue {
 
-    private static final int WHOLE = 1;
-    private static final int TRIES = 100;
-    private static final long TRY_AGAIN_MS = 5;
+    private static final int VALUE_RECORD = 1;
+    private static final int MAX_OPEN_ATTEMPTS = 100;
+    private static final long RETRY_DELAY_MS = 5;
 
     private final Path folder;
     private final FolderDisk disk;
@@ -45,30 +45,30 @@
 
     /** The value; null if none was stored so far. Throws as {@link Store#open} does. */
     public byte[] read() throws IOException {
-        Last last = new Last();
+        LastValue last = new LastValue();
         if (Files.exists(folder)) {
-            whenFree(() -> Repair.verify(disk, StoreLimits.DEFAULT, last));
+            retryWhileInUse(() -> Repair.verify(disk, StoreLimits.DEFAULT, last));
         }
         return last.value;
     }
 
     /** Updates the value and returns the new one, which is forced to disk by then. */
-    public byte[] update(Update change) throws IOException {
+    public byte[] update(Update update) throws IOException {
         Files.createDirectories(folder);
-        Last last = new Last();
-        try (Store store = whenFree(() -> Store.open(disk, StoreLimits.DEFAULT, last))) {
-            byte[] bytes = change.apply(last.value);
-            store.append(WHOLE, bytes);
+        LastValue last = new LastValue();
+        try (Store store = retryWhileInUse(() -> Store.open(disk, StoreLimits.DEFAULT, last))) {
+            byte[] bytes = update.apply(last.value);
+            store.append(VALUE_RECORD, bytes);
             store.force();
             if (store.isSnapshotDue(bytes.length)) {
-                replaceBySnapshot(store, bytes);
+                writeSnapshot(store, bytes);
             }
             return bytes;
         }
     }
 
     /** A failure is only logged: the value is on disk already, and the next update tries again. */
-    private void replaceBySnapshot(Store store, byte[] bytes) {
+    private void writeSnapshot(Store store, byte[] bytes) {
         try (Store.Snapshot snapshot = store.snapshot()) {
             snapshot.write(bytes);
             snapshot.commit();
@@ -77,18 +77,18 @@
         }
     }
 
-    private interface Opening<T> {
+    private interface OpenAction<T> {
 
         T open() throws IOException;
     }
 
     /** Retries while another process has the folder, which it holds for some milliseconds only. */
-    private static <T> T whenFree(Opening<T> opening) throws IOException {
+    private static <T> T retryWhileInUse(OpenAction<T> action) throws IOException {
         for (int i = 1;; i++) {
             try {
-                return opening.open();
+                return action.open();
             } catch (StoreInUseException e) {
-                if (i == TRIES) {
+                if (i == MAX_OPEN_ATTEMPTS) {
                     throw e;
                 }
                 sleep();
@@ -98,7 +98,7 @@
 
     private static void sleep() throws IOException {
         try {
-            TimeUnit.MILLISECONDS.sleep(TRY_AGAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -106,18 +106,18 @@
     }
 
     /** Remembers the last value of the store. */
-    private static final class Last implements ReplayHandler {
+    private static final class LastValue implements ReplayHandler {
 
         private byte[] value;
 
         @Override
-        public void snapshotChunk(byte[] piece) {
-            value = piece;
+        public void snapshotChunk(byte[] chunk) {
+            value = chunk;
         }
 
         @Override
         public void record(Record record) {
-            if (record.type() == WHOLE) {
+            if (record.type() == VALUE_RECORD) {
                 value = record.payload();
             }
         }
--- a/src/main/java/cranedeal/fleet/store/FileKind.java
+++ b/src/main/java/cranedeal/fleet/store/FileKind.java
@@ -15,22 +15,22 @@
     /** A snapshot in chunks; its number is the sequence number of the last record that it includes. */
     SNAPSHOT("snapshot-", 0x4f535053);
 
-    static final int HEAD = 20;
+    static final int HEADER_BYTES = 20;
     /** The format version that is written. Older ones can be read. */
-    static final int VERSION = 1;
+    static final int FORMAT_VERSION = 1;
     /** The suffix of files that are not finished yet. */
-    static final String UNFINISHED = ".new";
+    static final String UNFINISHED_SUFFIX = ".new";
     /** The number of hexadecimal digits in a file name; also used as their radix. */
-    private static final int DIGITS = 16;
+    private static final int HEX_DIGITS = 16;
     /** The checksum covers the bytes before it. */
-    private static final int CHECKED = 16;
+    private static final int CHECKSUM_OFFSET = 16;
 
     private final String prefix;
-    private final int mark;
+    private final int magic;
 
-    FileKind(String prefix, int mark) {
+    FileKind(String prefix, int magic) {
         this.prefix = prefix;
-        this.mark = mark;
+        this.magic = magic;
     }
 
     String name(long number) {
@@ -38,42 +38,43 @@
     }
 
     /** Returns true if this is the name of a finished file of this kind. */
-    boolean has(String name) {
-        return name.startsWith(prefix) && name.length() == prefix.length() + DIGITS
-                && name.substring(prefix.length()).chars().allMatch(c -> Character.digit(c, DIGITS) >= 0);
+    boolean matches(String name) {
+        return name.startsWith(prefix) && name.length() == prefix.length() + HEX_DIGITS
+                && name.substring(prefix.length()).chars().allMatch(c -> Character.digit(c, HEX_DIGITS) >= 0);
     }
 
     long number(String name) {
-        return Long.parseUnsignedLong(name.substring(prefix.length()), DIGITS);
+        return Long.parseUnsignedLong(name.substring(prefix.length()), HEX_DIGITS);
     }
 
-    ByteBuffer head(long number) {
-        ByteBuffer head = ByteBuffer.allocate(HEAD).putInt(mark).putInt(VERSION).putLong(number);
-        return head.putInt(crc(head)).flip();
+    ByteBuffer header(long number) {
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES).putInt(magic).putInt(FORMAT_VERSION)
+                .putLong(number);
+        return header.putInt(crc(header)).flip();
     }
 
     /**
      * Returns true if a header is intact and belongs to the named file. Throws {@link StoreException} if a
      * later version of the program wrote it.
      *
-     * @param head {@link #HEAD} bytes, or fewer if the file is shorter than that
+     * @param header {@link #HEADER_BYTES} bytes, or fewer if the file is shorter than that
      */
-    boolean isHead(ByteBuffer head, String name) throws StoreException {
-        if (head.remaining() < HEAD || head.getInt(0) != mark || head.getInt(CHECKED) != crc(head)
-                || head.getLong(8) != number(name)) {
+    boolean isValidHeader(ByteBuffer header, String name) throws StoreException {
+        if (header.remaining() < HEADER_BYTES || header.getInt(0) != magic
+                || header.getInt(CHECKSUM_OFFSET) != crc(header) || header.getLong(8) != number(name)) {
             return false;
         }
-        if (head.getInt(4) > VERSION) {
-            throw new StoreException(name + " has format " + head.getInt(4)
+        if (header.getInt(4) > FORMAT_VERSION) {
+            throw new StoreException(name + " has format " + header.getInt(4)
                     + ", but this program reads formats up to "
-                    + VERSION + "; use the version of the program that wrote it");
+                    + FORMAT_VERSION + "; use the version of the program that wrote it");
         }
         return true;
     }
 
-    private static int crc(ByteBuffer head) {
+    private static int crc(ByteBuffer header) {
         CRC32C crc = new CRC32C();
-        crc.update(head.duplicate().position(0).limit(CHECKED));
+        crc.update(header.duplicate().position(0).limit(CHECKSUM_OFFSET));
         return (int) crc.getValue();
     }
 }
--- a/src/main/java/cranedeal/fleet/store/FolderDisk.java
+++ b/src/main/java/cranedeal/fleet/store/FolderDisk.java
@@ -16,7 +16,7 @@
 /** A folder of the file system. */
 public final class FolderDisk implements Disk {
 
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
 
@@ -29,7 +29,7 @@
     public List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile).map(file -> file.getFileName().toString())
-                    .filter(name -> !name.equals(LOCK)).toList();
+                    .filter(name -> !name.equals(LOCK_FILE)).toList();
         }
     }
 
@@ -59,8 +59,8 @@
         return open(name, StandardOpenOption.READ);
     }
 
-    private Output open(String name, StandardOpenOption how) throws IOException {
-        FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE, how);
+    private Output open(String name, StandardOpenOption option) throws IOException {
+        FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE, option);
         file.position(file.size());
         return new Output() {
 
@@ -102,21 +102,21 @@
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel itself = FileChannel.open(folder, StandardOpenOption.READ)) {
-            itself.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
     @Override
     public Closeable tryLock(boolean shared) throws IOException {
-        Path name = folder.resolve(LOCK);
+        Path lockFile = folder.resolve(LOCK_FILE);
         FileChannel file;
         try {
-            file = shared && Files.exists(name) ? FileChannel.open(name, StandardOpenOption.READ)
-                    : FileChannel.open(name, StandardOpenOption.CREATE, StandardOpenOption.READ,
+            file = shared && Files.exists(lockFile) ? FileChannel.open(lockFile, StandardOpenOption.READ)
+                    : FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.READ,
                             StandardOpenOption.WRITE);
         } catch (IOException e) {
-            if (shared && !Files.exists(name)) {
+            if (shared && !Files.exists(lockFile)) {
                 // No process has written here, and none can, so there is nothing to lock against.
                 return () -> { };
             }
--- a/src/main/java/cranedeal/fleet/store/Frame.java
+++ b/src/main/java/cranedeal/fleet/store/Frame.java
@@ -9,23 +9,23 @@
  * (4). The forced number lets recovery tell damage from an incomplete last write: all records up to it were
  * acknowledged.
  *
- * @param forced the highest sequence number known to be forced when this frame was written
+ * @param forcedSequence the highest sequence number known to be forced when this frame was written
  */
-record Frame(Record record, long forced) {
+record Frame(Record record, long forcedSequence) {
 
-    static final int HEAD = 24;
-    static final int OVERHEAD = HEAD + 4;
+    static final int HEADER_BYTES = 24;
+    static final int OVERHEAD_BYTES = HEADER_BYTES + 4;
 
     /** The size in bytes of a frame with a payload of the given size. */
     static int size(int payload) {
-        return payload + OVERHEAD;
+        return payload + OVERHEAD_BYTES;
     }
 
     /** Encodes a record at the buffer's position. */
-    static void put(Record record, long forced, ByteBuffer into) {
+    static void encode(Record record, long forcedSequence, ByteBuffer into) {
         int start = into.position();
-        into.putInt(record.payload().length).putInt(record.type()).putLong(record.sequence()).putLong(forced)
-                .put(record.payload());
+        into.putInt(record.payload().length).putInt(record.type()).putLong(record.sequence())
+                .putLong(forcedSequence).put(record.payload());
         into.putInt(crc(into, start, into.position()));
     }
 
@@ -33,29 +33,29 @@
      * Decodes the frame at the buffer's position and advances past it. Returns null and leaves the position
      * unchanged if there is no intact frame.
      */
-    static Frame take(ByteBuffer from, int mostPayload) {
+    static Frame decode(ByteBuffer from, int maxPayload) {
         int start = from.position();
-        if (from.remaining() < OVERHEAD) {
+        if (from.remaining() < OVERHEAD_BYTES) {
             return null;
         }
         int length = from.getInt(start);
-        if (length < 0 || length > mostPayload || from.remaining() < size(length)) {
+        if (length < 0 || length > maxPayload || from.remaining() < size(length)) {
             return null;
         }
-        int end = start + HEAD + length;
+        int end = start + HEADER_BYTES + length;
         if (from.getInt(end) != crc(from, start, end)) {
             return null;
         }
         byte[] payload = new byte[length];
-        from.get(start + HEAD, payload);
+        from.get(start + HEADER_BYTES, payload);
         from.position(end + 4);
         return new Frame(new Record(from.getLong(start + 8), from.getInt(start + 4), payload),
                 from.getLong(start + 16));
     }
 
-    private static int crc(ByteBuffer of, int from, int to) {
+    private static int crc(ByteBuffer buffer, int from, int to) {
         CRC32C crc = new CRC32C();
-        crc.update(of.duplicate().position(from).limit(to));
+        crc.update(buffer.duplicate().position(from).limit(to));
         return (int) crc.getValue();
     }
 }
--- a/src/main/java/cranedeal/fleet/store/GroupCommit.java
+++ b/src/main/java/cranedeal/fleet/store/GroupCommit.java
@@ -23,24 +23,24 @@
     }
 
     /** An append, or a task if {@code payload} is null. */
-    private record Call(int type, byte[] payload, Task<?> task, CompletableFuture<Object> result) { }
+    private record Operation(int type, byte[] payload, Task<?> task, CompletableFuture<Object> result) { }
 
-    private static final Call LAST = new Call(0, null, null, null);
+    private static final Operation CLOSE = new Operation(0, null, null, null);
 
     private final Store store;
-    private final BlockingQueue<Call> calls;
+    private final BlockingQueue<Operation> queue;
     private final Thread thread;
     private volatile boolean closed;
 
     /**
      * Takes over a store.
      *
-     * @param mostWaiting how many operations may wait; more are refused
+     * @param maxQueued how many operations may wait; more are refused
      * @param name the name of the thread
      */
-    public GroupCommit(Store store, int mostWaiting, String name) {
+    public GroupCommit(Store store, int maxQueued, String name) {
         this.store = store;
-        calls = new ArrayBlockingQueue<>(mostWaiting);
+        queue = new ArrayBlockingQueue<>(maxQueued);
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
         thread.start();
@@ -51,43 +51,45 @@
      * fails with {@link StoreException} if that was not possible, or at once if too many operations wait.
      */
     public CompletableFuture<Long> append(int type, byte[] payload) {
-        return offer(new Call(type, payload, null, new CompletableFuture<>())).thenApply(Long.class::cast);
+        return enqueue(new Operation(type, payload, null, new CompletableFuture<>()))
+                .thenApply(Long.class::cast);
     }
 
     /** Runs a task on the store's thread, after everything appended before it has been forced to disk. */
     @SuppressWarnings("unchecked")
     public <T> CompletableFuture<T> run(Task<T> task) {
-        return offer(new Call(0, null, task, new CompletableFuture<>())).thenApply(result -> (T) result);
+        return enqueue(new Operation(0, null, task, new CompletableFuture<>()))
+                .thenApply(result -> (T) result);
     }
 
-    private CompletableFuture<Object> offer(Call call) {
-        if (closed || !calls.offer(call)) {
-            call.result().completeExceptionally(new StoreException(closed ? "the store is closed"
+    private CompletableFuture<Object> enqueue(Operation operation) {
+        if (closed || !queue.offer(operation)) {
+            operation.result().completeExceptionally(new StoreException(closed ? "the store is closed"
                     : "too many operations wait to be written; try again"));
         }
-        return call.result();
+        return operation.result();
     }
 
     private void run() {
-        List<Call> batch = new ArrayList<>();
-        Call call = null;
+        List<Operation> batch = new ArrayList<>();
+        Operation operation = null;
         try {
-            while (call != LAST) {
-                call = calls.take();
+            while (operation != CLOSE) {
+                operation = queue.take();
                 batch.clear();
-                while (call != null && call != LAST && call.payload() != null
-                        && (batch.isEmpty() || store.fitsInBatch(call.payload().length))) {
-                    batch.add(call);
-                    append(call);
-                    call = calls.poll();
+                while (operation != null && operation != CLOSE && operation.payload() != null
+                        && (batch.isEmpty() || store.fitsInBatch(operation.payload().length))) {
+                    batch.add(operation);
+                    append(operation);
+                    operation = queue.poll();
                 }
                 commit(batch);
-                if (call != null && call.task() != null) {
-                    perform(call);
-                } else if (call != null && call.payload() != null) {
+                if (operation != null && operation.task() != null) {
+                    runTask(operation);
+                } else if (operation != null && operation.payload() != null) {
                     // It did not fit in the batch, so it is committed on its own.
-                    append(call);
-                    commit(List.of(call));
+                    append(operation);
+                    commit(List.of(operation));
                 }
             }
             store.close();
@@ -98,36 +100,36 @@
         }
     }
 
-    private void append(Call call) {
+    private void append(Operation operation) {
         try {
-            store.append(call.type(), call.payload());
+            store.append(operation.type(), operation.payload());
         } catch (IOException | RuntimeException e) {
-            call.result().completeExceptionally(e);
+            operation.result().completeExceptionally(e);
         }
     }
 
-    private void commit(List<Call> batch) {
-        List<Call> appended = batch.stream().filter(call -> !call.result().isDone()).toList();
+    private void commit(List<Operation> batch) {
+        List<Operation> appended = batch.stream().filter(operation -> !operation.result().isDone()).toList();
         if (appended.isEmpty()) {
             return;
         }
         try {
             store.force();
             long sequence = store.lastSequence() - appended.size();
-            for (Call call : appended) {
+            for (Operation operation : appended) {
                 sequence++;
-                call.result().complete(sequence);
+                operation.result().complete(sequence);
             }
         } catch (IOException e) {
-            appended.forEach(call -> call.result().completeExceptionally(e));
+            appended.forEach(operation -> operation.result().completeExceptionally(e));
         }
     }
 
-    private void perform(Call call) {
+    private void runTask(Operation operation) {
         try {
-            call.result().complete(call.task().run(store));
+            operation.result().complete(operation.task().run(store));
         } catch (IOException | RuntimeException e) {
-            call.result().completeExceptionally(e);
+            operation.result().completeExceptionally(e);
         }
     }
 
@@ -136,7 +138,7 @@
     public void close() throws IOException {
         closed = true;
         try {
-            calls.put(LAST);
+            queue.put(CLOSE);
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/cranedeal/fleet/store/Repair.java
+++ b/src/main/java/cranedeal/fleet/store/Repair.java
@@ -13,7 +13,7 @@
  */
 public final class Repair {
 
-    private static final int MOST_LISTED = 1_000;
+    private static final int MAX_LISTED = 1_000;
 
     private Repair() {
     }
@@ -30,13 +30,14 @@
             long droppedCount) { }
 
     /** Reads a folder without changing it; throws as {@link Store#open} does. */
-    public static Store.Stats verify(Disk disk, StoreLimits limits, ReplayHandler reader) throws IOException {
+    public static Store.Stats verify(Disk disk, StoreLimits limits, ReplayHandler handler)
+            throws IOException {
         Closeable lock = lock(disk, true);
         try {
             long start = System.nanoTime();
-            Recovery.Found found = new Recovery(disk, limits).read(reader);
-            return new Store.Stats(found.last(), found.last(), 0, 0, 0, 0, found.records(),
-                    (System.nanoTime() - start) / 1e6, found.torn(), found.notes());
+            Recovery.Result result = new Recovery(disk, limits).read(handler);
+            return new Store.Stats(result.lastSequence(), result.lastSequence(), 0, 0, 0, 0, result.records(),
+                    (System.nanoTime() - start) / 1e6, result.tornBytes(), result.notes());
         } finally {
             lock.close();
         }
@@ -53,23 +54,23 @@
     /**
      * Repairs a folder. A folder without damage is left unchanged.
      *
-     * @param keepIn the backup folder, which must not exist yet
+     * @param backupFolder the backup folder, which must not exist yet
      */
-    public static Outcome repair(Path folder, StoreLimits limits, Path keepIn) throws IOException {
+    public static Outcome repair(Path folder, StoreLimits limits, Path backupFolder) throws IOException {
         FolderDisk disk = new FolderDisk(folder);
-        List<String> cut = new ArrayList<>();
+        List<String> repairedDamage = new ArrayList<>();
         List<Long> dropped = new ArrayList<>();
-        long count = 0;
+        long droppedCount = 0;
         Closeable lock = lock(disk, false);
         try {
-            StoreDamagedException damage = damage(disk, limits);
+            StoreDamagedException damage = findDamage(disk, limits);
             while (damage != null) {
-                if (cut.isEmpty()) {
-                    keep(disk, folder, keepIn);
+                if (repairedDamage.isEmpty()) {
+                    backUp(disk, folder, backupFolder);
                 }
-                cut.add(damage.getMessage());
-                count += cut(disk, limits, damage, dropped);
-                StoreDamagedException next = damage(disk, limits);
+                repairedDamage.add(damage.getMessage());
+                droppedCount += truncateAtDamage(disk, limits, damage, dropped);
+                StoreDamagedException next = findDamage(disk, limits);
                 if (next != null && next.getMessage().equals(damage.getMessage())) {
                     throw next;
                 }
@@ -78,15 +79,16 @@
         } finally {
             lock.close();
         }
-        return new Outcome(cut.isEmpty() ? null : keepIn, cut, dropped, count);
+        return new Outcome(repairedDamage.isEmpty() ? null : backupFolder, repairedDamage, dropped,
+                droppedCount);
     }
 
-    private static StoreDamagedException damage(Disk disk, StoreLimits limits) throws IOException {
+    private static StoreDamagedException findDamage(Disk disk, StoreLimits limits) throws IOException {
         try {
             new Recovery(disk, limits).read(new ReplayHandler() {
 
                 @Override
-                public void snapshotChunk(byte[] piece) {
+                public void snapshotChunk(byte[] chunk) {
                     // Reading it is the check.
                 }
 
@@ -101,29 +103,30 @@
         }
     }
 
-    private static void keep(Disk disk, Path folder, Path keepIn) throws IOException {
-        Files.createDirectory(keepIn);
+    private static void backUp(Disk disk, Path folder, Path backupFolder) throws IOException {
+        Files.createDirectory(backupFolder);
         for (String name : disk.fileNames()) {
-            Files.copy(folder.resolve(name), keepIn.resolve(name));
+            Files.copy(folder.resolve(name), backupFolder.resolve(name));
         }
     }
 
     /**
      * Truncates a file at its damage and deletes later files; returns how many intact records were dropped.
      */
-    private static long cut(Disk disk, StoreLimits limits, StoreDamagedException damage, List<Long> dropped)
-            throws IOException {
-        if (FileKind.SNAPSHOT.has(damage.file())) {
+    private static long truncateAtDamage(Disk disk, StoreLimits limits, StoreDamagedException damage,
+            List<Long> dropped) throws IOException {
+        if (FileKind.SNAPSHOT.matches(damage.file())) {
             disk.delete(damage.file());
             disk.forceDirectory();
             return 0;
         }
-        long count = 0;
+        long droppedCount = 0;
         long first = FileKind.JOURNAL.number(damage.file());
         for (String name : new Recovery(disk, limits).files(FileKind.JOURNAL)) {
             if (Long.compareUnsigned(FileKind.JOURNAL.number(name), first) >= 0) {
                 boolean isCut = name.equals(damage.file()) && damage.offset() > 0;
-                count += list(disk, limits, name, isCut ? damage.offset() : FileKind.HEAD, dropped);
+                droppedCount += listIntactRecords(disk, limits, name, 
+                        isCut ? damage.offset() : FileKind.HEADER_BYTES, dropped);
                 if (isCut) {
                     try (Disk.Output out = disk.append(name)) {
                         out.truncate(damage.offset());
@@ -135,19 +138,19 @@
             }
         }
         disk.forceDirectory();
-        return count;
+        return droppedCount;
     }
 
-    private static long list(Disk disk, StoreLimits limits, String name, long from, List<Long> dropped)
-            throws IOException {
+    private static long listIntactRecords(Disk disk, StoreLimits limits, String name, long from,
+            List<Long> dropped) throws IOException {
         FrameReader frames = new FrameReader(disk, name, from, limits.maxRecordBytes());
-        long count = 0;
-        for (Frame frame = frames.nextBehindDamage(); frame != null; frame = frames.nextBehindDamage()) {
-            count++;
-            if (dropped.size() < MOST_LISTED) {
+        long droppedCount = 0;
+        for (Frame frame = frames.nextAfterDamage(); frame != null; frame = frames.nextAfterDamage()) {
+            droppedCount++;
+            if (dropped.size() < MAX_LISTED) {
                 dropped.add(frame.record().sequence());
             }
         }
-        return count;
+        return droppedCount;
     }
 }
--- a/src/main/java/cranedeal/fleet/store/ReplayHandler.java
+++ b/src/main/java/cranedeal/fleet/store/ReplayHandler.java
@@ -4,7 +4,7 @@
 public interface ReplayHandler {
 
     /** Called for each chunk of the snapshot, as it was written. */
-    void snapshotChunk(byte[] piece);
+    void snapshotChunk(byte[] chunk);
 
     /** Called for each record in order, without gaps or duplicates. */
     void record(Record record);
--- a/src/main/java/cranedeal/fleet/store/Snapshots.java
+++ b/src/main/java/cranedeal/fleet/store/Snapshots.java
@@ -10,43 +10,43 @@
  */
 final class Snapshots {
 
-    private static final int PIECE = 0;
-    private static final int END = 1;
+    private static final int CHUNK = 0;
+    private static final int END_MARKER = 1;
 
     private Snapshots() {
     }
 
-    static Record piece(long number, byte[] payload) {
-        return new Record(number, PIECE, payload);
+    static Record chunk(long number, byte[] payload) {
+        return new Record(number, CHUNK, payload);
     }
 
-    static Record end(long number) {
-        return new Record(number, END, new byte[0]);
+    static Record endMarker(long number) {
+        return new Record(number, END_MARKER, new byte[0]);
     }
 
     /**
      * Passes on the chunks of a snapshot. Returns false if the snapshot is not intact; some chunks may have
      * been passed on by then.
      */
-    static boolean pieces(Disk disk, String name, StoreLimits limits, Consumer<byte[]> to)
+    static boolean readChunks(Disk disk, String name, StoreLimits limits, Consumer<byte[]> consumer)
             throws IOException {
-        String finished = name.endsWith(FileKind.UNFINISHED)
-                ? name.substring(0, name.length() - FileKind.UNFINISHED.length()) : name;
-        ByteBuffer head = ByteBuffer.allocate(FileKind.HEAD);
-        disk.read(name, 0, head);
-        if (!FileKind.SNAPSHOT.isHead(head.flip(), finished)) {
+        String finished = name.endsWith(FileKind.UNFINISHED_SUFFIX)
+                ? name.substring(0, name.length() - FileKind.UNFINISHED_SUFFIX.length()) : name;
+        ByteBuffer header = ByteBuffer.allocate(FileKind.HEADER_BYTES);
+        disk.read(name, 0, header);
+        if (!FileKind.SNAPSHOT.isValidHeader(header.flip(), finished)) {
             return false;
         }
-        FrameReader frames = new FrameReader(disk, name, FileKind.HEAD, limits.maxRecordBytes());
+        FrameReader frames = new FrameReader(disk, name, FileKind.HEADER_BYTES, limits.maxRecordBytes());
         long number = 1;
         for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
             if (frame.record().sequence() != number) {
                 return false;
             }
-            if (frame.record().type() == END) {
+            if (frame.record().type() == END_MARKER) {
                 return frames.offset() == disk.size(name);
             }
-            to.accept(frame.record().payload());
+            consumer.accept(frame.record().payload());
             number++;
         }
         return false;
--- a/src/main/java/cranedeal/fleet/store/Store.java
+++ b/src/main/java/cranedeal/fleet/store/Store.java
@@ -19,61 +19,60 @@
 public final class Store implements Closeable {
 
     /** The number of snapshots that are kept. */
-    private static final int GENERATIONS = 2;
+    private static final int SNAPSHOTS_KEPT = 2;
     /** The longest force time that the histogram records, in microseconds. */
-    private static final long HIGHEST_US = 600_000_000;
+    private static final long MAX_FORCE_US = 600_000_000;
     /**
-     * A snapshot is due when the records since the last one exceed this share of the state's size. Records of
+     * A snapshot is due when the records since the last one reach this share of the state's size. Records of
      * up to twice this share are kept beside two snapshots, which leaves room for the frames' overhead within
      * the bound of three times the state.
      */
-    private static final double BEHIND = 0.4;
+    private static final double SNAPSHOT_DUE_SHARE = 0.4;
     /** No snapshot is due while the records since the last one take fewer bytes. */
-    private static final long LEAST_BEHIND = 1 << 16;
+    private static final long MIN_SNAPSHOT_DUE_BYTES = 1 << 16;
 
     private final Disk disk;
     private final StoreLimits limits;
     private final Closeable lock;
     private final Recovery recovery;
-    private final Recovery.Found found;
+    private final Recovery.Result recovered;
     private final long recoveryNanos;
-    private final Histogram forceMicros = new Histogram(HIGHEST_US, 2);
+    private final Histogram forceMicros = new Histogram(MAX_FORCE_US, 2);
     private ByteBuffer batch = ByteBuffer.allocate(1 << 16);
     private Disk.Output segment;
     private String segmentName;
     private long segmentSize;
-    private long last;
-    private long forced;
-    private long bytes;
+    private long lastSequence;
+    private long forcedSequence;
+    private long bytesWritten;
     /** The size of the records after the newest snapshot, in bytes. */
-    private long behind;
+    private long bytesSinceSnapshot;
     /** True if the next write begins a segment, so that the one before it can be deleted as a whole. */
-    private boolean rollNext;
+    private boolean beginSegmentNext;
     private boolean writingSnapshot;
     /** The failure after which the store can't be used any more; null if there was none. */
-    private StoreException poison;
+    private StoreException fatalFailure;
 
-    private Store(Disk disk, StoreLimits limits, Closeable lock, Recovery recovery, Recovery.Found found,
+    private Store(Disk disk, StoreLimits limits, Closeable lock, Recovery recovery, Recovery.Result recovered,
             long nanos) {
         this.disk = disk;
         this.limits = limits;
         this.lock = lock;
         this.recovery = recovery;
-        this.found = found;
+        this.recovered = recovered;
         recoveryNanos = nanos;
-        last = found.last();
-        behind = found.bytes();
-        rollNext = behind == 0;
+        lastSequence = recovered.lastSequence();
+        bytesSinceSnapshot = recovered.recordBytes();
+        beginSegmentNext = bytesSinceSnapshot == 0;
     }
 
     /**
      * Opens a folder's store and replays its contents. The rest of an incomplete last write is cut off, which
-     * {@link Stats#notes()} reports.
-     * Throws {@link StoreInUseException} if another process has the folder, {@link StoreDamagedException} if
-     * what was
-     * acknowledged can't be read, and {@link StoreException} if a later version wrote it.
+     * {@link Stats#notes()} reports. Throws {@link StoreInUseException} if another process has the folder,
+     * {@link StoreDamagedException} if acknowledged records can't be read, and {@link StoreException} if a
+     * later version of the program wrote it.
      */
-    public static Store open(Disk disk, StoreLimits limits, ReplayHandler reader) throws IOException {
+    public static Store open(Disk disk, StoreLimits limits, ReplayHandler handler) throws IOException {
         Closeable lock = disk.tryLock(false);
         if (lock == null) {
             throw new StoreInUseException(disk);
@@ -82,9 +81,9 @@
         try {
             long start = System.nanoTime();
             Recovery recovery = new Recovery(disk, limits);
-            Recovery.Found found = recovery.read(reader);
+            Recovery.Result found = recovery.read(handler);
             Store store = new Store(disk, limits, lock, recovery, found, System.nanoTime() - start);
-            store.begin();
+            store.prepareToAppend();
             open = true;
             return store;
         } finally {
@@ -95,21 +94,21 @@
     }
 
     /** Cuts off an incomplete write, and forces what was read: it may have been written but never forced. */
-    private void begin() throws IOException {
-        if (found.segment() != null) {
-            segmentName = found.segment();
+    private void prepareToAppend() throws IOException {
+        if (recovered.lastSegment() != null) {
+            segmentName = recovered.lastSegment();
             segment = disk.append(segmentName);
-            if (found.torn() > 0) {
-                segment.truncate(found.end());
+            if (recovered.tornBytes() > 0) {
+                segment.truncate(recovered.intactEnd());
             }
             segment.force();
-            segmentSize = found.end();
+            segmentSize = recovered.intactEnd();
         }
-        for (String unfinished : found.unfinished()) {
+        for (String unfinished : recovered.unfinishedFiles()) {
             disk.delete(unfinished);
         }
         disk.forceDirectory();
-        forced = last;
+        forcedSequence = lastSequence;
     }
 
     /** Counters since the store was opened, and the result of its recovery. */
@@ -118,19 +117,19 @@
 
     /** The current counters. */
     public Stats stats() {
-        return new Stats(last, forced, bytes, forceMicros.getTotalCount(),
+        return new Stats(lastSequence, forcedSequence, bytesWritten, forceMicros.getTotalCount(),
                 forceMicros.getValueAtPercentile(50) / 1e3, forceMicros.getValueAtPercentile(99) / 1e3,
-                found.records(), recoveryNanos / 1e6, found.torn(), found.notes());
+                recovered.records(), recoveryNanos / 1e6, recovered.tornBytes(), recovered.notes());
     }
 
     /** The highest sequence number, forced or not. */
     public long lastSequence() {
-        return last;
+        return lastSequence;
     }
 
     /** The sequence number up to which all records are on disk. */
     public long forcedSequence() {
-        return forced;
+        return forcedSequence;
     }
 
     /**
@@ -139,7 +138,7 @@
      * first.
      */
     public long append(int type, byte[] payload) throws IOException {
-        usable();
+        requireUsable();
         if (payload.length > limits.maxRecordBytes() || type < 0) {
             throw new IllegalArgumentException("a record of type " + type + " with " + payload.length
                     + " bytes is not allowed");
@@ -150,13 +149,13 @@
                     + " bytes wait to be written; force them first");
         }
         if (batch.remaining() < size) {
-            int larger = Math.min(limits.maxBatchBytes(), Math.max(2 * batch.capacity(), batch.position()
+            int capacity = Math.min(limits.maxBatchBytes(), Math.max(2 * batch.capacity(), batch.position()
                     + size));
-            batch = ByteBuffer.allocate(larger).put(batch.flip());
+            batch = ByteBuffer.allocate(capacity).put(batch.flip());
         }
-        last++;
-        Frame.put(new Record(last, type, payload), forced, batch);
-        return last;
+        lastSequence++;
+        Frame.encode(new Record(lastSequence, type, payload), forcedSequence, batch);
+        return lastSequence;
     }
 
     /** Returns true if a payload of this size can be appended before the next force. */
@@ -168,46 +167,46 @@
      * Writes and forces all that was appended. If this throws, none of it is guaranteed to be on disk.
      */
     public void force() throws IOException {
-        usable();
+        requireUsable();
         if (batch.position() == 0) {
             return;
         }
-        write();
+        writeBatch();
         long start = System.nanoTime();
         try {
             segment.force();
         } catch (IOException e) {
-            throw poisoned("cannot force " + segmentName, e);
+            throw becomeUnusable("cannot force " + segmentName, e);
         }
-        forceMicros.recordValue(Math.min((System.nanoTime() - start) / 1_000, HIGHEST_US));
-        forced = last;
+        forceMicros.recordValue(Math.min((System.nanoTime() - start) / 1_000, MAX_FORCE_US));
+        forcedSequence = lastSequence;
     }
 
-    private void write() throws IOException {
+    private void writeBatch() throws IOException {
         int size = batch.position();
         try {
             if (segment == null || segmentSize >= limits.segmentBytes()
-                    || rollNext && segmentSize > FileKind.HEAD) {
-                roll();
+                    || beginSegmentNext && segmentSize > FileKind.HEADER_BYTES) {
+                beginSegment();
             }
-            rollNext = false;
+            beginSegmentNext = false;
             segment.write(batch.flip());
         } catch (IOException e) {
-            last = forced;
+            lastSequence = forcedSequence;
             batch.clear();
-            if (poison == null) {
-                cutBack(e);
+            if (fatalFailure == null) {
+                undoFailedWrite(e);
             }
             throw e;
         }
         batch.clear();
         segmentSize += size;
-        behind += size;
-        bytes += size;
+        bytesSinceSnapshot += size;
+        bytesWritten += size;
     }
 
     /** Removes what an incomplete write has left. */
-    private void cutBack(IOException cause) throws IOException {
+    private void undoFailedWrite(IOException cause) throws IOException {
         if (segment != null) {
             try {
                 segment.truncate(segmentSize);
@@ -215,41 +214,41 @@
                 segment.force();
             } catch (IOException e) {
                 e.addSuppressed(cause);
-                throw poisoned("cannot truncate " + segmentName + " after a failed write", e);
+                throw becomeUnusable("cannot truncate " + segmentName + " after a failed write", e);
             }
         }
     }
 
     /** Begins a new segment. Everything in the one before has been forced by then. */
-    private void roll() throws IOException {
-        String name = FileKind.JOURNAL.name(forced + 1);
+    private void beginSegment() throws IOException {
+        String name = FileKind.JOURNAL.name(forcedSequence + 1);
         if (disk.fileNames().contains(name)) {
             // Left by an earlier attempt that failed.
             disk.delete(name);
         }
-        Disk.Output fresh = disk.create(name);
+        Disk.Output newSegment = disk.create(name);
         boolean begun = false;
         try {
-            fresh.write(FileKind.JOURNAL.head(forced + 1));
+            newSegment.write(FileKind.JOURNAL.header(forcedSequence + 1));
             try {
-                fresh.force();
+                newSegment.force();
                 disk.forceDirectory();
             } catch (IOException e) {
-                throw poisoned("cannot force " + name, e);
+                throw becomeUnusable("cannot force " + name, e);
             }
             begun = true;
         } finally {
             if (!begun) {
-                fresh.close();
+                newSegment.close();
             }
         }
         if (segment != null) {
             segment.close();
         }
-        segment = fresh;
+        segment = newSegment;
         segmentName = name;
-        segmentSize = FileKind.HEAD;
-        bytes += FileKind.HEAD;
+        segmentSize = FileKind.HEADER_BYTES;
+        bytesWritten += FileKind.HEADER_BYTES;
     }
 
     /**
@@ -259,7 +258,8 @@
      * it is small.
      */
     public boolean isSnapshotDue(long stateBytes) {
-        return behind >= Math.max(LEAST_BEHIND, (long) (BEHIND * stateBytes));
+        return bytesSinceSnapshot >= Math.max(MIN_SNAPSHOT_DUE_BYTES,
+                (long) (SNAPSHOT_DUE_SHARE * stateBytes));
     }
 
     /**
@@ -267,30 +267,30 @@
      * Only one snapshot can be written at a time.
      */
     public Snapshot snapshot() throws IOException {
-        usable();
+        requireUsable();
         if (writingSnapshot) {
             throw new StoreException("another snapshot is being written");
         }
-        if (forced == 0) {
+        if (forcedSequence == 0) {
             throw new StoreException("no record is on disk, so there is no state to snapshot");
         }
-        return new Snapshot(forced);
+        return new Snapshot(forcedSequence);
     }
 
     /** A snapshot that is being written. It is deleted if closed without {@link #commit}. */
     public final class Snapshot implements Closeable {
 
-        private final long covers;
+        private final long lastIncludedSequence;
         private final String name;
         private final Disk.Output out;
-        private final long behindBefore = behind;
-        private long pieces;
-        private boolean ended;
+        private final long bytesBefore = bytesSinceSnapshot;
+        private long chunks;
+        private boolean finished;
 
-        private Snapshot(long covers) throws IOException {
-            this.covers = covers;
-            name = FileKind.SNAPSHOT.name(covers);
-            String unfinished = name + FileKind.UNFINISHED;
+        private Snapshot(long lastIncluded) throws IOException {
+            this.lastIncludedSequence = lastIncluded;
+            name = FileKind.SNAPSHOT.name(lastIncluded);
+            String unfinished = name + FileKind.UNFINISHED_SUFFIX;
             if (disk.fileNames().contains(unfinished)) {
                 disk.delete(unfinished);
             }
@@ -298,7 +298,7 @@
             writingSnapshot = true;
             boolean begun = false;
             try {
-                out.write(FileKind.SNAPSHOT.head(covers));
+                out.write(FileKind.SNAPSHOT.header(lastIncluded));
                 begun = true;
             } finally {
                 if (!begun) {
@@ -309,86 +309,86 @@
 
         /** The sequence number of the last record that is included. */
         public long lastIncludedSequence() {
-            return covers;
+            return lastIncludedSequence;
         }
 
         /** Writes a chunk of the state, in a format of the owner's choice. */
-        public void write(byte[] piece) throws IOException {
-            if (piece.length > limits.maxRecordBytes()) {
-                throw new IllegalArgumentException("a chunk of " + piece.length + " bytes is too large");
+        public void write(byte[] chunk) throws IOException {
+            if (chunk.length > limits.maxRecordBytes()) {
+                throw new IllegalArgumentException("a chunk of " + chunk.length + " bytes is too large");
             }
-            pieces++;
-            put(Snapshots.piece(pieces, piece));
+            chunks++;
+            writeFrame(Snapshots.chunk(chunks, chunk));
         }
 
-        private void put(Record record) throws IOException {
+        private void writeFrame(Record record) throws IOException {
             ByteBuffer frame = ByteBuffer.allocate(Frame.size(record.payload().length));
-            Frame.put(record, 0, frame);
+            Frame.encode(record, 0, frame);
             out.write(frame.flip());
         }
 
         /** Reads the snapshot back, puts it in place if it is intact, and deletes obsolete files. */
         public void commit() throws IOException {
-            usable();
-            put(Snapshots.end(pieces + 1));
+            requireUsable();
+            writeFrame(Snapshots.endMarker(chunks + 1));
             out.force();
             out.close();
-            String unfinished = name + FileKind.UNFINISHED;
-            if (!Snapshots.pieces(disk, unfinished, limits, piece -> { })) {
+            String unfinished = name + FileKind.UNFINISHED_SUFFIX;
+            if (!Snapshots.readChunks(disk, unfinished, limits, chunk -> { })) {
                 throw new StoreException(unfinished + " is not intact when read back");
             }
             disk.rename(unfinished, name);
             try {
                 disk.forceDirectory();
             } catch (IOException e) {
-                throw poisoned("cannot force the name of " + name, e);
+                throw becomeUnusable("cannot force the name of " + name, e);
             }
-            ended = true;
+            finished = true;
             writingSnapshot = false;
-            behind -= behindBefore;
-            rollNext = true;
-            compact();
+            bytesSinceSnapshot -= bytesBefore;
+            beginSegmentNext = true;
+            deleteObsoleteFiles();
         }
 
         /** Deletes the snapshot unless it was committed. */
         @Override
         public void close() throws IOException {
-            if (!ended) {
-                ended = true;
+            if (!finished) {
+                finished = true;
                 writingSnapshot = false;
                 out.close();
-                disk.delete(name + FileKind.UNFINISHED);
+                disk.delete(name + FileKind.UNFINISHED_SUFFIX);
             }
         }
     }
 
     /** Deletes all snapshots but the newest two, and the segments that the older of these includes. */
-    private void compact() throws IOException {
+    private void deleteObsoleteFiles() throws IOException {
         List<String> snapshots = new ArrayList<>(recovery.files(FileKind.SNAPSHOT));
-        while (snapshots.size() > GENERATIONS) {
+        while (snapshots.size() > SNAPSHOTS_KEPT) {
             disk.delete(snapshots.remove(0));
         }
-        if (snapshots.size() < GENERATIONS) {
+        if (snapshots.size() < SNAPSHOTS_KEPT) {
             return;
         }
-        long covered = FileKind.SNAPSHOT.number(snapshots.get(0));
+        long lastIncluded = FileKind.SNAPSHOT.number(snapshots.get(0));
         // The directory entries of both snapshots are forced, so any of these deletions may be lost or kept.
-        for (String name : Recovery.unneeded(recovery.files(FileKind.JOURNAL), covered)) {
+        for (String name : Recovery.obsoleteSegments(recovery.files(FileKind.JOURNAL), lastIncluded)) {
             disk.delete(name);
         }
         disk.forceDirectory();
     }
 
-    private void usable() throws StoreException {
-        if (poison != null) {
-            throw new StoreException("the store can't be used: " + poison.getMessage(), poison);
+    private void requireUsable() throws StoreException {
+        if (fatalFailure != null) {
+            throw new StoreException("the store can't be used: " + fatalFailure.getMessage(), fatalFailure);
         }
     }
 
-    private StoreException poisoned(String what, IOException cause) {
-        poison = new StoreException(what + ": " + cause.getMessage()
+    private StoreException becomeUnusable(String action, IOException cause) {
+        fatalFailure = new StoreException(action + ": " + cause.getMessage()
                 + "; the state on disk is unknown, so the store has to be opened anew", cause);
-        return poison;
+        return fatalFailure;
     }
 
     /** Closes the store. Records that were appended but not forced are dropped. */
--- a/src/main/java/cranedeal/fleet/store/StoreDamagedException.java
+++ b/src/main/java/cranedeal/fleet/store/StoreDamagedException.java
@@ -7,8 +7,8 @@
     private final String file;
     private final long offset;
 
-    StoreDamagedException(String file, long offset, String what) {
-        super(file + " is damaged at byte " + offset + ": " + what
+    StoreDamagedException(String file, long offset, String reason) {
+        super(file + " is damaged at byte " + offset + ": " + reason
                 + "; 'fleet store verify' shows the state, 'fleet store repair' truncates the store there");
         this.file = file;
         this.offset = offset;
--- a/src/main/java/cranedeal/lab/link/AddressBlock.java
+++ b/src/main/java/cranedeal/lab/link/AddressBlock.java
@@ -22,33 +22,33 @@
     public static final int MEMBER_PORT = 8_095;
     public static final int MEMBER_LINK_PORT = 8_096;
     /** The first port of the links to a party: one port for each party that connects. */
-    private static final int LINK_PORT = 10_000;
+    private static final int FIRST_LINK_PORT = 10_000;
     private static final int GUARD_PORT = 8_080;
     private static final int FIRST_BLOCK = 32;
-    private static final int BLOCKS = 192;
-    private static final int HOSTS = 250;
+    private static final int BLOCK_COUNT = 192;
+    private static final int HOSTS_PER_SUBNET = 250;
     /** The number of parties that a block has addresses for. */
     public static final int MAX_PARTIES = 20_000;
 
     private final int block;
-    private final ServerSocket guard;
+    private final ServerSocket guardSocket;
 
-    private AddressBlock(int block, ServerSocket guard) {
+    private AddressBlock(int block, ServerSocket guardSocket) {
         this.block = block;
-        this.guard = guard;
+        this.guardSocket = guardSocket;
     }
 
     /** Reserves a block that no other lab has; throws {@link IOException} if none is free. */
     public static AddressBlock reserve() throws IOException {
-        int first = ThreadLocalRandom.current().nextInt(BLOCKS);
-        for (int i = 0; i < BLOCKS; i++) {
-            int block = FIRST_BLOCK + (first + i) % BLOCKS;
-            ServerSocket guard = new ServerSocket();
+        int first = ThreadLocalRandom.current().nextInt(BLOCK_COUNT);
+        for (int i = 0; i < BLOCK_COUNT; i++) {
+            int block = FIRST_BLOCK + (first + i) % BLOCK_COUNT;
+            ServerSocket guardSocket = new ServerSocket();
             try {
-                guard.bind(new InetSocketAddress(ip(block, 255, 254), GUARD_PORT));
-                return new AddressBlock(block, guard);
+                guardSocket.bind(new InetSocketAddress(ip(block, 255, 254), GUARD_PORT));
+                return new AddressBlock(block, guardSocket);
             } catch (IOException e) {
-                guard.close();
+                guardSocket.close();
             }
         }
         throw new IOException("no free block of loopback addresses");
@@ -59,7 +59,7 @@
         if (party < 0 || party >= MAX_PARTIES) {
             throw new IllegalArgumentException("no address for party " + party);
         }
-        return ip(block, party / HOSTS, 1 + party % HOSTS);
+        return ip(block, party / HOSTS_PER_SUBNET, 1 + party % HOSTS_PER_SUBNET);
     }
 
     /** The address at which a party itself listens. */
@@ -69,7 +69,7 @@
 
     /** The address at which one party reaches another through their link. */
     public InetSocketAddress linkAddress(int from, int to) {
-        return new InetSocketAddress(ip(to), LINK_PORT + from);
+        return new InetSocketAddress(ip(to), FIRST_LINK_PORT + from);
     }
 
     private static InetAddress ip(int block, int third, int fourth) {
@@ -83,6 +83,6 @@
     /** Releases the block. */
     @Override
     public void close() throws IOException {
-        guard.close();
+        guardSocket.close();
     }
 }
--- a/src/main/java/cranedeal/lab/link/ConnectionRelay.java
+++ b/src/main/java/cranedeal/lab/link/ConnectionRelay.java
@@ -23,36 +23,36 @@
 
     private final EventLoop loop;
     private final DatagramLinks links;
-    private final InetSocketAddress own;
+    private final InetSocketAddress ownAddress;
 
-    ConnectionRelay(EventLoop loop, DatagramLinks links, InetSocketAddress own) {
+    ConnectionRelay(EventLoop loop, DatagramLinks links, InetSocketAddress ownAddress) {
         this.loop = loop;
         this.links = links;
-        this.own = own;
+        this.ownAddress = ownAddress;
     }
 
-    ChannelFuture bind(InetSocketAddress second) {
+    ChannelFuture bind(InetSocketAddress linkAddress) {
         return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        onAccept(channel);
                     }
-                }).bind(second);
+                }).bind(linkAddress);
     }
 
-    private void accepted(Channel caller) {
+    private void onAccept(Channel caller) {
         InetSocketAddress from = (InetSocketAddress) caller.remoteAddress();
-        if (!links.isOpen(from.getAddress(), own.getAddress())) {
+        if (!links.isOpenBothWays(from.getAddress(), ownAddress.getAddress())) {
             return;
         }
-        Bootstrap on = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.AUTO_READ, false).handler(new Pass(caller));
-        ChannelFuture connected = on.connect(own);
-        caller.pipeline().addLast(new Pass(connected.channel()));
-        connected.addListener(done -> {
-            if (done.isSuccess()) {
+        Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+                .option(ChannelOption.AUTO_READ, false).handler(new ForwardingHandler(caller));
+        ChannelFuture connected = bootstrap.connect(ownAddress);
+        caller.pipeline().addLast(new ForwardingHandler(connected.channel()));
+        connected.addListener(future -> {
+            if (future.isSuccess()) {
                 caller.config().setAutoRead(true);
                 connected.channel().config().setAutoRead(true);
             } else {
@@ -62,22 +62,22 @@
     }
 
     /** Forwards data and the close. There is no backpressure, since calls between members are short. */
-    private static final class Pass extends ChannelInboundHandlerAdapter {
+    private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
 
-        private final Channel to;
+        private final Channel destination;
 
-        Pass(Channel to) {
-            this.to = to;
+        ForwardingHandler(Channel destination) {
+            this.destination = destination;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            to.writeAndFlush(message);
+            destination.writeAndFlush(message);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            to.close();
+            destination.close();
         }
 
         @Override
--- a/src/main/java/cranedeal/lab/link/DatagramLinks.java
+++ b/src/main/java/cranedeal/lab/link/DatagramLinks.java
@@ -29,18 +29,18 @@
 public final class DatagramLinks {
 
     /** How many delayed datagrams are queued at most; further ones are lost, as with a full buffer. */
-    private static final int MOST_WAITING = 65_536;
+    private static final int MAX_QUEUED_DATAGRAMS = 65_536;
     private static final double NANOS_PER_MS = 1e6;
 
     /** A party: its own address, its group, and the channel at its link address. */
     private static final class Party {
 
-        private final InetSocketAddress own;
+        private final InetSocketAddress ownAddress;
         private final int group;
-        private Channel second;
+        private Channel linkChannel;
 
-        Party(InetSocketAddress own, int group) {
-            this.own = own;
+        Party(InetSocketAddress ownAddress, int group) {
+            this.ownAddress = ownAddress;
             this.group = group;
         }
     }
@@ -54,9 +54,9 @@
     private final Map<InetAddress, Party> parties = new HashMap<>();
     /** Created for a pair when it is first used. */
     private final Map<Pair, Direction> directions = new HashMap<>();
-    private final Map<Groups, Impairment> usual = new HashMap<>();
+    private final Map<Groups, Impairment> groupImpairments = new HashMap<>();
     private final List<Channel> relays = new ArrayList<>();
-    private int waiting;
+    private int queuedDatagrams;
 
     /** Starts without parties. */
     public DatagramLinks(EventLoop loop, RandomGenerator random) {
@@ -67,20 +67,21 @@
     /**
      * Adds a party.
      *
-     * @param own where it listens and sends from; no other party may have that IP address
-     * @param second the link address to which the others send
+     * @param ownAddress where it listens and sends from; no other party may have that IP address
+     * @param linkAddress the link address to which the others send
      */
-    public Future<?> addParty(InetSocketAddress own, InetSocketAddress second) {
-        return addParty(own, second, 0);
+    public Future<?> addParty(InetSocketAddress ownAddress, InetSocketAddress linkAddress) {
+        return addParty(ownAddress, linkAddress, 0);
     }
 
     /** Adds a party to a group; otherwise like {@link #addParty(InetSocketAddress, InetSocketAddress)}. */
-    public Future<?> addParty(InetSocketAddress own, InetSocketAddress second, int group) {
-        Party party = new Party(own, group);
-        loop.execute(() -> parties.put(own.getAddress(), party));
-        relays.add(new ConnectionRelay(loop, this, own).bind(second).channel());
-        return new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(new Arrivals(party))
-                .bind(second).addListener((ChannelFuture bound) -> party.second = bound.channel());
+    public Future<?> addParty(InetSocketAddress ownAddress, InetSocketAddress linkAddress, int group) {
+        Party party = new Party(ownAddress, group);
+        loop.execute(() -> parties.put(ownAddress.getAddress(), party));
+        relays.add(new ConnectionRelay(loop, this, ownAddress).bind(linkAddress).channel());
+        return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+                .handler(new LinkAddressHandler(party))
+                .bind(linkAddress).addListener((ChannelFuture bound) -> party.linkChannel = bound.channel());
     }
 
     /** Impairs the direction from one party to another; not the opposite one. */
@@ -98,13 +99,13 @@
     /** Impairs both directions between all parties of two groups; replaces earlier impairments. */
     public Future<?> impairGroups(int one, int other, Impairment impairment) {
         return loop.submit(() -> {
-            Groups there = new Groups(one, other);
-            Groups back = new Groups(other, one);
-            usual.put(there, impairment);
-            usual.put(back, impairment);
+            Groups forward = new Groups(one, other);
+            Groups reverse = new Groups(other, one);
+            groupImpairments.put(forward, impairment);
+            groupImpairments.put(reverse, impairment);
             directions.forEach((pair, direction) -> {
-                Groups its = new Groups(pair.from.group, pair.to.group);
-                if (its.equals(there) || its.equals(back)) {
+                Groups groups = new Groups(pair.from.group, pair.to.group);
+                if (groups.equals(forward) || groups.equals(reverse)) {
                     direction.impair(impairment);
                 }
             });
@@ -115,54 +116,57 @@
      * Returns true if neither direction between two parties is blocked, or if the first address is no
      * party's. Runs on the event loop.
      */
-    boolean isOpen(InetAddress one, InetAddress other) {
+    boolean isOpenBothWays(InetAddress one, InetAddress other) {
         Party first = parties.get(one);
         Party second = parties.get(other);
-        return first == null || !direction(new Pair(first, second)).isSilent()
-                && !direction(new Pair(second, first)).isSilent();
+        return first == null || !direction(new Pair(first, second)).isBlocked()
+                && !direction(new Pair(second, first)).isBlocked();
     }
 
     /** Closes all links. */
     public void close() {
         relays.forEach(relay -> relay.close().awaitUninterruptibly());
         List<Channel> open = new ArrayList<>();
-        loop.submit(() -> parties.values().forEach(party -> open.add(party.second))).awaitUninterruptibly();
+        loop.submit(() -> parties.values().forEach(party -> open.add(party.linkChannel)))
+                .awaitUninterruptibly();
         open.stream().filter(channel -> channel != null)
                 .forEach(channel -> channel.close().awaitUninterruptibly());
     }
 
     private Direction direction(Pair pair) {
         return directions.computeIfAbsent(pair, absent -> {
-            Direction made = new Direction(random);
-            made.impair(usual.getOrDefault(new Groups(pair.from.group, pair.to.group), Impairment.NONE));
-            return made;
+            Direction direction = new Direction(random);
+            direction.impair(groupImpairments.getOrDefault(new Groups(pair.from.group, pair.to.group),
+                    Impairment.NONE));
+            return direction;
         });
     }
 
     /** Handles datagrams that arrive at a party's link address. */
-    private final class Arrivals extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class LinkAddressHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         private final Party to;
 
-        Arrivals(Party to) {
+        LinkAddressHandler(Party to) {
             this.to = to;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             Party from = parties.get(packet.sender().getAddress());
-            if (from == null || from.second == null) {
+            if (from == null || from.linkChannel == null) {
                 return;
             }
             ByteBuf content = packet.content();
             double now = System.nanoTime() / NANOS_PER_MS;
-            for (double due : direction(new Pair(from, to)).ofDatagram(now, content.readableBytes())) {
-                if (waiting < MOST_WAITING) {
-                    waiting++;
-                    DatagramPacket copy = new DatagramPacket(content.copy(), to.own);
+            for (double due : direction(new Pair(from, to)).datagramDeliveries(now,
+                    content.readableBytes())) {
+                if (queuedDatagrams < MAX_QUEUED_DATAGRAMS) {
+                    queuedDatagrams++;
+                    DatagramPacket copy = new DatagramPacket(content.copy(), to.ownAddress);
                     loop.schedule(() -> {
-                        waiting--;
-                        from.second.writeAndFlush(copy);
+                        queuedDatagrams--;
+                        from.linkChannel.writeAndFlush(copy);
                     }, (long) ((due - now) * NANOS_PER_MS), TimeUnit.NANOSECONDS);
                 }
             }
--- a/src/main/java/cranedeal/lab/link/Impairment.java
+++ b/src/main/java/cranedeal/lab/link/Impairment.java
@@ -21,21 +21,21 @@
 
     /** Throws {@link IllegalArgumentException} for values out of range. */
     public Impairment {
-        notNegative(delayMs, "a delay");
-        notNegative(jitterMs, "a jitter");
-        notNegative(bytesPerSecond, "a rate");
-        share(loss, "loss");
-        share(duplicate, "duplication");
-        share(reorder, "reordering");
+        requireNotNegative(delayMs, "a delay");
+        requireNotNegative(jitterMs, "a jitter");
+        requireNotNegative(bytesPerSecond, "a rate");
+        requireShare(loss, "loss");
+        requireShare(duplicate, "duplication");
+        requireShare(reorder, "reordering");
     }
 
-    private static void notNegative(double value, String name) {
+    private static void requireNotNegative(double value, String name) {
         if (!(value >= 0 && Double.isFinite(value))) {
             throw new IllegalArgumentException(name + " of " + value + " is not allowed");
         }
     }
 
-    private static void share(double value, String name) {
+    private static void requireShare(double value, String name) {
         if (!(value >= 0 && value <= 1)) {
             throw new IllegalArgumentException(name + " of " + value + " is not between 0 and 1");
         }
--- a/src/main/java/cranedeal/lab/link/RelayedConnection.java
+++ b/src/main/java/cranedeal/lab/link/RelayedConnection.java
@@ -20,62 +20,62 @@
 final class RelayedConnection {
 
     /** Reading from the sender pauses while at least this many bytes are queued in its direction. */
-    private static final int MOST_WAITING = 256 * 1024;
+    private static final int MAX_QUEUED_BYTES = 256 * 1024;
     private static final double NANOS_PER_MS = 1e6;
 
     private final StreamLink link;
-    private final Half fromParty;
-    private final Half fromTarget;
-    private boolean over;
+    private final Forwarder fromParty;
+    private final Forwarder fromTarget;
+    private boolean finished;
 
     RelayedConnection(StreamLink link, SocketChannel party) {
         this.link = link;
-        fromParty = new Half(link.toTarget);
-        fromTarget = new Half(link.back);
-        fromParty.in = party;
-        fromTarget.out = party;
+        fromParty = new Forwarder(link.toTarget);
+        fromTarget = new Forwarder(link.fromTarget);
+        fromParty.source = party;
+        fromTarget.destination = party;
         party.pipeline().addLast(fromParty);
     }
 
-    ChannelInboundHandlerAdapter ofTarget() {
+    ChannelInboundHandlerAdapter targetHandler() {
         return fromTarget;
     }
 
-    void connected(ChannelFuture attempt) {
+    void targetConnected(ChannelFuture attempt) {
         if (!attempt.isSuccess()) {
             reset();
             return;
         }
         SocketChannel target = (SocketChannel) attempt.channel();
-        fromTarget.in = target;
-        fromParty.out = target;
-        if (over) {
-            resetOne(target);
+        fromTarget.source = target;
+        fromParty.destination = target;
+        if (finished) {
+            resetSocket(target);
             return;
         }
-        fromParty.read();
-        fromTarget.read();
+        fromParty.updateAutoRead();
+        fromTarget.updateAutoRead();
     }
 
     /** Resumes delivery after a change of the link. */
     void resume() {
-        fromParty.pump();
-        fromTarget.pump();
+        fromParty.sendDue();
+        fromTarget.sendDue();
     }
 
     /** Resets both sockets; queued data is lost. */
     void reset() {
-        if (!over) {
-            over = true;
-            link.ended(this);
-            fromParty.drop();
-            fromTarget.drop();
-            resetOne(fromParty.in);
-            resetOne(fromTarget.in);
+        if (!finished) {
+            finished = true;
+            link.connectionEnded(this);
+            fromParty.releaseQueue();
+            fromTarget.releaseQueue();
+            resetSocket(fromParty.source);
+            resetSocket(fromTarget.source);
         }
     }
 
-    private static void resetOne(Channel channel) {
+    private static void resetSocket(Channel channel) {
         if (channel != null && channel.isOpen()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             channel.close();
@@ -83,135 +83,136 @@
     }
 
     /** Queued data and its delivery time; null bytes stand for the end of the stream. */
-    private record Piece(double due, ByteBuf bytes) { }
+    private record QueuedData(double dueMs, ByteBuf bytes) { }
 
     /** One direction of the connection, and the handler of the socket that its bytes come from. */
-    private final class Half extends ChannelInboundHandlerAdapter {
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
 
         private final Direction direction;
-        private final ArrayDeque<Piece> waiting = new ArrayDeque<>();
-        private SocketChannel in;
-        private SocketChannel out;
-        private int bytesWaiting;
+        private final ArrayDeque<QueuedData> queue = new ArrayDeque<>();
+        private SocketChannel source;
+        private SocketChannel destination;
+        private int queuedBytes;
         private boolean scheduled;
-        private boolean resetHeld;
-        private boolean done;
+        private boolean resetPending;
+        private boolean outputEnded;
 
-        Half(Direction direction) {
+        Forwarder(Direction direction) {
             this.direction = direction;
         }
 
-        void read() {
-            boolean room = bytesWaiting < MOST_WAITING && !direction.isSilent();
-            if (in != null && out != null && in.isOpen() && in.config().isAutoRead() != room) {
-                in.config().setAutoRead(room);
+        void updateAutoRead() {
+            boolean mayRead = queuedBytes < MAX_QUEUED_BYTES && !direction.isBlocked();
+            if (source != null && destination != null && source.isOpen()
+                    && source.config().isAutoRead() != mayRead) {
+                source.config().setAutoRead(mayRead);
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            bytesWaiting += bytes.readableBytes();
-            queue(bytes);
+            queuedBytes += bytes.readableBytes();
+            enqueue(bytes);
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == ChannelInputShutdownEvent.INSTANCE) {
-                queue(null);
+                enqueue(null);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (direction.isSilent()) {
-                resetHeld = true;
+            if (direction.isBlocked()) {
+                resetPending = true;
             } else {
                 reset();
             }
         }
 
-        private void queue(ByteBuf bytes) {
+        private void enqueue(ByteBuf bytes) {
             int size = bytes == null ? 0 : bytes.readableBytes();
-            waiting.add(new Piece(direction.ofStream(now(), size), bytes));
-            pump();
+            queue.add(new QueuedData(direction.streamDelivery(now(), size), bytes));
+            sendDue();
         }
 
         /** Sends everything that is due and schedules the rest. */
-        void pump() {
-            if (over || out == null) {
+        void sendDue() {
+            if (finished || destination == null) {
                 return;
             }
-            if (!direction.isSilent()) {
-                if (resetHeld) {
+            if (!direction.isBlocked()) {
+                if (resetPending) {
                     reset();
                     return;
                 }
                 boolean wrote = false;
-                while (!waiting.isEmpty() && waiting.peek().due() <= now()) {
-                    wrote |= send(waiting.poll());
+                while (!queue.isEmpty() && queue.peek().dueMs() <= now()) {
+                    wrote |= send(queue.poll());
                 }
                 if (wrote) {
-                    out.flush();
+                    destination.flush();
                 }
-                if (!waiting.isEmpty() && !scheduled) {
+                if (!queue.isEmpty() && !scheduled) {
                     scheduled = true;
-                    long nanos = (long) ((waiting.peek().due() - now()) * NANOS_PER_MS);
-                    link.loop().schedule(this::comeBack, Math.max(nanos, 1), TimeUnit.NANOSECONDS);
+                    long nanos = (long) ((queue.peek().dueMs() - now()) * NANOS_PER_MS);
+                    link.loop().schedule(this::onTimer, Math.max(nanos, 1), TimeUnit.NANOSECONDS);
                 }
             }
-            read();
+            updateAutoRead();
         }
 
-        private void comeBack() {
+        private void onTimer() {
             scheduled = false;
-            pump();
+            sendDue();
         }
 
-        private boolean send(Piece piece) {
-            if (piece.bytes() != null) {
-                int size = piece.bytes().readableBytes();
-                out.write(piece.bytes()).addListener(written -> {
-                    bytesWaiting -= size;
+        private boolean send(QueuedData data) {
+            if (data.bytes() != null) {
+                int size = data.bytes().readableBytes();
+                destination.write(data.bytes()).addListener(written -> {
+                    queuedBytes -= size;
                     if (!written.isSuccess()) {
                         reset();
-                    } else if (!over) {
-                        read();
+                    } else if (!finished) {
+                        updateAutoRead();
                     }
                 });
                 return true;
             }
             // Shutting down the output while earlier bytes are unwritten would discard them.
-            out.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> end());
+            destination.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> endOutput());
             return false;
         }
 
-        private void end() {
-            if (over) {
+        private void endOutput() {
+            if (finished) {
                 return;
             }
-            done = true;
-            out.shutdownOutput();
-            if (fromParty.done && fromTarget.done) {
-                finish();
+            outputEnded = true;
+            destination.shutdownOutput();
+            if (fromParty.outputEnded && fromTarget.outputEnded) {
+                closeSockets();
             }
         }
 
-        private void drop() {
-            for (Piece piece = waiting.poll(); piece != null; piece = waiting.poll()) {
-                if (piece.bytes() != null) {
-                    piece.bytes().release();
+        private void releaseQueue() {
+            for (QueuedData data = queue.poll(); data != null; data = queue.poll()) {
+                if (data.bytes() != null) {
+                    data.bytes().release();
                 }
             }
         }
     }
 
     /** Called when both streams have ended in order. */
-    private void finish() {
-        over = true;
-        link.ended(this);
-        fromParty.in.close();
-        fromTarget.in.close();
+    private void closeSockets() {
+        finished = true;
+        link.connectionEnded(this);
+        fromParty.source.close();
+        fromTarget.source.close();
     }
 
     private static double now() {
--- a/src/main/java/cranedeal/lab/link/StreamLink.java
+++ b/src/main/java/cranedeal/lab/link/StreamLink.java
@@ -34,29 +34,29 @@
 
     private static final int BACKLOG = 1_024;
     /** Linux accepts one connection more than the backlog. */
-    private static final int SHORTEST_BACKLOG = 1;
-    private static final int FILLERS = SHORTEST_BACKLOG + 1;
+    private static final int MIN_BACKLOG = 1;
+    private static final int FILLER_CONNECTIONS = MIN_BACKLOG + 1;
     private static final int CONNECT_TIMEOUT_MS = 30_000;
     /** How often, and after which delay, to retry binding an address that has just been released. */
-    private static final int BINDS = 2_000;
-    private static final long BIND_AGAIN_MS = 1;
+    private static final int MAX_BIND_ATTEMPTS = 2_000;
+    private static final long BIND_RETRY_MS = 1;
 
-    private enum Door { OPEN, CLOSED, STUFFED }
+    private enum ListenState { OPEN, CLOSED, QUEUE_FULL }
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final InetSocketAddress target;
     private final InetAddress source;
     final Direction toTarget;
-    final Direction back;
-    private final Set<RelayedConnection> splices = new LinkedHashSet<>();
+    final Direction fromTarget;
+    private final Set<RelayedConnection> connections = new LinkedHashSet<>();
     private final List<Channel> fillers = new ArrayList<>();
     private Channel listening;
-    private boolean up = true;
-    private Door door = Door.CLOSED;
-    private boolean ended;
+    private boolean targetUp = true;
+    private ListenState listenState = ListenState.CLOSED;
+    private boolean closed;
     /** Counts changes of the listening state, so that a bind that completes late is recognised as stale. */
-    private int turn;
+    private int listenGeneration;
 
     /**
      * Creates a link that does not listen yet.
@@ -72,7 +72,7 @@
         this.target = target;
         this.source = source;
         toTarget = new Direction(random);
-        back = new Direction(random);
+        fromTarget = new Direction(random);
     }
 
     /** The address at which the link listens. */
@@ -81,47 +81,48 @@
     }
 
     /** While the target is down, the link refuses connections. Open connections stay. */
-    public Future<Void> setTargetUp(boolean isUp) {
-        return change(() -> up = isUp);
+    public Future<Void> setTargetUp(boolean up) {
+        return applyOnLoop(() -> targetUp = up);
     }
 
     /** Impairs both directions. Data held back by a blocked direction is delivered once that is over. */
-    public Future<Void> impair(Impairment there, Impairment andBack) {
-        return change(() -> {
-            toTarget.impair(there);
-            back.impair(andBack);
-            List.copyOf(splices).forEach(RelayedConnection::resume);
+    public Future<Void> impair(Impairment forward, Impairment reverse) {
+        return applyOnLoop(() -> {
+            toTarget.impair(forward);
+            fromTarget.impair(reverse);
+            List.copyOf(connections).forEach(RelayedConnection::resume);
         });
     }
 
     /** Resets all open connections at both ends, as after a restart of a machine. */
     public Future<Void> reset() {
-        return change(() -> List.copyOf(splices).forEach(RelayedConnection::reset));
+        return applyOnLoop(() -> List.copyOf(connections).forEach(RelayedConnection::reset));
     }
 
     /** Closes the link and resets its connections. */
     public Future<Void> close() {
-        return change(() -> {
-            ended = true;
-            List.copyOf(splices).forEach(RelayedConnection::reset);
+        return applyOnLoop(() -> {
+            closed = true;
+            List.copyOf(connections).forEach(RelayedConnection::reset);
         });
     }
 
-    private Future<Void> change(Runnable change) {
-        Promise<Void> inForce = loop.newPromise();
+    private Future<Void> applyOnLoop(Runnable change) {
+        Promise<Void> promise = loop.newPromise();
         loop.execute(() -> {
             change.run();
-            settle(inForce);
+            updateListener(promise);
         });
-        return inForce;
+        return promise;
     }
 
     /** Adjusts the listening socket to the state of the link. */
-    private void settle(Promise<Void> inForce) {
-        boolean cut = toTarget.isSilent() || back.isSilent();
-        Door wanted = ended || !up && !cut ? Door.CLOSED : cut ? Door.STUFFED : Door.OPEN;
-        if (wanted == door) {
-            inForce.setSuccess(null);
+    private void updateListener(Promise<Void> promise) {
+        boolean blocked = toTarget.isBlocked() || fromTarget.isBlocked();
+        ListenState wanted = closed || !targetUp && !blocked ? ListenState.CLOSED
+                : blocked ? ListenState.QUEUE_FULL : ListenState.OPEN;
+        if (wanted == listenState) {
+            promise.setSuccess(null);
             return;
         }
         if (listening != null) {
@@ -130,54 +131,56 @@
         }
         fillers.forEach(Channel::close);
         fillers.clear();
-        door = wanted;
-        turn++;
-        int ofThisTurn = turn;
+        listenState = wanted;
+        listenGeneration++;
+        int generation = listenGeneration;
         // A closed socket that is registered with a selector is released only by the selector's next run.
-        loop.schedule(() -> listen(ofThisTurn, BINDS, inForce), BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> listen(generation, MAX_BIND_ATTEMPTS, promise), BIND_RETRY_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void listen(int ofTurn, int tries, Promise<Void> inForce) {
-        if (ofTurn != turn || door == Door.CLOSED) {
-            inForce.setSuccess(null);
+    private void listen(int generation, int attemptsLeft, Promise<Void> promise) {
+        if (generation != listenGeneration || listenState == ListenState.CLOSED) {
+            promise.setSuccess(null);
             return;
         }
-        boolean open = door == Door.OPEN;
+        boolean open = listenState == ListenState.OPEN;
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.AUTO_READ, open)
-                .option(ChannelOption.SO_BACKLOG, open ? BACKLOG : SHORTEST_BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, open ? BACKLOG : MIN_BACKLOG)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accepted(channel);
+                        onAccept(channel);
                     }
                 }).bind(address);
-        bound.addListener(done -> {
-            if (!done.isSuccess() && tries > 1) {
-                loop.schedule(() -> listen(ofTurn, tries - 1, inForce), BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
-            } else if (!done.isSuccess()) {
-                inForce.setFailure(done.cause());
-            } else if (ofTurn != turn) {
+        bound.addListener(future -> {
+            if (!future.isSuccess() && attemptsLeft > 1) {
+                loop.schedule(() -> listen(generation, attemptsLeft - 1, promise), BIND_RETRY_MS,
+                        TimeUnit.MILLISECONDS);
+            } else if (!future.isSuccess()) {
+                promise.setFailure(future.cause());
+            } else if (generation != listenGeneration) {
                 bound.channel().close();
-                inForce.setSuccess(null);
+                promise.setSuccess(null);
             } else {
                 listening = bound.channel();
                 if (open) {
-                    inForce.setSuccess(null);
+                    promise.setSuccess(null);
                 } else {
-                    stuff(FILLERS, inForce);
+                    fillAcceptQueue(FILLER_CONNECTIONS, promise);
                 }
             }
         });
     }
 
     /** Fills the accept queue, one connection at a time. */
-    private void stuff(int more, Promise<Void> inForce) {
-        if (more == 0 || door != Door.STUFFED) {
-            inForce.setSuccess(null);
+    private void fillAcceptQueue(int remaining, Promise<Void> promise) {
+        if (remaining == 0 || listenState != ListenState.QUEUE_FULL) {
+            promise.setSuccess(null);
             return;
         }
         ChannelFuture filler = new Bootstrap().group(loop).channel(NioSocketChannel.class)
@@ -188,25 +191,25 @@
                     }
                 }).connect(address);
         fillers.add(filler.channel());
-        filler.addListener(done -> stuff(more - 1, inForce));
+        filler.addListener(future -> fillAcceptQueue(remaining - 1, promise));
     }
 
-    private void accepted(SocketChannel party) {
-        RelayedConnection splice = new RelayedConnection(this, party);
-        splices.add(splice);
+    private void onAccept(SocketChannel party) {
+        RelayedConnection connection = new RelayedConnection(this, party);
+        connections.add(connection);
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(splice.ofTarget())
+                .handler(connection.targetHandler())
                 .connect(target, new InetSocketAddress(source, 0))
-                .addListener((ChannelFuture attempt) -> splice.connected(attempt));
+                .addListener((ChannelFuture attempt) -> connection.targetConnected(attempt));
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    void ended(RelayedConnection splice) {
-        splices.remove(splice);
+    void connectionEnded(RelayedConnection connection) {
+        connections.remove(connection);
     }
 }
--- a/src/main/java/cranedeal/lab/process/ChildProcess.java
+++ b/src/main/java/cranedeal/lab/process/ChildProcess.java
@@ -20,7 +20,7 @@
     private static final int PAGE_KB = 4;
     private static final double NANOS_PER_MS = 1e6;
     /** The index of user time, with system time next, among the fields of /proc/PID/stat after the name. */
-    private static final int USER_TIME = 11;
+    private static final int USER_TIME_FIELD = 11;
 
     private final String name;
     private final Process process;
@@ -70,7 +70,7 @@
         if (!process.isAlive()) {
             return;
         }
-        run("send " + signal + " to", "kill", "-" + signal, Long.toString(pid()));
+        runTool("send " + signal + " to", "kill", "-" + signal, Long.toString(pid()));
     }
 
     /**
@@ -79,7 +79,7 @@
      */
     public void setDiskFull(boolean full) throws IOException, InterruptedException {
         if (process.isAlive()) {
-            run("limit the files of", "prlimit", "--pid", Long.toString(pid()),
+            runTool("limit the files of", "prlimit", "--pid", Long.toString(pid()),
                     "--fsize=" + (full ? "0" : "unlimited") + ":");
         }
     }
@@ -88,18 +88,18 @@
      * Limits the number of open descriptors from now on. While the limit is below what it holds, each socket,
      * accept and open fails with EMFILE.
      */
-    public void limitDescriptors(int most) throws IOException, InterruptedException {
+    public void limitDescriptors(int limit) throws IOException, InterruptedException {
         if (process.isAlive()) {
-            run("limit the descriptors of", "prlimit", "--pid", Long.toString(pid()),
-                    "--nofile=" + most + ":");
+            runTool("limit the descriptors of", "prlimit", "--pid", Long.toString(pid()),
+                    "--nofile=" + limit + ":");
         }
     }
 
-    private void run(String what, String... command) throws IOException, InterruptedException {
+    private void runTool(String action, String... command) throws IOException, InterruptedException {
         Process tool = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(tool.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        String output = new String(tool.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         if (!tool.waitFor(1, TimeUnit.MINUTES) || tool.exitValue() != 0 && process.isAlive()) {
-            throw new IOException("cannot " + what + " " + name + ": " + said);
+            throw new IOException("cannot " + action + " " + name + ": " + output);
         }
     }
 
@@ -109,7 +109,8 @@
             Path proc = Path.of("/proc", Long.toString(pid()));
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            long ticks = Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[USER_TIME + 1]);
+            long ticks = Long.parseLong(fields[USER_TIME_FIELD])
+                    + Long.parseLong(fields[USER_TIME_FIELD + 1]);
             double cpu = ticks * TICK_MS;
             String[] pages = Files.readString(proc.resolve("statm")).split(" ");
             return process.isAlive() ? Optional.of(new Usage(cpu, Long.parseLong(pages[1]) * PAGE_KB))
--- a/src/main/java/cranedeal/lab/process/DiskFault.java
+++ b/src/main/java/cranedeal/lab/process/DiskFault.java
@@ -19,7 +19,7 @@
     TORN_TAIL {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
-            long lost = 1 + random.nextLong(Math.min(file.length(), MOST_TORN));
+            long lost = 1 + random.nextLong(Math.min(file.length(), MAX_TORN_BYTES));
             file.setLength(file.length() - lost);
         }
     },
@@ -27,10 +27,10 @@
     FLIPPED_BIT {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
-            long at = random.nextLong(file.length());
-            file.seek(at);
+            long offset = random.nextLong(file.length());
+            file.seek(offset);
             int value = file.read();
-            file.seek(at);
+            file.seek(offset);
             file.write(value ^ 1 << random.nextInt(Byte.SIZE));
         }
     },
@@ -40,16 +40,16 @@
     LOST_WRITE {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
-            long from = (file.length() - 1) / SECTOR * SECTOR;
+            long from = (file.length() - 1) / SECTOR_BYTES * SECTOR_BYTES;
             file.seek(from);
             file.write(new byte[(int) (file.length() - from)]);
         }
     };
 
-    private static final Set<PosixFilePermission> ALL_MAY_WRITE = Set.of(PosixFilePermission.OWNER_WRITE,
+    private static final Set<PosixFilePermission> WRITE_PERMISSIONS = Set.of(PosixFilePermission.OWNER_WRITE,
             PosixFilePermission.GROUP_WRITE, PosixFilePermission.OTHERS_WRITE);
-    private static final long SECTOR = 512;
-    private static final long MOST_TORN = 4_096;
+    private static final long SECTOR_BYTES = 512;
+    private static final long MAX_TORN_BYTES = 4_096;
 
     /** Removes write permission from a folder and everything in it, or gives it back to the owner. */
     public static void setReadOnly(Path folder, boolean readOnly) throws IOException {
@@ -58,13 +58,13 @@
             all = files.toList();
         }
         for (Path path : all) {
-            Set<PosixFilePermission> rights = EnumSet.copyOf(Files.getPosixFilePermissions(path));
+            Set<PosixFilePermission> permissions = EnumSet.copyOf(Files.getPosixFilePermissions(path));
             if (readOnly) {
-                rights.removeAll(ALL_MAY_WRITE);
+                permissions.removeAll(WRITE_PERMISSIONS);
             } else {
-                rights.add(PosixFilePermission.OWNER_WRITE);
+                permissions.add(PosixFilePermission.OWNER_WRITE);
             }
-            Files.setPosixFilePermissions(path, rights);
+            Files.setPosixFilePermissions(path, permissions);
         }
     }
 
--- a/src/main/java/cranedeal/lab/process/ProcessSupervisor.java
+++ b/src/main/java/cranedeal/lab/process/ProcessSupervisor.java
@@ -25,8 +25,8 @@
     /**
      * Drops root's right to ignore file permissions, which would make the read-only folder fault ineffective.
      */
-    private static final List<String> AS_ORDINARY_USER = List.of("--bounding-set", "-dac_override");
-    private static final String IF_PARENT_LIVES = "test \"$PPID\" = \"$0\" && exec \"$@\"";
+    private static final List<String> DROP_DAC_OVERRIDE = List.of("--bounding-set", "-dac_override");
+    private static final String EXEC_IF_PARENT_ALIVE = "test \"$PPID\" = \"$0\" && exec \"$@\"";
 
     private final ExecutorService starter = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "warden");
@@ -34,14 +34,14 @@
         return thread;
     });
     private final Set<ChildProcess> children = ConcurrentHashMap.newKeySet();
-    private final Thread atExit = new Thread(this::killAll, "warden-exit");
+    private final Thread shutdownHook = new Thread(this::killAll, "warden-exit");
 
     /** Throws {@link IOException} if setpriv is missing, so that the children could outlive the lab. */
     public ProcessSupervisor() throws IOException {
         if (!Files.isExecutable(SETPRIV)) {
             throw new IOException(SETPRIV + " (util-linux) is needed to end child processes with the lab");
         }
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
@@ -52,13 +52,14 @@
      */
     public ChildProcess start(String name, List<String> command, Map<String, String> environment, Path log)
             throws IOException, InterruptedException {
-        List<String> guarded = new ArrayList<>(List.of(SETPRIV.toString(), "--pdeathsig", "KILL"));
+        List<String> guardedCommand = new ArrayList<>(List.of(SETPRIV.toString(), "--pdeathsig", "KILL"));
         if (System.getProperty("user.name").equals("root")) {
-            guarded.addAll(AS_ORDINARY_USER);
+            guardedCommand.addAll(DROP_DAC_OVERRIDE);
         }
-        guarded.addAll(List.of("sh", "-c", IF_PARENT_LIVES, Long.toString(ProcessHandle.current().pid())));
-        guarded.addAll(command);
-        ProcessBuilder builder = new ProcessBuilder(guarded)
+        guardedCommand.addAll(List.of("sh", "-c", EXEC_IF_PARENT_ALIVE,
+                Long.toString(ProcessHandle.current().pid())));
+        guardedCommand.addAll(command);
+        ProcessBuilder builder = new ProcessBuilder(guardedCommand)
                 .redirectErrorStream(true).redirectInput(new File("/dev/null"))
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
@@ -84,7 +85,7 @@
         children.forEach(child -> child.onExit().join());
         starter.shutdownNow();
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // The lab is shutting down already, and the hook kills the children as well.
         }
--- a/src/test/java/cranedeal/fleet/command/StoreCommandTest.java
+++ b/src/test/java/cranedeal/fleet/command/StoreCommandTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.fleet.store.FolderDisk;
-import cranedeal.fleet.store.StoreLimits;
 import cranedeal.fleet.store.Record;
-import cranedeal.fleet.store.Store;
 import cranedeal.fleet.store.ReplayHandler;
+import cranedeal.fleet.store.Store;
+import cranedeal.fleet.store.StoreLimits;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/cranedeal/fleet/store/StoreTest.java
+++ b/src/test/java/cranedeal/fleet/store/StoreTest.java
@@ -207,8 +207,8 @@
     void anEndThatIsLostIsSaidUnlessItIsARecordsEnd() throws IOException {
         CrashDisk disk = acknowledgedBatches(SMALL);
         String last = disk.fileNames().get(1);
-        Set<Long> ends = new HashSet<>(Set.of((long) FileKind.HEAD));
-        FrameReader frames = new FrameReader(disk, last, FileKind.HEAD, SMALL.maxRecordBytes());
+        Set<Long> ends = new HashSet<>(Set.of((long) FileKind.HEADER_BYTES));
+        FrameReader frames = new FrameReader(disk, last, FileKind.HEADER_BYTES, SMALL.maxRecordBytes());
         while (frames.next() != null) {
             ends.add(frames.offset());
         }
@@ -330,7 +330,7 @@
                 }
             }
         }
-        List<String> snapshots = disk.fileNames().stream().filter(FileKind.SNAPSHOT::has).toList();
+        List<String> snapshots = disk.fileNames().stream().filter(FileKind.SNAPSHOT::matches).toList();
         assertEquals(2, snapshots.size());
         // Two snapshots' worth of records, and a segment more.
         assertTrue(disk.fileNames().size() < 25, disk.fileNames().toString());
@@ -463,12 +463,12 @@
         }
         Path second = folder.resolve(new FolderDisk(folder).fileNames().stream().sorted().toList().get(1));
         byte[] bytes = Files.readAllBytes(second);
-        bytes[FileKind.HEAD + 40] ^= 1;
+        bytes[FileKind.HEADER_BYTES + 40] ^= 1;
         Files.write(second, bytes);
         long first = FileKind.JOURNAL.number(second.getFileName().toString());
         StoreDamagedException damage = assertThrows(StoreDamagedException.class,
                 () -> Store.open(new FolderDisk(folder), SMALL, new State()));
-        assertEquals(FileKind.HEAD, damage.offset());
+        assertEquals(FileKind.HEADER_BYTES, damage.offset());
         Path kept = folder.resolve("kept");
         Repair.Outcome outcome = Repair.repair(folder, SMALL, kept);
         assertEquals(40 - first, outcome.droppedCount());
--- a/src/test/java/cranedeal/lab/link/DirectionTest.java
+++ b/src/test/java/cranedeal/lab/link/DirectionTest.java
@@ -27,7 +27,7 @@
                 now += random.nextInt(20);
                 int size = random.nextInt(1_500);
                 bytes += size;
-                double out = direction.ofStream(now, size);
+                double out = direction.streamDelivery(now, size);
                 assertTrue(out >= last && out >= now + delay);
                 assertTrue(rate == 0 || out >= bytes * 1_000 / rate);
                 last = out;
@@ -44,7 +44,7 @@
         double last = 0;
         int all = 20_000;
         for (int i = 0; i < all; i++) {
-            double[] out = direction.ofDatagram(i, 100);
+            double[] out = direction.datagramDeliveries(i, 100);
             copies[out.length]++;
             overtaken += out.length > 0 && out[0] < last ? 1 : 0;
             last = out.length > 0 ? out[0] : last;
@@ -61,7 +61,7 @@
             Direction direction = new Direction(new SplittableRandom(9));
             direction.impair(new Impairment(false, 5, 50, 0.2, 0, 0, 0));
             for (int i = 0; i < run.length; i++) {
-                run[i] = direction.ofStream(i * 10, 10);
+                run[i] = direction.streamDelivery(i * 10, 10);
             }
         }
         assertArrayEquals(runs[0], runs[1]);
