--- a/src/test/java/cranedeal/fleet/command/StoreCommandTest.java
+++ b/src/test/java/cranedeal/fleet/command/StoreCommandTest.java
@@ -17,27 +17,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an operator does with a damaged folder, by the command line. */
+/**
+ * Runs the store commands on a damaged folder: verify finds the damage, repair cuts it out, dump prints
+ * records.
+ */
 class StoreCommandTest {
 
-    private static final ReplayHandler NOBODY = new ReplayHandler() {
+    private static final ReplayHandler NO_SNAPSHOT_EXPECTED = new ReplayHandler() {
         @Override
         public void snapshotChunk(byte[] piece) {
-            throw new AssertionError("there is none");
+            throw new AssertionError("unexpected snapshot");
         }
 
         @Override
         public void record(Record record) {
-            // Not asked here.
+            // Records are checked through the commands' output.
         }
     };
 
     @TempDir
     Path folder;
 
-    private String said;
+    private String output;
 
-    private int fleet(String... arguments) {
+    private int runProgram(String... arguments) {
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
@@ -45,20 +48,20 @@
             return Program.run(Map.of(), arguments);
         } finally {
             System.setOut(before);
-            said = out.toString(StandardCharsets.UTF_8);
+            output = out.toString(StandardCharsets.UTF_8);
         }
     }
 
     @Test
-    void aDamagedFolderIsVerifiedRepairedAndDumped() throws Exception {
-        try (Store store = Store.open(new FolderDisk(folder), StoreLimits.DEFAULT, NOBODY)) {
+    void verifyDumpAndRepairHandleADamagedFolder() throws Exception {
+        try (Store store = Store.open(new FolderDisk(folder), StoreLimits.DEFAULT, NO_SNAPSHOT_EXPECTED)) {
             for (String text : new String[] {"ban u1", "ban u2", "drain n0"}) {
                 store.append(7, text.getBytes(StandardCharsets.UTF_8));
                 store.force();
             }
         }
-        assertEquals(0, fleet("fleet", "store", "verify", folder.toString()));
-        assertTrue(said.contains("3 records"), said);
+        assertEquals(0, runProgram("fleet", "store", "verify", folder.toString()));
+        assertTrue(output.contains("3 records"), output);
         Path file;
         try (var files = Files.list(folder)) {
             file = files.filter(path -> path.getFileName().toString().startsWith("journal")).findFirst()
@@ -67,13 +70,13 @@
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Files.write(file, bytes);
-        assertEquals(1, fleet("fleet", "store", "verify", folder.toString()));
-        assertEquals(1, fleet("fleet", "store", "dump", folder.toString()));
-        assertEquals("{\"sequence\":1,\"type\":7,\"text\":\"ban u1\"}\n", said);
-        assertEquals(0, fleet("fleet", "store", "repair", folder.toString(), "--json"));
-        assertTrue(said.contains("\"dropped_count\":1,") && said.contains("\"dropped\":[3]"), said);
-        assertEquals(0, fleet("fleet", "store", "verify", folder.toString(), "--json"));
-        assertTrue(said.contains("\"last\":1,"), said);
-        assertEquals(2, fleet("fleet", "store", "verify", folder.resolve("none").toString()));
+        assertEquals(1, runProgram("fleet", "store", "verify", folder.toString()));
+        assertEquals(1, runProgram("fleet", "store", "dump", folder.toString()));
+        assertEquals("{\"sequence\":1,\"type\":7,\"text\":\"ban u1\"}\n", output);
+        assertEquals(0, runProgram("fleet", "store", "repair", folder.toString(), "--json"));
+        assertTrue(output.contains("\"dropped_count\":1,") && output.contains("\"dropped\":[3]"), output);
+        assertEquals(0, runProgram("fleet", "store", "verify", folder.toString(), "--json"));
+        assertTrue(output.contains("\"last\":1,"), output);
+        assertEquals(2, runProgram("fleet", "store", "verify", folder.resolve("none").toString()));
     }
 }
--- a/src/test/java/cranedeal/fleet/store/CrashDisk.java
+++ b/src/test/java/cranedeal/fleet/store/CrashDisk.java
@@ -12,69 +12,69 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A folder in memory that can lose its power. What was forced survives; of the rest, any subset of sectors
- * and any subset of the names that were made, changed and deleted, by a seed. It can also be full, and fail
- * to force.
+ * An in-memory disk that simulates power loss. Forced data survives; of the rest, a random subset of sectors
+ * and a random subset of the creations, renames and deletions survive. It can also be full, and its forces
+ * can fail.
  */
 final class CrashDisk implements Disk {
 
-    private static final int SECTOR = 512;
+    private static final int SECTOR_BYTES = 512;
 
-    /** The power is gone. */
+    /** Thrown by the operation at which the power fails. */
     static final class PowerLoss extends Error {
 
         private static final long serialVersionUID = 1;
     }
 
-    /** The bytes of a file, as they are now and as they were forced. */
+    /** The present content of a file, and the content that was forced last. */
     private static final class Inode {
 
-        private byte[] now = new byte[0];
-        private byte[] forced = new byte[0];
+        private byte[] content = new byte[0];
+        private byte[] forcedContent = new byte[0];
     }
 
     private final RandomGenerator random;
-    private final Map<String, Inode> names = new TreeMap<>();
-    private final Map<String, Inode> forcedNames = new TreeMap<>();
-    private final List<Consumer<Map<String, Inode>>> nameChanges = new ArrayList<>();
+    private final Map<String, Inode> files = new TreeMap<>();
+    private final Map<String, Inode> forcedFiles = new TreeMap<>();
+    private final List<Consumer<Map<String, Inode>>> unforcedChanges = new ArrayList<>();
     private final int crashAt;
     private boolean locked;
     private int operations;
     /** How many bytes may still be written; -1 for no limit. */
-    private long room = -1;
-    private boolean forceFails;
+    private long freeBytes = -1;
+    private boolean failForces;
 
-    /** A folder whose power goes at an operation, counted from 1; 0 for never. */
+    /** Loses power at the given operation, counted from 1; never if 0. */
     CrashDisk(RandomGenerator random, int crashAt) {
         this.random = random;
         this.crashAt = crashAt;
     }
 
-    /** What is left of the folder after a power loss, with the next loss at an operation. */
+    /** The disk as it survives a power loss; it loses power again at the given operation. */
     CrashDisk afterPowerLoss(int nextCrashAt) {
-        CrashDisk left = new CrashDisk(random, nextCrashAt);
-        Map<String, Inode> survived = new TreeMap<>(forcedNames);
-        nameChanges.stream().filter(change -> random.nextBoolean()).forEach(change ->
+        CrashDisk survivor = new CrashDisk(random, nextCrashAt);
+        Map<String, Inode> survived = new TreeMap<>(forcedFiles);
+        unforcedChanges.stream().filter(change -> random.nextBoolean()).forEach(change ->
                 change.accept(survived));
         survived.forEach((name, inode) -> {
             Inode copy = new Inode();
-            copy.now = settle(inode);
-            copy.forced = copy.now.clone();
-            left.names.put(name, copy);
-            left.forcedNames.put(name, copy);
+            copy.content = survivingContent(inode);
+            copy.forcedContent = copy.content.clone();
+            survivor.files.put(name, copy);
+            survivor.forcedFiles.put(name, copy);
         });
-        return left;
+        return survivor;
     }
 
-    private byte[] settle(Inode inode) {
-        int size = random.nextBoolean() ? inode.now.length : inode.forced.length;
-        if (random.nextInt(4) == 0 && inode.now.length > inode.forced.length) {
-            size = random.nextInt(inode.forced.length, inode.now.length + 1);
+    private byte[] survivingContent(Inode inode) {
+        int size = random.nextBoolean() ? inode.content.length : inode.forcedContent.length;
+        if (random.nextInt(4) == 0 && inode.content.length > inode.forcedContent.length) {
+            size = random.nextInt(inode.forcedContent.length, inode.content.length + 1);
         }
         byte[] settled = new byte[size];
-        for (int from = 0; from < size; from += SECTOR) {
-            byte[] source = random.nextBoolean() ? inode.now : inode.forced;
-            int end = Math.min(from + SECTOR, size);
+        for (int from = 0; from < size; from += SECTOR_BYTES) {
+            byte[] source = random.nextBoolean() ? inode.content : inode.forcedContent;
+            int end = Math.min(from + SECTOR_BYTES, size);
             if (from < source.length) {
                 System.arraycopy(source, from, settled, from, Math.min(end, source.length) - from);
             }
@@ -86,64 +86,64 @@
         return operations;
     }
 
-    void room(long bytes) {
-        room = bytes;
+    void setFreeBytes(long bytes) {
+        freeBytes = bytes;
     }
 
-    void forceFails(boolean fails) {
-        forceFails = fails;
+    void setFailForces(boolean failing) {
+        failForces = failing;
     }
 
-    /** The bytes of a file, to look at and to change. */
-    byte[] bytes(String name) {
-        return names.get(name).now;
+    /** The content of a file; changes to the array change the file. */
+    byte[] content(String name) {
+        return files.get(name).content;
     }
 
     void put(String name, byte[] bytes) {
         Inode inode = new Inode();
-        inode.now = bytes;
-        inode.forced = bytes.clone();
-        names.put(name, inode);
-        forcedNames.put(name, inode);
+        inode.content = bytes;
+        inode.forcedContent = bytes.clone();
+        files.put(name, inode);
+        forcedFiles.put(name, inode);
     }
 
-    /** Another folder with the same files, all forced. */
+    /** A disk with the same files, all forced, that does not lose power. */
     CrashDisk copy() {
         CrashDisk copy = new CrashDisk(random, 0);
-        names.forEach((name, inode) -> copy.put(name, inode.now.clone()));
+        files.forEach((name, inode) -> copy.put(name, inode.content.clone()));
         return copy;
     }
 
-    /** Counts an operation; true if the power goes with it. */
-    private boolean goesNow() {
+    /** Counts an operation; returns true if the power fails at it. */
+    private boolean crashesNow() {
         operations++;
         return operations == crashAt;
     }
 
-    private void changeNames(Consumer<Map<String, Inode>> change) {
-        boolean goes = goesNow();
-        if (!goes || random.nextBoolean()) {
-            change.accept(names);
-            nameChanges.add(change);
+    private void changeDirectory(Consumer<Map<String, Inode>> change) {
+        boolean crashes = crashesNow();
+        if (!crashes || random.nextBoolean()) {
+            change.accept(files);
+            unforcedChanges.add(change);
         }
-        if (goes) {
+        if (crashes) {
             throw new PowerLoss();
         }
     }
 
     @Override
     public List<String> fileNames() {
-        return List.copyOf(names.keySet());
+        return List.copyOf(files.keySet());
     }
 
     @Override
     public long size(String name) {
-        return names.get(name).now.length;
+        return files.get(name).content.length;
     }
 
     @Override
     public int read(String name, long offset, ByteBuffer into) {
-        byte[] bytes = names.get(name).now;
+        byte[] bytes = files.get(name).content;
         int count = (int) Math.max(0, Math.min(into.remaining(), bytes.length - offset));
         into.put(bytes, count == 0 ? 0 : (int) offset, count);
         return count;
@@ -151,50 +151,50 @@
 
     @Override
     public Output create(String name) throws IOException {
-        if (names.containsKey(name)) {
-            throw new IOException(name + " is there");
+        if (files.containsKey(name)) {
+            throw new IOException(name + " exists already");
         }
-        if (room == 0) {
+        if (freeBytes == 0) {
             throw new IOException("No space left on device");
         }
         Inode inode = new Inode();
-        changeNames(all -> all.put(name, inode));
-        return new Writing(inode);
+        changeDirectory(listing -> listing.put(name, inode));
+        return new MemoryOutput(inode);
     }
 
     @Override
     public Output append(String name) {
-        return new Writing(names.get(name));
+        return new MemoryOutput(files.get(name));
     }
 
     @Override
     public void rename(String from, String to) {
-        Inode inode = names.get(from);
-        changeNames(all -> {
-            // The new name may survive without the end of the old one, but not the other way round.
-            all.remove(from);
-            all.put(to, inode);
+        Inode inode = files.get(from);
+        changeDirectory(listing -> {
+            // Both changes survive or neither: the old name never disappears without the new one.
+            listing.remove(from);
+            listing.put(to, inode);
         });
     }
 
     @Override
     public void delete(String name) {
-        changeNames(all -> all.remove(name));
+        changeDirectory(listing -> listing.remove(name));
     }
 
     @Override
     public void forceDirectory() throws IOException {
-        forceNow();
-        forcedNames.clear();
-        forcedNames.putAll(names);
-        nameChanges.clear();
+        beginForce();
+        forcedFiles.clear();
+        forcedFiles.putAll(files);
+        unforcedChanges.clear();
     }
 
-    private void forceNow() throws IOException {
-        if (goesNow()) {
+    private void beginForce() throws IOException {
+        if (crashesNow()) {
             throw new PowerLoss();
         }
-        if (forceFails) {
+        if (failForces) {
             throw new IOException("Input/output error");
         }
     }
@@ -214,24 +214,25 @@
     }
 
     /** An open file. */
-    private final class Writing implements Output {
+    private final class MemoryOutput implements Output {
 
         private final Inode inode;
 
-        Writing(Inode inode) {
+        MemoryOutput(Inode inode) {
             this.inode = inode;
         }
 
         @Override
         public void write(ByteBuffer bytes) throws IOException {
-            boolean goes = goesNow();
-            boolean full = room >= 0 && bytes.remaining() > room;
-            int count = goes ? random.nextInt(bytes.remaining() + 1) : full ? (int) room : bytes.remaining();
-            byte[] longer = Arrays.copyOf(inode.now, inode.now.length + count);
-            bytes.get(longer, inode.now.length, count);
-            inode.now = longer;
-            room -= room >= 0 ? count : 0;
-            if (goes) {
+            boolean crashes = crashesNow();
+            boolean full = freeBytes >= 0 && bytes.remaining() > freeBytes;
+            int count = crashes ? random.nextInt(bytes.remaining() + 1) : full ? (int) freeBytes
+                    : bytes.remaining();
+            byte[] longer = Arrays.copyOf(inode.content, inode.content.length + count);
+            bytes.get(longer, inode.content.length, count);
+            inode.content = longer;
+            freeBytes -= freeBytes >= 0 ? count : 0;
+            if (crashes) {
                 throw new PowerLoss();
             }
             if (full) {
@@ -241,18 +242,18 @@
 
         @Override
         public void force() throws IOException {
-            forceNow();
-            inode.forced = inode.now.clone();
+            beginForce();
+            inode.forcedContent = inode.content.clone();
         }
 
         @Override
         public void truncate(long size) {
-            boolean goes = goesNow();
-            if (!goes || random.nextBoolean()) {
-                room += room >= 0 ? inode.now.length - size : 0;
-                inode.now = Arrays.copyOf(inode.now, (int) size);
+            boolean crashes = crashesNow();
+            if (!crashes || random.nextBoolean()) {
+                freeBytes += freeBytes >= 0 ? inode.content.length - size : 0;
+                inode.content = Arrays.copyOf(inode.content, (int) size);
             }
-            if (goes) {
+            if (crashes) {
                 throw new PowerLoss();
             }
         }
--- a/src/test/java/cranedeal/fleet/store/StoreBenchmark.java
+++ b/src/test/java/cranedeal/fleet/store/StoreBenchmark.java
@@ -13,30 +13,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Appends with a force each and in batches, beside bare writes and forces of the same size in the same run;
- * then recovery of a million records. Run by hand; the argument is a folder on the disk to measure.
+ * Measures appends with a force each and in batches, compared with bare writes and forces of the same size in
+ * the same run; then the recovery of a million records. Run by hand; the argument is a folder on the disk to
+ * measure.
  */
 final class StoreBenchmark {
 
-    private static final int FORCES = 2_000;
+    private static final int FORCES_PER_CASE = 2_000;
     private static final int ROUNDS = 5;
     private static final int WRITERS = 64;
-    private static final int BATCHED = 400_000;
-    private static final int SMALL = 100;
-    private static final int MILLION = 1_000_000;
+    private static final int GROUPED_RECORDS = 400_000;
+    private static final int RECORD_BYTES = 100;
+    private static final int MAX_RECOVERED_RECORDS = 1_000_000;
     private static final StoreLimits LIMITS = StoreLimits.DEFAULT;
 
     private StoreBenchmark() {
     }
 
-    /** A reader that only counts. */
-    private static final class Count implements ReplayHandler {
+    /** Counts the replayed records. */
+    private static final class RecordCounter implements ReplayHandler {
 
         private long records;
 
         @Override
         public void snapshotChunk(byte[] piece) {
-            // There is none.
+            // No snapshot is written here.
         }
 
         @Override
@@ -53,30 +54,33 @@
         Histogram bareBatch = new Histogram(3);
         Histogram batch = new Histogram(3);
         for (int round = 0; round < ROUNDS; round++) {
-            bare(folder.resolve("bare" + round), Frame.size(SMALL), false, bare);
-            bare(folder.resolve("preallocated" + round), Frame.size(SMALL), true, preallocated);
-            store(Files.createDirectory(folder.resolve("single" + round)), 1, single);
-            bare(folder.resolve("bareBatch" + round), 100 * Frame.size(SMALL), false, bareBatch);
-            store(Files.createDirectory(folder.resolve("batch" + round)), 100, batch);
+            measureBareWrites(folder.resolve("bare" + round), Frame.size(RECORD_BYTES), false, bare);
+            measureBareWrites(folder.resolve("preallocated" + round), Frame.size(RECORD_BYTES), true,
+                    preallocated);
+            measureStore(Files.createDirectory(folder.resolve("single" + round)), 1, single);
+            measureBareWrites(folder.resolve("bareBatch" + round), 100 * Frame.size(RECORD_BYTES), false,
+                    bareBatch);
+            measureStore(Files.createDirectory(folder.resolve("batch" + round)), 100, batch);
         }
         print("bare write and force, 128 bytes", bare);
         print("the same on a preallocated file", preallocated);
         print("one record of 100 bytes, forced", single);
         print("bare write and force, 12,800 bytes", bareBatch);
         print("100 records of 100 bytes, one force", batch);
-        grouped(Files.createDirectory(folder.resolve("grouped")));
-        recovery(Files.createDirectory(folder.resolve("recovery")));
+        measureGroupCommit(Files.createDirectory(folder.resolve("grouped")));
+        measureRecovery(Files.createDirectory(folder.resolve("recovery")));
     }
 
-    private static void bare(Path file, int size, boolean preallocate, Histogram into) throws IOException {
+    private static void measureBareWrites(Path file, int size, boolean preallocate, Histogram into)
+            throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE)) {
             if (preallocate) {
-                channel.write(ByteBuffer.allocate(size * FORCES / ROUNDS));
+                channel.write(ByteBuffer.allocate(size * FORCES_PER_CASE / ROUNDS));
                 channel.force(true);
                 channel.position(0);
             }
-            for (int i = 0; i < FORCES / ROUNDS; i++) {
+            for (int i = 0; i < FORCES_PER_CASE / ROUNDS; i++) {
                 long start = System.nanoTime();
                 channel.write(ByteBuffer.allocate(size));
                 channel.force(false);
@@ -85,12 +89,12 @@
         }
     }
 
-    private static void store(Path folder, int batch, Histogram into) throws IOException {
-        try (Store store = Store.open(new FolderDisk(folder), LIMITS, new Count())) {
-            for (int i = 0; i < FORCES / ROUNDS; i++) {
+    private static void measureStore(Path folder, int batch, Histogram into) throws IOException {
+        try (Store store = Store.open(new FolderDisk(folder), LIMITS, new RecordCounter())) {
+            for (int i = 0; i < FORCES_PER_CASE / ROUNDS; i++) {
                 long start = System.nanoTime();
                 for (int j = 0; j < batch; j++) {
-                    store.append(1, new byte[SMALL]);
+                    store.append(1, new byte[RECORD_BYTES]);
                 }
                 store.force();
                 into.recordValue((System.nanoTime() - start) / 1_000);
@@ -98,24 +102,25 @@
         }
     }
 
-    /** Many writers, of whom each waits for its record before it appends the next hundred. */
-    private static void grouped(Path folder) throws Exception {
+    /** Many writers; each appends a hundred records and waits until all of them are on disk. */
+    private static void measureGroupCommit(Path folder) throws Exception {
         Histogram micros = new Histogram(600_000_000L, 3);
-        AtomicLong left = new AtomicLong(BATCHED);
+        AtomicLong remaining = new AtomicLong(GROUPED_RECORDS);
         CountDownLatch done = new CountDownLatch(WRITERS);
         long start = System.nanoTime();
         long forces;
-        try (GroupCommit commit = new GroupCommit(Store.open(new FolderDisk(folder), LIMITS, new Count()),
+        try (GroupCommit commit = new GroupCommit(Store.open(new FolderDisk(folder), LIMITS,
+                new RecordCounter()),
                 1 << 16, "store")) {
             for (int i = 0; i < WRITERS; i++) {
                 new Thread(() -> {
-                    while (left.addAndGet(-100) >= 0) {
+                    while (remaining.addAndGet(-100) >= 0) {
                         long began = System.nanoTime();
-                        CompletableFuture<?>[] hundred = new CompletableFuture<?>[100];
-                        for (int j = 0; j < hundred.length; j++) {
-                            hundred[j] = commit.append(1, new byte[SMALL]);
+                        CompletableFuture<?>[] appends = new CompletableFuture<?>[100];
+                        for (int j = 0; j < appends.length; j++) {
+                            appends[j] = commit.append(1, new byte[RECORD_BYTES]);
                         }
-                        CompletableFuture.allOf(hundred).join();
+                        CompletableFuture.allOf(appends).join();
                         synchronized (micros) {
                             micros.recordValue((System.nanoTime() - began) / 1_000);
                         }
@@ -129,25 +134,25 @@
         double seconds = (System.nanoTime() - start) / 1e9;
         System.out.printf(Locale.ROOT,
                 "group commit: %.0f records a second, %.0f to a force; a hundred p50 %d us,"
-                + " p99 %d us%n", BATCHED / seconds, BATCHED / (double) forces,
+                + " p99 %d us%n", GROUPED_RECORDS / seconds, GROUPED_RECORDS / (double) forces,
                 micros.getValueAtPercentile(50), micros.getValueAtPercentile(99));
     }
 
-    private static void recovery(Path folder) throws IOException {
-        for (int records = MILLION / 4; records <= MILLION; records *= 2) {
-            Path own = Files.createDirectory(folder.resolve(Integer.toString(records)));
-            try (Store store = Store.open(new FolderDisk(own), LIMITS, new Count())) {
+    private static void measureRecovery(Path folder) throws IOException {
+        for (int records = MAX_RECOVERED_RECORDS / 4; records <= MAX_RECOVERED_RECORDS; records *= 2) {
+            Path storeFolder = Files.createDirectory(folder.resolve(Integer.toString(records)));
+            try (Store store = Store.open(new FolderDisk(storeFolder), LIMITS, new RecordCounter())) {
                 for (int i = 0; i < records; i++) {
-                    store.append(1, new byte[SMALL]);
-                    if (!store.fitsInBatch(SMALL)) {
+                    store.append(1, new byte[RECORD_BYTES]);
+                    if (!store.fitsInBatch(RECORD_BYTES)) {
                         store.force();
                     }
                 }
                 store.force();
             }
             for (int i = 0; i < ROUNDS; i++) {
-                Count count = new Count();
-                try (Store store = Store.open(new FolderDisk(own), LIMITS, count)) {
+                RecordCounter count = new RecordCounter();
+                try (Store store = Store.open(new FolderDisk(storeFolder), LIMITS, count)) {
                     System.out.printf(Locale.ROOT, "recovery of %d records: %.0f ms%n", count.records,
                             store.stats().recoveryMs());
                 }
--- a/src/test/java/cranedeal/fleet/store/StoreTest.java
+++ b/src/test/java/cranedeal/fleet/store/StoreTest.java
@@ -23,25 +23,26 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The store on a disk in memory that loses power, is damaged, full or fails; and on a real folder. The
- * property {@code store.minutes} has power lost for so long, with one seed after the other from {@code
- * store.seed} on.
+ * Guards against the loss of acknowledged records, and against replaying records that were never written: on
+ * an in-memory disk that loses power, is damaged, is full or fails to force, and on a real folder. The
+ * property {@code store.minutes} extends the power loss test by so many minutes, with consecutive seeds from
+ * {@code store.seed}.
  */
 class StoreTest {
 
-    private static final StoreLimits SMALL = new StoreLimits(3_000, 1_000, 4_000);
+    private static final StoreLimits SMALL_LIMITS = new StoreLimits(3_000, 1_000, 4_000);
 
     @TempDir
     Path folder;
 
-    /** A state: the numbers that were appended, in order. A snapshot has them in pieces of ten. */
+    /** The state: the appended numbers in order. A snapshot holds them in chunks of ten. */
     private static final class State implements ReplayHandler {
 
         private final List<Integer> values = new ArrayList<>();
 
         @Override
-        public void snapshotChunk(byte[] piece) {
-            ByteBuffer numbers = ByteBuffer.wrap(piece);
+        public void snapshotChunk(byte[] chunk) {
+            ByteBuffer numbers = ByteBuffer.wrap(chunk);
             while (numbers.hasRemaining()) {
                 values.add(numbers.getInt());
             }
@@ -56,55 +57,55 @@
         void writeTo(Store.Snapshot snapshot) throws IOException {
             for (int from = 0; from < snapshot.lastIncludedSequence(); from += 10) {
                 int to = (int) Math.min(from + 10, snapshot.lastIncludedSequence());
-                ByteBuffer piece = ByteBuffer.allocate(4 * (to - from));
-                values.subList(from, to).forEach(piece::putInt);
-                snapshot.write(piece.array());
+                ByteBuffer chunk = ByteBuffer.allocate(4 * (to - from));
+                values.subList(from, to).forEach(chunk::putInt);
+                snapshot.write(chunk.array());
             }
         }
     }
 
-    /** A number, and something behind it so that records have many sizes. */
+    /** A number, followed by padding so that records have different sizes. */
     private static byte[] payload(int value, RandomGenerator random) {
         return ByteBuffer.allocate(4 + random.nextInt(600)).putInt(value).array();
     }
 
-    /** What was appended and what was acknowledged, over all lives of a store. */
-    private static final class Work {
+    /** Writes to a store across restarts and tracks what was appended and what was acknowledged. */
+    private static final class Workload {
 
         private final RandomGenerator random;
         private List<Integer> appended = new ArrayList<>();
         private int acknowledged;
         private int next;
 
-        Work(RandomGenerator random) {
+        Workload(RandomGenerator random) {
             this.random = random;
         }
 
-        /** Appends, forces and takes snapshots until the power goes or enough is done. */
-        void on(Disk disk, int steps) throws IOException {
+        /** Appends, forces and writes snapshots until the power fails or all steps are done. */
+        void run(Disk disk, int steps) throws IOException {
             State state = new State();
-            try (Store store = Store.open(disk, SMALL, state)) {
-                check(state);
-                // What was read is kept from now on.
+            try (Store store = Store.open(disk, SMALL_LIMITS, state)) {
+                checkRecovered(state);
+                // Opening the store forces what was read, so it counts as acknowledged.
                 acknowledged = state.values.size();
                 appended = state.values;
                 for (int i = 0; i < steps; i++) {
-                    int dice = random.nextInt(10);
-                    if (dice < 6 && store.fitsInBatch(604)) {
+                    int choice = random.nextInt(10);
+                    if (choice < 6 && store.fitsInBatch(604)) {
                         appended.add(next);
                         store.append(1, payload(next++, random));
-                    } else if (dice < 9 || store.forcedSequence() == 0) {
+                    } else if (choice < 9 || store.forcedSequence() == 0) {
                         store.force();
                         acknowledged = (int) store.forcedSequence();
                     } else {
-                        snapshot(store, state);
+                        writeSnapshot(store, state);
                     }
                 }
             }
         }
 
-        /** Writes a snapshot, now and then with appends in between, or gives it up. */
-        private void snapshot(Store store, State state) throws IOException {
+        /** Writes a snapshot, sometimes with an append in between, and sometimes abandons it. */
+        private void writeSnapshot(Store store, State state) throws IOException {
             try (Store.Snapshot snapshot = store.snapshot()) {
                 state.writeTo(snapshot);
                 if (random.nextBoolean() && store.fitsInBatch(604)) {
@@ -119,8 +120,8 @@
             }
         }
 
-        /** All that was acknowledged, and nothing that was not appended, in order. */
-        void check(State state) {
+        /** Checks that all acknowledged values were read, in order, and none that was not appended. */
+        void checkRecovered(State state) {
             int read = state.values.size();
             assertTrue(read >= acknowledged, read + " of " + acknowledged + " acknowledged");
             assertTrue(read <= appended.size());
@@ -129,39 +130,39 @@
     }
 
     @Test
-    void powerLossAtEachOperationLosesNothingThatWasAcknowledged() throws IOException {
-        int points = 0;
-        long until = System.nanoTime() + TimeUnit.MINUTES.toNanos(Integer.getInteger("store.minutes", 0));
-        int first = Integer.getInteger("store.seed", 0);
-        for (int seed = first; seed < first + 6 || System.nanoTime() < until; seed++) {
+    void powerLossAtAnyOperationKeepsAcknowledgedRecords() throws IOException {
+        int crashPoints = 0;
+        long deadline = System.nanoTime() + TimeUnit.MINUTES.toNanos(Integer.getInteger("store.minutes", 0));
+        int firstSeed = Integer.getInteger("store.seed", 0);
+        for (int seed = firstSeed; seed < firstSeed + 6 || System.nanoTime() < deadline; seed++) {
             CrashDisk whole = new CrashDisk(new SplittableRandom(seed), 0);
-            new Work(new SplittableRandom(seed)).on(whole, 150);
+            new Workload(new SplittableRandom(seed)).run(whole, 150);
             for (int crashAt = 1; crashAt <= whole.operations(); crashAt++) {
-                SplittableRandom fate = new SplittableRandom(31L * seed + crashAt);
-                CrashDisk disk = new CrashDisk(fate, crashAt);
-                Work work = new Work(new SplittableRandom(seed));
-                assertThrows(CrashDisk.PowerLoss.class, () -> work.on(disk, 150));
-                // And while it recovers, again and again.
-                CrashDisk left = disk.afterPowerLoss(1 + fate.nextInt(4));
+                SplittableRandom crashRandom = new SplittableRandom(31L * seed + crashAt);
+                CrashDisk disk = new CrashDisk(crashRandom, crashAt);
+                Workload work = new Workload(new SplittableRandom(seed));
+                assertThrows(CrashDisk.PowerLoss.class, () -> work.run(disk, 150));
+                // Further power losses during recovery.
+                CrashDisk survivor = disk.afterPowerLoss(1 + crashRandom.nextInt(4));
                 for (int again = 0; again < 3; again++) {
                     try {
-                        work.on(left, 20);
+                        work.run(survivor, 20);
                     } catch (CrashDisk.PowerLoss e) {
-                        left = left.afterPowerLoss(1 + fate.nextInt(8));
+                        survivor = survivor.afterPowerLoss(1 + crashRandom.nextInt(8));
                         continue;
                     }
-                    left = left.copy();
+                    survivor = survivor.copy();
                 }
-                work.on(left.copy(), 20);
-                points++;
+                work.run(survivor.copy(), 20);
+                crashPoints++;
             }
         }
-        System.out.println("power lost at " + points + " points");
-        assertTrue(points > 500);
+        System.out.println("power lost at " + crashPoints + " points");
+        assertTrue(crashPoints > 500);
     }
 
-    /** Six batches of two records, acknowledged one after the other. */
-    private static CrashDisk acknowledgedBatches(StoreLimits limits) throws IOException {
+    /** A disk with six batches of two records, each batch acknowledged before the next. */
+    private static CrashDisk diskWithAcknowledgedBatches(StoreLimits limits) throws IOException {
         CrashDisk disk = new CrashDisk(new SplittableRandom(1), 0);
         try (Store store = Store.open(disk, limits, new State())) {
             for (int i = 0; i < 12; i++) {
@@ -175,46 +176,47 @@
     }
 
     @Test
-    void noFlippedByteAndNoLostEndIsEverServed() throws IOException {
-        // All in one segment, where only what is behind the damage tells that it was acknowledged.
-        CrashDisk one = acknowledgedBatches(new StoreLimits(100_000, 1_000, 4_000));
-        assertEquals(1, one.fileNames().size());
-        assertTrue(flipEachByte(one) > 0);
-        CrashDisk disk = acknowledgedBatches(SMALL);
+    void flippedBitsAndTruncatedFilesAreDetected() throws IOException {
+        // In a single segment only the records after the damage show that the damaged one was acknowledged.
+        CrashDisk singleSegment = diskWithAcknowledgedBatches(new StoreLimits(100_000, 1_000, 4_000));
+        assertEquals(1, singleSegment.fileNames().size());
+        assertTrue(countOpenedAfterBitFlips(singleSegment) > 0);
+        CrashDisk disk = diskWithAcknowledgedBatches(SMALL_LIMITS);
         List<String> files = disk.fileNames();
         assertEquals(2, files.size());
-        assertTrue(flipEachByte(disk) > 0);
-        for (int length = 0; length < disk.bytes(files.get(0)).length; length++) {
-            CrashDisk cut = cut(disk, files.get(0), length);
-            assertThrows(StoreDamagedException.class, () -> Store.open(cut, SMALL, new State()));
+        assertTrue(countOpenedAfterBitFlips(disk) > 0);
+        for (int length = 0; length < disk.content(files.get(0)).length; length++) {
+            CrashDisk truncated = truncatedCopy(disk, files.get(0), length);
+            assertThrows(StoreDamagedException.class, () -> Store.open(truncated, SMALL_LIMITS, new State()));
         }
     }
 
-    /** How many flips open all the same. */
-    private static int flipEachByte(CrashDisk disk) throws IOException {
-        int lastBatch = 0;
+    /** Flips one bit in each byte in turn; returns how often the store still opens. */
+    private static int countOpenedAfterBitFlips(CrashDisk disk) throws IOException {
+        int opened = 0;
         for (String name : disk.fileNames()) {
-            for (int at = 0; at < disk.bytes(name).length; at++) {
+            for (int at = 0; at < disk.content(name).length; at++) {
                 CrashDisk damaged = disk.copy();
-                damaged.bytes(name)[at] ^= (byte) (1 << at % 8);
-                lastBatch += readOrRefused(damaged) ? 1 : 0;
+                damaged.content(name)[at] ^= (byte) (1 << at % 8);
+                opened += opensOrIsRefused(damaged) ? 1 : 0;
             }
         }
-        return lastBatch;
+        return opened;
     }
 
     @Test
-    void anEndThatIsLostIsSaidUnlessItIsARecordsEnd() throws IOException {
-        CrashDisk disk = acknowledgedBatches(SMALL);
+    void truncationIsReportedUnlessItIsAtARecordBoundary() throws IOException {
+        CrashDisk disk = diskWithAcknowledgedBatches(SMALL_LIMITS);
         String last = disk.fileNames().get(1);
         Set<Long> ends = new HashSet<>(Set.of((long) FileKind.HEADER_BYTES));
-        FrameReader frames = new FrameReader(disk, last, FileKind.HEADER_BYTES, SMALL.maxRecordBytes());
+        FrameReader frames = new FrameReader(disk, last, FileKind.HEADER_BYTES,
+                SMALL_LIMITS.maxRecordBytes());
         while (frames.next() != null) {
             ends.add(frames.offset());
         }
-        for (int length = 0; length < disk.bytes(last).length; length++) {
+        for (int length = 0; length < disk.content(last).length; length++) {
             State state = new State();
-            try (Store store = Store.open(cut(disk, last, length), SMALL, state)) {
+            try (Store store = Store.open(truncatedCopy(disk, last, length), SMALL_LIMITS, state)) {
                 for (int i = 0; i < state.values.size(); i++) {
                     assertEquals(i, state.values.get(i));
                 }
@@ -223,20 +225,23 @@
         }
     }
 
-    private static CrashDisk cut(CrashDisk disk, String name, int length) {
-        CrashDisk cut = disk.copy();
-        cut.put(name, Arrays.copyOf(disk.bytes(name), length));
-        return cut;
+    private static CrashDisk truncatedCopy(CrashDisk disk, String name, int length) {
+        CrashDisk truncated = disk.copy();
+        truncated.put(name, Arrays.copyOf(disk.content(name), length));
+        return truncated;
     }
 
-    /** Whether a damaged store opens; if it does, it says what it cut, and the rest is right. */
-    private static boolean readOrRefused(CrashDisk disk) throws IOException {
+    /**
+     * Returns whether a damaged store opens; if so, checks that it reports the loss and that the rest is
+     * right.
+     */
+    private static boolean opensOrIsRefused(CrashDisk disk) throws IOException {
         State state = new State();
-        try (Store store = Store.open(disk, SMALL, state)) {
+        try (Store store = Store.open(disk, SMALL_LIMITS, state)) {
             for (int i = 0; i < state.values.size(); i++) {
                 assertEquals(i, state.values.get(i));
             }
-            assertTrue(state.values.size() >= 10, "only the last batch may be cut");
+            assertTrue(state.values.size() >= 10, "only the last batch may be lost");
             assertTrue(state.values.size() == 12 || store.stats().cut() > 0
                     || !store.stats().notes().isEmpty());
             return true;
@@ -246,28 +251,28 @@
     }
 
     @Test
-    void aFullDiskLosesNothingAndServiceGoesOnOnceThereIsRoom() throws IOException {
-        for (int room = 0; room < 4_000; room += 97) {
-            CrashDisk disk = new CrashDisk(new SplittableRandom(room), 0);
+    void fullDiskLosesNothingAndWritesResumeOnceThereIsRoom() throws IOException {
+        for (int freeBytes = 0; freeBytes < 4_000; freeBytes += 97) {
+            CrashDisk disk = new CrashDisk(new SplittableRandom(freeBytes), 0);
             SplittableRandom random = new SplittableRandom(7);
-            List<Integer> kept = new ArrayList<>();
-            try (Store store = Store.open(disk, SMALL, new State())) {
-                disk.room(room);
+            List<Integer> stored = new ArrayList<>();
+            try (Store store = Store.open(disk, SMALL_LIMITS, new State())) {
+                disk.setFreeBytes(freeBytes);
                 boolean full = false;
                 for (int i = 0; i < 60 && !full; i++) {
                     store.append(1, payload(i, random));
                     try {
                         store.force();
-                        kept.add(i);
+                        stored.add(i);
                     } catch (StoreException e) {
-                        throw new AssertionError("a full disk is no reason to give up", e);
+                        throw new AssertionError("a full disk must not make the store unusable", e);
                     } catch (IOException e) {
                         full = true;
                     }
                 }
                 assertTrue(full);
-                assertEquals(kept.size(), store.lastSequence());
-                if (!kept.isEmpty()) {
+                assertEquals(stored.size(), store.lastSequence());
+                if (!stored.isEmpty()) {
                     assertThrows(IOException.class, () -> {
                         try (Store.Snapshot snapshot = store.snapshot()) {
                             snapshot.write(new byte[1_000]);
@@ -275,48 +280,48 @@
                         }
                     });
                 }
-                disk.room(-1);
+                disk.setFreeBytes(-1);
                 store.append(1, payload(1_000, random));
                 store.force();
-                kept.add(1_000);
+                stored.add(1_000);
                 State state = new State();
-                state.values.addAll(kept);
+                state.values.addAll(stored);
                 try (Store.Snapshot snapshot = store.snapshot()) {
                     state.writeTo(snapshot);
                     snapshot.commit();
                 }
             }
             State state = new State();
-            Store.open(disk, SMALL, state).close();
-            assertEquals(kept, state.values);
+            Store.open(disk, SMALL_LIMITS, state).close();
+            assertEquals(stored, state.values);
         }
     }
 
     @Test
-    void afterAForceThatFailedNothingIsDoneAnyMore() throws IOException {
+    void storeIsUnusableAfterAFailedForce() throws IOException {
         CrashDisk disk = new CrashDisk(new SplittableRandom(1), 0);
-        try (Store store = Store.open(disk, SMALL, new State())) {
+        try (Store store = Store.open(disk, SMALL_LIMITS, new State())) {
             store.append(1, new byte[4]);
             store.force();
-            disk.forceFails(true);
+            disk.setFailForces(true);
             store.append(1, new byte[4]);
             assertThrows(StoreException.class, store::force);
-            disk.forceFails(false);
+            disk.setFailForces(false);
             assertThrows(StoreException.class, store::force);
             assertThrows(StoreException.class, () -> store.append(1, new byte[4]));
             assertThrows(StoreException.class, store::snapshot);
         }
         State state = new State();
-        Store.open(disk, SMALL, state).close();
+        Store.open(disk, SMALL_LIMITS, state).close();
         assertTrue(state.values.size() >= 1);
     }
 
     @Test
-    void aDamagedSnapshotIsReplacedByTheOneBeforeAndTheFolderStaysSmall() throws IOException {
+    void recoveryFallsBackToTheOlderSnapshotAndTheFolderStaysSmall() throws IOException {
         CrashDisk disk = new CrashDisk(new SplittableRandom(1), 0);
         List<Integer> all = new ArrayList<>();
         State state = new State();
-        try (Store store = Store.open(disk, SMALL, state)) {
+        try (Store store = Store.open(disk, SMALL_LIMITS, state)) {
             for (int i = 0; i < 400; i++) {
                 all.add(i);
                 state.values.add(i);
@@ -332,38 +337,38 @@
         }
         List<String> snapshots = disk.fileNames().stream().filter(FileKind.SNAPSHOT::matches).toList();
         assertEquals(2, snapshots.size());
-        // Two snapshots' worth of records, and a segment more.
+        // The records since the older snapshot, and one more segment.
         assertTrue(disk.fileNames().size() < 25, disk.fileNames().toString());
-        for (int at = 0; at < disk.bytes(snapshots.get(1)).length; at += 13) {
+        for (int at = 0; at < disk.content(snapshots.get(1)).length; at += 13) {
             CrashDisk damaged = disk.copy();
-            damaged.bytes(snapshots.get(1))[at] ^= 1;
+            damaged.content(snapshots.get(1))[at] ^= 1;
             State read = new State();
-            try (Store store = Store.open(damaged, SMALL, read)) {
+            try (Store store = Store.open(damaged, SMALL_LIMITS, read)) {
                 assertEquals(all, read.values);
                 assertEquals(1, store.stats().notes().size());
             }
         }
-        snapshots.forEach(name -> disk.bytes(name)[30] ^= 1);
-        assertThrows(StoreDamagedException.class, () -> Store.open(disk, SMALL, new State()));
+        snapshots.forEach(name -> disk.content(name)[30] ^= 1);
+        assertThrows(StoreDamagedException.class, () -> Store.open(disk, SMALL_LIMITS, new State()));
     }
 
     @Test
-    void aStateWhoseSnapshotsAreTakenWhenDueUsesThreeTimesItsSizeAtMost() throws IOException {
+    void withDueSnapshotsTheStoreTakesLessThanThreeTimesTheState() throws IOException {
         int pieces = 200;
         int size = 1_000;
         CrashDisk disk = new CrashDisk(new SplittableRandom(1), 0);
-        double most = 0;
+        double maxRatio = 0;
         int snapshots = 0;
-        // Opened anew now and then, as what is behind the snapshot must be known then too.
+        // Reopened repeatedly, since the size of the records after the snapshot must be known then too.
         for (int life = 0; life < 60; life++) {
-            try (Store store = Store.open(disk, StoreLimits.DEFAULT, new Last())) {
+            try (Store store = Store.open(disk, StoreLimits.DEFAULT, new SizeCheckingHandler())) {
                 for (int i = 0; i < 50; i++) {
                     store.append(1, new byte[size]);
                     store.force();
                     if (store.isSnapshotDue((long) pieces * size)) {
                         snapshots++;
                         try (Store.Snapshot snapshot = store.snapshot()) {
-                            for (int piece = 0; piece < pieces; piece++) {
+                            for (int chunk = 0; chunk < pieces; chunk++) {
                                 snapshot.write(new byte[size]);
                             }
                             snapshot.commit();
@@ -371,23 +376,23 @@
                     }
                     long used = 0;
                     for (String name : disk.fileNames()) {
-                        used += disk.bytes(name).length;
+                        used += disk.content(name).length;
                     }
-                    most = Math.max(most, used / (double) (pieces * size));
+                    maxRatio = Math.max(maxRatio, used / (double) (pieces * size));
                 }
             }
         }
-        String told = "disk used: " + most + " times the state, with " + snapshots + " snapshots";
-        System.out.println(told);
-        assertTrue(snapshots > 30 && snapshots < 45 && most < 3, told);
+        String summary = "disk used: " + maxRatio + " times the state, with " + snapshots + " snapshots";
+        System.out.println(summary);
+        assertTrue(snapshots > 30 && snapshots < 45 && maxRatio < 3, summary);
     }
 
-    /** Whatever it is told. */
-    private static final class Last implements ReplayHandler {
+    /** Only checks sizes. */
+    private static final class SizeCheckingHandler implements ReplayHandler {
 
         @Override
-        public void snapshotChunk(byte[] piece) {
-            assertEquals(1_000, piece.length);
+        public void snapshotChunk(byte[] chunk) {
+            assertEquals(1_000, chunk.length);
         }
 
         @Override
@@ -397,32 +402,33 @@
     }
 
     @Test
-    void aLaterFormatAndASecondProcessAreTurnedAway() throws IOException {
-        CrashDisk disk = acknowledgedBatches(SMALL);
-        Store holder = Store.open(disk, SMALL, new State());
-        assertThrows(StoreException.class, () -> Store.open(disk, SMALL, new State()));
+    void laterFormatAndSecondProcessAreRejected() throws IOException {
+        CrashDisk disk = diskWithAcknowledgedBatches(SMALL_LIMITS);
+        Store holder = Store.open(disk, SMALL_LIMITS, new State());
+        assertThrows(StoreException.class, () -> Store.open(disk, SMALL_LIMITS, new State()));
         holder.close();
         String name = disk.fileNames().get(1);
-        ByteBuffer head = ByteBuffer.wrap(disk.bytes(name));
+        ByteBuffer head = ByteBuffer.wrap(disk.content(name));
         head.putInt(4, 2);
         CRC32C crc = new CRC32C();
-        crc.update(disk.bytes(name), 0, 16);
+        crc.update(disk.content(name), 0, 16);
         head.putInt(16, (int) crc.getValue());
-        StoreException told = assertThrows(StoreException.class, () -> Store.open(disk, SMALL, new State()));
-        assertTrue(told.getMessage().contains("format 2"), told.getMessage());
+        StoreException rejection = assertThrows(StoreException.class, () -> Store.open(disk, SMALL_LIMITS,
+                new State()));
+        assertTrue(rejection.getMessage().contains("format 2"), rejection.getMessage());
     }
 
     @Test
-    void manyThreadsShareForcesAndEachIsToldItsNumber() throws Exception {
+    void groupCommitSharesForcesAndReturnsSequenceNumbers() throws Exception {
         FolderDisk disk = new FolderDisk(folder);
-        List<CompletableFuture<Long>> told = new ArrayList<>();
+        List<CompletableFuture<Long>> sequences = new ArrayList<>();
         try (GroupCommit commit = new GroupCommit(Store.open(disk, StoreLimits.DEFAULT, new State()), 100_000,
                 "store")) {
             for (int i = 0; i < 50_000; i++) {
-                told.add(commit.append(1, ByteBuffer.allocate(4).putInt(i).array()));
+                sequences.add(commit.append(1, ByteBuffer.allocate(4).putInt(i).array()));
             }
-            for (int i = 0; i < told.size(); i++) {
-                assertEquals(i + 1, told.get(i).get());
+            for (int i = 0; i < sequences.size(); i++) {
+                assertEquals(i + 1, sequences.get(i).get());
             }
             long forces = commit.run(store -> store.stats().forces()).get();
             assertTrue(forces < 25_000, forces + " forces");
@@ -436,14 +442,14 @@
                 return null;
             }).get();
             assertEquals(50_001, commit.append(1, new byte[4]).get());
-            StoreException taken = assertThrows(StoreException.class,
+            StoreException inUse = assertThrows(StoreException.class,
                     () -> Store.open(disk, StoreLimits.DEFAULT, new State()));
-            assertTrue(taken.getMessage().contains("in use"));
+            assertTrue(inUse.getMessage().contains("in use"));
         }
         assertEquals(50_001, Repair.verify(disk, StoreLimits.DEFAULT, new ReplayHandler() {
             @Override
-            public void snapshotChunk(byte[] piece) {
-                assertEquals(4, piece.length);
+            public void snapshotChunk(byte[] chunk) {
+                assertEquals(4, chunk.length);
             }
 
             @Override
@@ -454,8 +460,8 @@
     }
 
     @Test
-    void repairCutsAtTheDamageKeepsTheOldFilesAndListsWhatItDropped() throws IOException {
-        try (Store store = Store.open(new FolderDisk(folder), SMALL, new State())) {
+    void repairTruncatesAtDamageBacksUpFilesAndListsDroppedRecords() throws IOException {
+        try (Store store = Store.open(new FolderDisk(folder), SMALL_LIMITS, new State())) {
             for (int i = 0; i < 40; i++) {
                 store.append(1, payload(i, new SplittableRandom(i)));
                 store.force();
@@ -465,19 +471,19 @@
         byte[] bytes = Files.readAllBytes(second);
         bytes[FileKind.HEADER_BYTES + 40] ^= 1;
         Files.write(second, bytes);
-        long first = FileKind.JOURNAL.number(second.getFileName().toString());
+        long firstSequence = FileKind.JOURNAL.number(second.getFileName().toString());
         StoreDamagedException damage = assertThrows(StoreDamagedException.class,
-                () -> Store.open(new FolderDisk(folder), SMALL, new State()));
+                () -> Store.open(new FolderDisk(folder), SMALL_LIMITS, new State()));
         assertEquals(FileKind.HEADER_BYTES, damage.offset());
-        Path kept = folder.resolve("kept");
-        Repair.Outcome outcome = Repair.repair(folder, SMALL, kept);
-        assertEquals(40 - first, outcome.droppedCount());
-        assertEquals(first + 1, outcome.droppedSequences().get(0));
-        assertEquals(bytes.length, Files.size(kept.resolve(second.getFileName())));
+        Path backup = folder.resolve("kept");
+        Repair.Outcome outcome = Repair.repair(folder, SMALL_LIMITS, backup);
+        assertEquals(40 - firstSequence, outcome.droppedCount());
+        assertEquals(firstSequence + 1, outcome.droppedSequences().get(0));
+        assertEquals(bytes.length, Files.size(backup.resolve(second.getFileName())));
         State state = new State();
-        Store.open(new FolderDisk(folder), SMALL, state).close();
-        assertEquals(first - 1, state.values.size());
-        Repair.Outcome nothing = Repair.repair(folder, SMALL, folder.resolve("again"));
+        Store.open(new FolderDisk(folder), SMALL_LIMITS, state).close();
+        assertEquals(firstSequence - 1, state.values.size());
+        Repair.Outcome nothing = Repair.repair(folder, SMALL_LIMITS, folder.resolve("again"));
         assertTrue(nothing.repairedDamage().isEmpty() && !Files.exists(folder.resolve("again")));
     }
 }
--- a/src/test/java/cranedeal/lab/link/DatagramLinksTest.java
+++ b/src/test/java/cranedeal/lab/link/DatagramLinksTest.java
@@ -14,14 +14,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Three parties over UDP that know one another only by the addresses that the links hold. */
+/**
+ * Three parties that exchange UDP datagrams through their link addresses only, with and without impairments.
+ */
 class DatagramLinksTest {
 
     private static final Impairment LOSES_ALL = new Impairment(false, 0, 0, 1, 0, 0, 0);
-    private static final Impairment DOUBLES = new Impairment(false, 0, 0, 0, 1, 0, 0);
+    private static final Impairment DUPLICATES_ALL = new Impairment(false, 0, 0, 0, 1, 0, 0);
 
     @Test
-    void datagramsComeFromTheSendersOtherAddressAndFaultsHitOneWay() throws Exception {
+    void datagramsComeFromTheSendersLinkAddressAndImpairmentsAreOneWay() throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (AddressBlock addresses = AddressBlock.reserve(); DatagramSocket a = socket(addresses, 0);
                 DatagramSocket b = socket(addresses, 1); DatagramSocket c = socket(addresses, 2)) {
@@ -30,10 +32,10 @@
                 links.addParty(addresses.listenAddress(party), addresses.linkAddress(0, party)).sync();
             }
             send(a, "to b", addresses.linkAddress(0, 1));
-            DatagramPacket got = receive(b);
-            assertEquals("to b", text(got));
-            assertEquals(addresses.linkAddress(0, 0), got.getSocketAddress());
-            send(b, "answer", (InetSocketAddress) got.getSocketAddress());
+            DatagramPacket received = receive(b);
+            assertEquals("to b", text(received));
+            assertEquals(addresses.linkAddress(0, 0), received.getSocketAddress());
+            send(b, "answer", (InetSocketAddress) received.getSocketAddress());
             assertEquals("answer", text(receive(a)));
 
             links.impair(addresses.ip(0), addresses.ip(1), LOSES_ALL).sync();
@@ -43,7 +45,7 @@
             send(b, "the way back is in order", addresses.linkAddress(0, 0));
             assertEquals("the way back is in order", text(receive(a)));
 
-            links.impair(addresses.ip(0), addresses.ip(1), DOUBLES).sync();
+            links.impair(addresses.ip(0), addresses.ip(1), DUPLICATES_ALL).sync();
             send(a, "twice", addresses.linkAddress(0, 1));
             assertEquals("twice", text(receive(b)));
             assertEquals("twice", text(receive(b)));
@@ -54,7 +56,7 @@
     }
 
     @Test
-    void groupsOfPartiesLoseEachOtherAndMeetAlsoThoseThatNeverSpokeBefore() throws Exception {
+    void groupImpairmentsAlsoApplyToPairsWithoutEarlierTraffic() throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (AddressBlock addresses = AddressBlock.reserve(); DatagramSocket a = socket(addresses, 0);
                 DatagramSocket b = socket(addresses, 1); DatagramSocket c = socket(addresses, 2)) {
--- a/src/test/java/cranedeal/lab/link/DirectionTest.java
+++ b/src/test/java/cranedeal/lab/link/DirectionTest.java
@@ -8,11 +8,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When things come out of a link, in virtual time. */
+/** Checks delivery times of streams and datagrams in virtual time. */
 class DirectionTest {
 
     @Test
-    void aStreamKeepsItsOrderAndIsNeverEarly() {
+    void streamIsDeliveredInOrderAndNeverEarly() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Direction direction = new Direction(random.split());
@@ -27,35 +27,35 @@
                 now += random.nextInt(20);
                 int size = random.nextInt(1_500);
                 bytes += size;
-                double out = direction.streamDelivery(now, size);
-                assertTrue(out >= last && out >= now + delay);
-                assertTrue(rate == 0 || out >= bytes * 1_000 / rate);
-                last = out;
+                double delivery = direction.streamDelivery(now, size);
+                assertTrue(delivery >= last && delivery >= now + delay);
+                assertTrue(rate == 0 || delivery >= bytes * 1_000 / rate);
+                last = delivery;
             }
         }
     }
 
     @Test
-    void datagramsAreLostDoubledAndOvertakenInTheStatedShares() {
+    void datagramsAreLostDuplicatedAndReorderedInTheGivenShares() {
         Direction direction = new Direction(new SplittableRandom(3));
         direction.impair(new Impairment(false, 10, 0, 0.25, 0.1, 0.2, 0));
-        int[] copies = new int[3];
+        int[] byDeliveryCount = new int[3];
         int overtaken = 0;
         double last = 0;
         int all = 20_000;
         for (int i = 0; i < all; i++) {
-            double[] out = direction.datagramDeliveries(i, 100);
-            copies[out.length]++;
-            overtaken += out.length > 0 && out[0] < last ? 1 : 0;
-            last = out.length > 0 ? out[0] : last;
+            double[] deliveries = direction.datagramDeliveries(i, 100);
+            byDeliveryCount[deliveries.length]++;
+            overtaken += deliveries.length > 0 && deliveries[0] < last ? 1 : 0;
+            last = deliveries.length > 0 ? deliveries[0] : last;
         }
-        assertEquals(0.25, copies[0] / (double) all, 0.02);
-        assertEquals(0.075, copies[2] / (double) all, 0.02);
+        assertEquals(0.25, byDeliveryCount[0] / (double) all, 0.02);
+        assertEquals(0.075, byDeliveryCount[2] / (double) all, 0.02);
         assertTrue(overtaken > all / 20, overtaken + " overtaken");
     }
 
     @Test
-    void theSameSeedGivesTheSameTimes() {
+    void sameSeedGivesSameDeliveryTimes() {
         double[][] runs = new double[2][100];
         for (double[] run : runs) {
             Direction direction = new Direction(new SplittableRandom(9));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whatNoNetworkDoesIsTurnedDown() {
+    void impairmentsOutOfRangeAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Impairment(false, -1, 0, 0, 0, 0, 0));
         assertThrows(IllegalArgumentException.class, () -> new Impairment(false, 0, 0, 1.1, 0, 0, 0));
         assertThrows(IllegalArgumentException.class, () -> new Impairment(false, 0, 0, 0, 0, 0, Double.NaN));
--- a/src/test/java/cranedeal/lab/link/LinkBenchmark.java
+++ b/src/test/java/cranedeal/lab/link/LinkBenchmark.java
@@ -17,13 +17,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a link adds to a round trip: lines of 200 bytes to another process and back, by turns on a direct
- * connection and on one through a link. Run by hand; prints microseconds.
+ * Measures what a link adds to a round trip: lines of 200 bytes to another process and back, in alternating
+ * rounds over a direct connection and over one through a link. Run by hand; prints microseconds.
  */
 final class LinkBenchmark {
 
     private static final int ROUNDS = 20;
-    private static final int TRIPS = 5_000;
+    private static final int TRIPS_PER_ROUND = 5_000;
     private static final byte[] LINE = ("z".repeat(199) + "\n").getBytes(StandardCharsets.ISO_8859_1);
 
     private LinkBenchmark() {
@@ -33,8 +33,8 @@
     public static void main(String[] args) throws Exception {
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (AddressBlock addresses = AddressBlock.reserve();
-                ProcessSupervisor warden = new ProcessSupervisor()) {
-            Processes.start(warden, Echo.class, addresses.ip(1).getHostAddress(),
+                ProcessSupervisor supervisor = new ProcessSupervisor()) {
+            Processes.start(supervisor, Echo.class, addresses.ip(1).getHostAddress(),
                     Integer.toString(AddressBlock.LISTEN_PORT));
             StreamLink link = new StreamLink(loops.next(), addresses.linkAddress(0, 1),
                     addresses.listenAddress(1),
@@ -43,9 +43,9 @@
             Histogram direct = new Histogram(3);
             Histogram linked = new Histogram(3);
             for (int i = 0; i <= ROUNDS; i++) {
-                // The first round warms up.
-                trips(addresses.listenAddress(1), i == 0 ? new Histogram(3) : direct);
-                trips(link.address(), i == 0 ? new Histogram(3) : linked);
+                // The first round is a warm-up and is not recorded.
+                measureRoundTrips(addresses.listenAddress(1), i == 0 ? new Histogram(3) : direct);
+                measureRoundTrips(link.address(), i == 0 ? new Histogram(3) : linked);
             }
             print("direct", direct);
             print("through a link", linked);
@@ -54,11 +54,11 @@
         }
     }
 
-    private static void trips(InetSocketAddress to, Histogram into) throws IOException {
+    private static void measureRoundTrips(InetSocketAddress to, Histogram into) throws IOException {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             socket.setTcpNoDelay(true);
             InputStream in = socket.getInputStream();
-            for (int i = 0; i < TRIPS; i++) {
+            for (int i = 0; i < TRIPS_PER_ROUND; i++) {
                 long start = System.nanoTime();
                 socket.getOutputStream().write(LINE);
                 in.readNBytes(LINE.length);
--- a/src/test/java/cranedeal/lab/link/StreamLinkTest.java
+++ b/src/test/java/cranedeal/lab/link/StreamLinkTest.java
@@ -33,72 +33,75 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each fault of a link, on this process and another with a link between them. */
+/** Tests each fault of a link between this process and an echo server in another process. */
 class StreamLinkTest {
 
-    private static final int HERE = 0;
-    private static final int THERE = 1;
+    private static final int CLIENT = 0;
+    private static final int SERVER = 1;
     private static final EventLoopGroup LOOPS = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private static AddressBlock addresses;
-    private static ProcessSupervisor warden;
+    private static ProcessSupervisor supervisor;
     private static ChildProcess echo;
     private StreamLink link;
-    /** A second way to the same process, in order at all times: what goes through it takes time. */
-    private StreamLink other;
+    /**
+     * A link to the same process that is never impaired; exchanges over it give the link under test time to
+     * fail.
+     */
+    private StreamLink unimpairedLink;
 
     @BeforeAll
     static void startEcho() throws Exception {
         addresses = AddressBlock.reserve();
-        warden = new ProcessSupervisor();
-        echo = Processes.start(warden, Echo.class, addresses.ip(THERE).getHostAddress(),
+        supervisor = new ProcessSupervisor();
+        echo = Processes.start(supervisor, Echo.class, addresses.ip(SERVER).getHostAddress(),
                 Integer.toString(AddressBlock.LISTEN_PORT));
     }
 
     @AfterAll
     static void end() throws IOException {
-        warden.close();
+        supervisor.close();
         addresses.close();
         LOOPS.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     @BeforeEach
     void openLinks() throws Exception {
-        link = open(HERE);
-        other = open(2);
+        link = open(CLIENT);
+        unimpairedLink = open(2);
     }
 
     @AfterEach
     void closeLinks() throws Exception {
         link.close().sync();
-        other.close().sync();
+        unimpairedLink.close().sync();
     }
 
     private static StreamLink open(int from) throws Exception {
-        StreamLink opened = new StreamLink(LOOPS.next(), addresses.linkAddress(from, THERE),
-                addresses.listenAddress(THERE),
+        StreamLink opened = new StreamLink(LOOPS.next(), addresses.linkAddress(from, SERVER),
+                addresses.listenAddress(SERVER),
                 addresses.ip(from), new SplittableRandom(1));
         opened.setTargetUp(true).sync();
         return opened;
     }
 
-    /** A connection of this process. */
-    private static final class Line implements AutoCloseable {
+    /** A connection to the echo server. */
+    private static final class EchoClient implements AutoCloseable {
 
         private final Socket socket;
         private final BufferedReader in;
 
-        Line(InetSocketAddress to) throws IOException {
+        EchoClient(InetSocketAddress to) throws IOException {
             socket = new Socket(to.getAddress(), to.getPort());
             socket.setSoTimeout(60_000);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                     StandardCharsets.ISO_8859_1));
         }
 
-        void say(String text) throws IOException {
+        void sendLine(String text) throws IOException {
             socket.getOutputStream().write((text + "\n").getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        String hear() throws IOException {
+        String readLine() throws IOException {
             return in.readLine();
         }
 
@@ -108,99 +111,99 @@
         }
     }
 
-    private void letOthersTalk() throws IOException {
-        try (Line line = new Line(other.address())) {
+    private void exchangeOverUnimpairedLink() throws IOException {
+        try (EchoClient client = new EchoClient(unimpairedLink.address())) {
             for (int i = 0; i < 50; i++) {
-                line.say("meanwhile " + i);
-                assertEquals("meanwhile " + i, line.hear());
+                client.sendLine("meanwhile " + i);
+                assertEquals("meanwhile " + i, client.readLine());
             }
         }
     }
 
     @Test
-    void carriesBothWaysAndTellsTheTargetWhoCalls() throws Exception {
-        try (Line line = new Line(link.address())) {
-            line.say("hello");
-            assertEquals("hello", line.hear());
-            assertTrue(echo.logContains("from " + addresses.ip(HERE).getHostAddress()));
+    void relaysBothDirectionsAndShowsTheTargetTheSourceAddress() throws Exception {
+        try (EchoClient client = new EchoClient(link.address())) {
+            client.sendLine("hello");
+            assertEquals("hello", client.readLine());
+            assertTrue(echo.logContains("from " + addresses.ip(CLIENT).getHostAddress()));
         }
     }
 
     @Test
-    void holdsBackWhileSilentAndDeliversOnceAfterwards() throws Exception {
-        try (Line line = new Line(link.address())) {
-            line.say("before");
-            assertEquals("before", line.hear());
+    void blockedLinkDeliversHeldDataOnceUnblocked() throws Exception {
+        try (EchoClient client = new EchoClient(link.address())) {
+            client.sendLine("before");
+            assertEquals("before", client.readLine());
             link.impair(Impairment.BLOCKED, Impairment.BLOCKED).sync();
-            line.say("held-1");
-            line.say("held-2");
-            letOthersTalk();
+            client.sendLine("held-1");
+            client.sendLine("held-2");
+            exchangeOverUnimpairedLink();
             assertFalse(echo.logContains("held-1"));
             link.impair(Impairment.NONE, Impairment.NONE).sync();
-            assertEquals("held-1", line.hear());
-            assertEquals("held-2", line.hear());
-            line.say("after");
-            assertEquals("after", line.hear());
+            assertEquals("held-1", client.readLine());
+            assertEquals("held-2", client.readLine());
+            client.sendLine("after");
+            assertEquals("after", client.readLine());
         }
     }
 
     @Test
-    void whatIsOnItsWayWhenALinkIsCutIsHeldBackToo() throws Exception {
-        try (Line line = new Line(link.address())) {
-            line.say("first");
-            assertEquals("first", line.hear());
+    void dataInTransitIsHeldBackWhenTheLinkIsBlocked() throws Exception {
+        try (EchoClient client = new EchoClient(link.address())) {
+            client.sendLine("first");
+            assertEquals("first", client.readLine());
             Impairment slow = new Impairment(false, 100, 0, 0, 0, 0, 0);
             link.impair(slow, Impairment.NONE).sync();
             long start = System.nanoTime();
-            line.say("on-its-way");
-            letOthersTalk();
+            client.sendLine("on-its-way");
+            exchangeOverUnimpairedLink();
             link.impair(Impairment.BLOCKED, Impairment.NONE).sync();
             if (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(100)) {
                 while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(300)) {
-                    letOthersTalk();
+                    exchangeOverUnimpairedLink();
                 }
                 assertFalse(echo.logContains("on-its-way"));
             }
             link.impair(Impairment.NONE, Impairment.NONE).sync();
-            assertEquals("on-its-way", line.hear());
+            assertEquals("on-its-way", client.readLine());
         }
     }
 
     @Test
-    void letsNoConnectionComeUpWhileSilent() throws Exception {
+    void noConnectionIsEstablishedWhileBlocked() throws Exception {
         link.impair(Impairment.BLOCKED, Impairment.BLOCKED).sync();
-        try (SocketChannel late = SocketChannel.open()) {
-            late.configureBlocking(false);
-            late.connect(link.address());
-            letOthersTalk();
-            assertFalse(late.finishConnect());
+        try (SocketChannel connecting = SocketChannel.open()) {
+            connecting.configureBlocking(false);
+            connecting.connect(link.address());
+            exchangeOverUnimpairedLink();
+            assertFalse(connecting.finishConnect());
             link.impair(Impairment.NONE, Impairment.NONE).sync();
-            Processes.until(late::finishConnect);
+            Processes.until(connecting::finishConnect);
         }
     }
 
     @Test
-    void aOneWayCutLetsTheOtherWayThrough() throws Exception {
-        try (Line line = new Line(link.address())) {
-            line.say("known");
-            assertEquals("known", line.hear());
+    void oneBlockedDirectionLetsTheOtherThrough() throws Exception {
+        try (EchoClient client = new EchoClient(link.address())) {
+            client.sendLine("known");
+            assertEquals("known", client.readLine());
             link.impair(Impairment.NONE, Impairment.BLOCKED).sync();
-            line.say("only-there");
+            client.sendLine("only-there");
             Processes.until(() -> echo.logContains("only-there"));
-            letOthersTalk();
-            assertFalse(line.in.ready());
+            exchangeOverUnimpairedLink();
+            assertFalse(client.in.ready());
             link.impair(Impairment.NONE, Impairment.NONE).sync();
-            assertEquals("only-there", line.hear());
+            assertEquals("only-there", client.readLine());
         }
     }
 
     @Test
     void resetsBothEnds() throws Exception {
-        try (Line line = new Line(link.address())) {
-            line.say("to be reset");
-            assertEquals("to be reset", line.hear());
+        try (EchoClient client = new EchoClient(link.address())) {
+            client.sendLine("to be reset");
+            assertEquals("to be reset", client.readLine());
             link.reset().sync();
-            assertThrows(SocketException.class, line::hear);
+            assertThrows(SocketException.class, client::readLine);
             Processes.until(() -> echo.logContains("broken: Connection reset"));
         }
     }
@@ -208,58 +211,58 @@
     @Test
     void refusesWhileTheTargetIsDown() throws Exception {
         link.setTargetUp(false).sync();
-        assertThrows(ConnectException.class, () -> new Line(link.address()));
+        assertThrows(ConnectException.class, () -> new EchoClient(link.address()));
         link.setTargetUp(true).sync();
-        try (Line line = new Line(link.address())) {
-            line.say("back");
-            assertEquals("back", line.hear());
+        try (EchoClient client = new EchoClient(link.address())) {
+            client.sendLine("back");
+            assertEquals("back", client.readLine());
         }
     }
 
     @Test
-    void takesItsTimeWhereTheLinkIsSlow() throws Exception {
-        try (Line line = new Line(link.address())) {
+    void delayAndRateLimitApply() throws Exception {
+        try (EchoClient client = new EchoClient(link.address())) {
             link.impair(new Impairment(false, 60, 0, 0, 0, 0, 0),
                     new Impairment(false, 40, 0, 0, 0, 0, 100_000)).sync();
             long start = System.nanoTime();
-            line.say("x".repeat(9_999));
-            assertEquals(9_999, line.hear().length());
-            // Never sooner: two delays, and 10 kB at 100 kB/s.
+            client.sendLine("x".repeat(9_999));
+            assertEquals(9_999, client.readLine().length());
+            // The minimum: two delays, and 10 kB at 100 kB/s.
             assertTrue(System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(200));
         }
     }
 
     @Test
-    void passesTheEndOfAStreamOnBehindItsBytes() throws Exception {
-        try (Line line = new Line(link.address())) {
+    void endOfStreamIsDeliveredAfterTheData() throws Exception {
+        try (EchoClient client = new EchoClient(link.address())) {
             link.impair(new Impairment(false, 30, 20, 0.3, 0, 0, 0), Impairment.NONE).sync();
-            line.say("last words");
-            line.socket.shutdownOutput();
-            assertEquals("last words", line.hear());
-            assertEquals(null, line.hear());
+            client.sendLine("last words");
+            client.socket.shutdownOutput();
+            assertEquals("last words", client.readLine());
+            assertEquals(null, client.readLine());
         }
     }
 
     @Test
-    void aPausedProcessFillsBuffersAndLosesNothing() throws Exception {
+    void pausedProcessCausesBackpressureAndLosesNothing() throws Exception {
         try (SocketChannel channel = SocketChannel.open(link.address())) {
             echo.signal("STOP");
             channel.configureBlocking(false);
             ByteBuffer line = ByteBuffer.wrap(("y".repeat(8_191)
                     + "\n").getBytes(StandardCharsets.ISO_8859_1));
             long written = 0;
-            // The sender is stopped, not the lab's memory filled.
-            for (int full = 0; full < 100;) {
-                int now = channel.write(line);
-                written += now;
+            // Backpressure must stop the sender before the lab's memory fills up.
+            for (int fullWrites = 0; fullWrites < 100;) {
+                int writtenNow = channel.write(line);
+                written += writtenNow;
                 if (!line.hasRemaining()) {
                     line.rewind();
                 }
-                if (now == 0) {
-                    full++;
-                    letNothingHappen();
+                if (writtenNow == 0) {
+                    fullWrites++;
+                    pause();
                 }
-                assertTrue(written < 256L * 1024 * 1024, "nothing stops the sender");
+                assertTrue(written < 256L * 1024 * 1024, "no backpressure reaches the sender");
             }
             echo.signal("CONT");
             channel.configureBlocking(true);
@@ -269,7 +272,7 @@
             for (int count = channel.read(in); count >= 0; count = channel.read(in.clear())) {
                 read += count;
             }
-            // The last line may have been cut short; the echo ends it.
+            // The last line may be incomplete; the echo server then completes it with a line end.
             assertEquals(written % 8_192 == 0 ? written : written + 1, read);
         } finally {
             echo.signal("CONT");
@@ -277,17 +280,17 @@
     }
 
     @Test
-    void keepsWhatASlowReaderHasNotTakenWhenTheStreamEnds() throws Exception {
+    void slowReaderReceivesAllDataAfterTheStreamEnds() throws Exception {
         byte[] bytes = new byte[8 << 20];
         InetSocketAddress target = addresses.listenAddress(3);
         try (ServerSocket server = new ServerSocket(target.getPort(), 1, target.getAddress())) {
-            StreamLink ending = new StreamLink(LOOPS.next(), addresses.linkAddress(HERE, 3), target,
-                    addresses.ip(HERE), new SplittableRandom(1));
-            ending.setTargetUp(true).sync();
+            StreamLink endingLink = new StreamLink(LOOPS.next(), addresses.linkAddress(CLIENT, 3), target,
+                    addresses.ip(CLIENT), new SplittableRandom(1));
+            endingLink.setTargetUp(true).sync();
             try (Socket reader = new Socket()) {
                 reader.setReceiveBufferSize(4_096);
                 reader.setSoTimeout(60_000);
-                reader.connect(ending.address());
+                reader.connect(endingLink.address());
                 Thread writer = new Thread(() -> send(server, bytes));
                 writer.start();
                 InputStream in = reader.getInputStream();
@@ -295,13 +298,13 @@
                 int piece;
                 while ((piece = in.readNBytes(1 << 16).length) > 0) {
                     read += piece;
-                    letNothingHappen();
+                    pause();
                 }
                 reader.shutdownOutput();
                 writer.join();
                 assertEquals(bytes.length, read);
             } finally {
-                ending.close().sync();
+                endingLink.close().sync();
             }
         }
     }
@@ -316,7 +319,7 @@
         }
     }
 
-    private static void letNothingHappen() throws InterruptedException {
+    private static void pause() throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(2);
     }
 }
--- a/src/test/java/cranedeal/lab/process/ProcessTest.java
+++ b/src/test/java/cranedeal/lab/process/ProcessTest.java
@@ -25,7 +25,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Processes: their end with the lab, signals, and damage to what they wrote. */
+/**
+ * Tests child processes: their end together with the lab, signals, disk faults, and damage to their files.
+ */
 class ProcessTest {
 
     @TempDir
@@ -33,17 +35,17 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"KILL", "TERM", "INT"})
-    void nothingOutlivesALabHoweverThatEnds(String signal) throws Exception {
-        try (ProcessSupervisor outer = new ProcessSupervisor();
+    void childrenEndWithTheLabHoweverItEnds(String signal) throws Exception {
+        try (ProcessSupervisor supervisor = new ProcessSupervisor();
                 AddressBlock addresses = AddressBlock.reserve()) {
             Path log = folder.resolve("nursery.log");
-            ChildProcess lab = outer.start("nursery", Processes.java(Nursery.class,
+            ChildProcess lab = supervisor.start("nursery", Processes.java(Nursery.class,
                     folder.resolve("children.log").toString(), addresses.ip(1).getHostAddress(), "9001",
                     "9002"), Map.of(), log);
             Processes.until(() -> lab.logContains("ready") || !lab.isAlive());
-            Matcher told = Pattern.compile("children (\\d+) (\\d+)").matcher(Files.readString(log));
-            assertTrue(told.find(), Files.readString(log));
-            List<ProcessHandle> children = Stream.of(told.group(1), told.group(2))
+            Matcher ids = Pattern.compile("children (\\d+) (\\d+)").matcher(Files.readString(log));
+            assertTrue(ids.find(), Files.readString(log));
+            List<ProcessHandle> children = Stream.of(ids.group(1), ids.group(2))
                     .map(id -> ProcessHandle.of(Long.parseLong(id)).orElseThrow()).toList();
             lab.signal(signal);
             for (ProcessHandle child : children) {
@@ -53,20 +55,20 @@
     }
 
     @Test
-    void aChildWhoseLabIsGoneBeforeItAskedDoesNotStart() throws Exception {
-        // The guard of Warden, with another process's id in place of the lab's.
-        Path mark = folder.resolve("started");
+    void childDoesNotStartIfItsParentIsGone() throws Exception {
+        // The guard of ProcessSupervisor, with another process's id in place of the lab's.
+        Path marker = folder.resolve("started");
         Process guarded = new ProcessBuilder("sh", "-c", "test \"$PPID\" = \"$0\" && exec \"$@\"", "1",
-                "touch", mark.toString()).start();
+                "touch", marker.toString()).start();
         assertTrue(guarded.waitFor(1, TimeUnit.MINUTES));
-        assertFalse(Files.exists(mark));
+        assertFalse(Files.exists(marker));
     }
 
     @Test
-    void aPausedProcessGoesOnAndTellsWhatItUsed() throws Exception {
-        try (ProcessSupervisor warden = new ProcessSupervisor();
+    void pausedProcessContinuesAndUsageIsReported() throws Exception {
+        try (ProcessSupervisor supervisor = new ProcessSupervisor();
                 AddressBlock addresses = AddressBlock.reserve()) {
-            ChildProcess child = Processes.start(warden, cranedeal.lab.Echo.class,
+            ChildProcess child = Processes.start(supervisor, cranedeal.lab.Echo.class,
                     addresses.ip(1).getHostAddress(),
                     "9001");
             assertTrue(child.usage().orElseThrow().rssKb() > 1_000);
@@ -82,10 +84,10 @@
     }
 
     @Test
-    void aProcessOnAFullOrReadOnlyDiskIsToldSoUntilThatIsOver() throws Exception {
-        try (ProcessSupervisor warden = new ProcessSupervisor()) {
+    void writesFailWhileTheDiskIsFullOrReadOnly() throws Exception {
+        try (ProcessSupervisor supervisor = new ProcessSupervisor()) {
             Path written = Files.createDirectory(folder.resolve("disk"));
-            ChildProcess child = Processes.start(warden, Writer.class, written.toString());
+            ChildProcess child = Processes.start(supervisor, Writer.class, written.toString());
             Processes.until(() -> Files.exists(written.resolve("wrote")));
             child.setDiskFull(true);
             Processes.until(() -> Files.exists(written.resolve("full")));
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void eachDamageHitsTheNewestFileAlone() throws IOException {
+    void eachDiskFaultDamagesOnlyTheNewestFile() throws IOException {
         byte[] old = new byte[2_000];
         byte[] whole = new byte[1_300];
         Arrays.fill(whole, (byte) 7);
--- a/src/test/java/cranedeal/lab/process/Writer.java
+++ b/src/test/java/cranedeal/lab/process/Writer.java
@@ -7,13 +7,13 @@
 import java.nio.file.StandardCopyOption;
 import java.util.concurrent.TimeUnit;
 
-/** A process that writes the file {@code wrote} over and over; a file {@code full} tells of no room. */
+/** A process that writes the file {@code wrote} repeatedly, and the file {@code full} if a write fails. */
 public final class Writer {
 
     private Writer() {
     }
 
-    /** The argument is the folder to write to. */
+    /** Argument: the folder to write to. */
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
         System.out.println("ready");
