--- a/src/main/java/cranedeal/lab/link/DatagramLinks.java
+++ b/src/main/java/cranedeal/lab/link/DatagramLinks.java
@@ -97,10 +97,10 @@
     }
 
     /** Impairs both directions between all parties of two groups; replaces earlier impairments. */
-    public Future<?> impairGroups(int one, int other, Impairment impairment) {
+    public Future<?> impairGroups(int firstGroup, int secondGroup, Impairment impairment) {
         return loop.submit(() -> {
-            Groups forward = new Groups(one, other);
-            Groups reverse = new Groups(other, one);
+            Groups forward = new Groups(firstGroup, secondGroup);
+            Groups reverse = new Groups(secondGroup, firstGroup);
             groupImpairments.put(forward, impairment);
             groupImpairments.put(reverse, impairment);
             directions.forEach((pair, direction) -> {
@@ -116,9 +116,9 @@
      * Returns true if neither direction between two parties is blocked, or if the first address is no
      * party's. Runs on the event loop.
      */
-    boolean isOpenBothWays(InetAddress one, InetAddress other) {
-        Party first = parties.get(one);
-        Party second = parties.get(other);
+    boolean isOpenBothWays(InetAddress firstAddress, InetAddress secondAddress) {
+        Party first = parties.get(firstAddress);
+        Party second = parties.get(secondAddress);
         return first == null || !direction(new Pair(first, second)).isBlocked()
                 && !direction(new Pair(second, first)).isBlocked();
     }
--- a/src/test/java/cranedeal/lab/link/StreamLinkTest.java
+++ b/src/test/java/cranedeal/lab/link/StreamLinkTest.java
@@ -78,8 +78,7 @@
 
     private static StreamLink open(int from) throws Exception {
         StreamLink opened = new StreamLink(LOOPS.next(), addresses.linkAddress(from, SERVER),
-                addresses.listenAddress(SERVER),
-                addresses.ip(from), new SplittableRandom(1));
+                addresses.listenAddress(SERVER), addresses.ip(from), new SplittableRandom(1));
         opened.setTargetUp(true).sync();
         return opened;
     }
