--- a/src/main/java/cranedeal/fleet/command/ConfigCommand.java
+++ b/src/main/java/cranedeal/fleet/command/ConfigCommand.java
@@ -30,16 +30,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Changes the configuration of a fleet, and shows who goes by which version. */
+/** Changes the configuration of a fleet and shows which process uses which version. */
 @Command(name = "config", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
         subcommands = ConfigStatusCommand.class,
-        description = "Publishes the configuration of a fleet, and shows who goes by which version.")
+        description = "Publishes the configuration of a fleet and shows which process uses which version.")
 final class ConfigCommand implements Callable<Integer> {
 
     static final JsonMapper JSON = new JsonMapper();
-    static final Duration CONNECT = Duration.ofSeconds(2);
-    /** Longer than a coordinator waits for the others. */
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    /** Longer than a coordinator waits for the other coordinators. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(6);
 
     @Spec
     private CommandSpec spec;
@@ -49,11 +49,11 @@
         return Program.missingSubcommand(spec);
     }
 
-    /** Where coordinators listen. */
-    static final class To {
+    /** The options that say which coordinators to ask. */
+    static final class CoordinatorOptions {
 
         @Option(names = "--to", paramLabel = "ADDRESS", split = ",", required = true,
-                description = "Where coordinators listen; the first that answers tells who leads.")
+                description = "Where coordinators listen; the first one that answers names the leader.")
         private List<String> addresses;
         @Option(names = "--json", description = "Answer in JSON.")
         private boolean json;
@@ -70,14 +70,14 @@
         }
     }
 
-    /** How a change is known. */
-    static final class Operation {
+    /** The options that identify a change. */
+    static final class OperationOptions {
 
         @Option(names = "--operation", paramLabel = "ID",
-                description = "By which the change is known if it is asked for again; drawn if not given.")
+                description = "Identifies the change, so that it can be retried safely; random if not given.")
         private String id;
         @Option(names = "--author", paramLabel = "NAME",
-                description = "Who changes it; the user if not given.")
+                description = "The author of the change; the current user if not given.")
         private String author;
 
         String query() {
@@ -89,7 +89,8 @@
 
     static void requireAddress(String address) throws CommandException {
         if (!address.matches("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}")) {
-            throw new CommandException(Program.USAGE_ERROR, "'" + address + "' is no address with a port");
+            throw new CommandException(Program.USAGE_ERROR, "'" + address
+                    + "' is not an address with a port");
         }
     }
 
@@ -99,10 +100,11 @@
 
     @Command(name = "publish", mixinStandardHelpOptions = true,
             description = "Publishes a document as the newest version. Exit code 0: it is on the disks of a"
-                    + " majority of the coordinators; 1: it is not, or not for sure; 2: it can't be"
-                    + " published.")
+                    + " majority of the coordinators; 1: it is not, or that is unknown; 2: the document"
+                    + " or an argument is invalid.")
     private int publish(@Parameters(paramLabel = "FILE", description = "The document, in JSON.") Path file,
-            @Mixin To to, @Mixin Operation operation) throws CommandException {
+            @Mixin CoordinatorOptions coordinators, @Mixin OperationOptions operation)
+            throws CommandException {
         byte[] document;
         try {
             document = Files.readAllBytes(file);
@@ -112,91 +114,96 @@
         } catch (ConfigDocument.BadDocumentException e) {
             throw new CommandException(Program.USAGE_ERROR, file + ": " + e.getMessage());
         }
-        return change(to, ConfigCalls.PUBLISH + operation.query(), document, operation.id);
+        return requestChange(coordinators, ConfigCalls.PUBLISH + operation.query(), document, operation.id);
     }
 
     @Command(name = "rollback", mixinStandardHelpOptions = true,
             description = "Publishes the document of an earlier version again, as the newest version. Exit"
-                    + " code as publish has it.")
+                    + " codes as for publish.")
     private int rollback(@Parameters(paramLabel = "NUMBER",
-            description = "The number of the earlier version.") long number, @Mixin To to,
-            @Mixin Operation operation) throws CommandException {
-        return change(to, ConfigCalls.ROLLBACK + operation.query() + "&number=" + number, new byte[0],
-                operation.id);
+            description = "The number of the earlier version.") long number,
+            @Mixin CoordinatorOptions coordinators, @Mixin OperationOptions operation)
+            throws CommandException {
+        return requestChange(coordinators, ConfigCalls.ROLLBACK + operation.query() + "&number=" + number,
+                new byte[0], operation.id);
     }
 
     @Command(name = "take-over", mixinStandardHelpOptions = true,
-            description = "Has one coordinator lead from now on, under a higher epoch: at the start of a"
-                    + " fleet, and when the one that led is lost. Exit code 0: it leads; 1: it does not.")
-    private int takeOver(@Mixin To to) throws CommandException {
-        if (to.addresses().size() > 1) {
-            throw new CommandException(Program.USAGE_ERROR, "one coordinator can lead; --to names "
-                    + to.addresses().size());
+            description = "Makes one coordinator the leader, with a higher epoch: when a fleet is first"
+                    + " started, or when the leader is lost. Exit code 0: it leads; 1: it does not.")
+    private int takeOver(@Mixin CoordinatorOptions coordinators) throws CommandException {
+        if (coordinators.addresses().size() > 1) {
+            throw new CommandException(Program.USAGE_ERROR, "only one coordinator can lead, but --to names "
+                    + coordinators.addresses().size());
         }
-        Answer answer = ask(to.addresses().get(0), ConfigCalls.TAKE_OVER, new byte[0]);
+        Answer answer = post(coordinators.addresses().get(0), ConfigCalls.TAKE_OVER, new byte[0]);
         if (answer == null) {
-            throw new CommandException(1, "no coordinator answers at " + to.addresses().get(0));
+            throw new CommandException(1, "no coordinator answers at " + coordinators.addresses().get(0));
         }
-        boolean done = answer.status() == 200;
-        tell(to, answer, done ? to.addresses().get(0) + " leads with epoch "
-                + answer.json().path("epoch").asText() : "it does not lead: " + answer.why());
-        return done ? 0 : 1;
+        boolean succeeded = answer.status() == 200;
+        print(coordinators, answer, succeeded ? coordinators.addresses().get(0) + " leads with epoch "
+                + answer.json().path("epoch").asText() : "the coordinator does not lead: " + answer.reason());
+        return succeeded ? 0 : 1;
     }
 
-    /** An answer of a coordinator. */
+    /** A coordinator's answer. */
     private record Answer(int status, JsonNode json, String text) {
 
-        String why() {
+        String reason() {
             return json.has("why") ? json.path("why").asText() : text.strip();
         }
     }
 
-    private int change(To to, String uri, byte[] body, String operation) throws CommandException {
-        Deque<String> left = new ArrayDeque<>(to.addresses());
+    private int requestChange(CoordinatorOptions coordinators, String uri, byte[] body, String operation)
+            throws CommandException {
+        Deque<String> remaining = new ArrayDeque<>(coordinators.addresses());
         Set<String> asked = new LinkedHashSet<>();
-        Set<String> silent = new LinkedHashSet<>();
-        Answer last = null;
-        while (!left.isEmpty()) {
-            String address = left.poll();
+        Set<String> unreachable = new LinkedHashSet<>();
+        Answer lastAnswer = null;
+        while (!remaining.isEmpty()) {
+            String address = remaining.poll();
             if (!asked.add(address)) {
                 continue;
             }
-            Answer answer = ask(address, uri, body);
+            Answer answer = post(address, uri, body);
             if (answer == null) {
-                silent.add(address);
+                unreachable.add(address);
                 continue;
             }
             boolean settled = answer.status() != 409 && answer.status() != 503;
-            // Whoever is not sure may lead no longer, and whoever does knows the operation if it got there.
-            last = settled || last == null || last.status() == 409 ? answer : last;
+            // A coordinator that isn't sure may have lost the lead; the new leader knows the operation if it
+            // got through.
+            lastAnswer = settled || lastAnswer == null || lastAnswer.status() == 409 ? answer : lastAnswer;
             if (settled) {
                 break;
             }
             String leader = answer.json().path("leader").asText("");
             if (!leader.isEmpty()) {
-                left.addFirst(leader);
+                remaining.addFirst(leader);
             }
         }
-        String again = "; with --operation " + operation + " it can be asked for again without harm";
-        if (last == null) {
-            throw new CommandException(1, "no coordinator answers at " + String.join(", ", asked) + again);
+        String retryHint = "; it can be retried safely with --operation " + operation;
+        if (lastAnswer == null) {
+            throw new CommandException(1, "no coordinator answers at " + String.join(", ", asked)
+                    + retryHint);
         }
-        boolean done = last.status() == 200;
-        boolean unsure = last.status() == 503 || last.status() == 409;
-        tell(to, last, done ? "version " + last.json().path("version").asText()
+        boolean succeeded = lastAnswer.status() == 200;
+        boolean outcomeUnknown = lastAnswer.status() == 503 || lastAnswer.status() == 409;
+        print(coordinators, lastAnswer, succeeded ? "version " + lastAnswer.json().path("version").asText()
                 + " is on the disks of a majority of the coordinators"
-                + (last.why().isEmpty() ? "" : " (" + last.why() + ")")
-                : "it was not published: " + last.why() + (silent.contains(last.json().path("leader")
+                + (lastAnswer.reason().isEmpty() ? "" : " (" + lastAnswer.reason() + ")")
+                : "the version was not published: " + lastAnswer.reason()
+                + (unreachable.contains(lastAnswer.json().path("leader")
                 .asText()) ? " and does not answer; see fleet config take-over" : "")
-                + (unsure ? again : ""));
-        return done ? 0 : last.status() == 400 ? Program.USAGE_ERROR : 1;
+                + (outcomeUnknown ? retryHint : ""));
+        return succeeded ? 0 : lastAnswer.status() == 400 ? Program.USAGE_ERROR : 1;
     }
 
-    private void tell(To to, Answer answer, String line) throws CommandException {
+    private void print(CoordinatorOptions coordinators, Answer answer, String line) throws CommandException {
         PrintWriter out = spec.commandLine().getOut();
-        if (to.json()) {
+        if (coordinators.json()) {
             ObjectNode json = answer.json() instanceof ObjectNode given ? given
-                    : JSON.createObjectNode().put("result", "failed").put("why", answer.why());
+                    : JSON.createObjectNode().put("result", "failed").put("why", answer.reason());
             out.println(json);
         } else if (answer.status() == 200) {
             out.println(line);
@@ -206,12 +213,13 @@
         out.flush();
     }
 
-    private static Answer ask(String address, String uri, byte[] body) {
+    private static Answer post(String address, String uri, byte[] body) {
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(CONNECT).build();
+                .connectTimeout(CONNECT_TIMEOUT).build();
         try {
             HttpResponse<byte[]> response = http.send(HttpRequest.newBuilder(URI.create("http://" + address
-                    + uri)).timeout(PATIENCE).POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(),
+                    + uri)).timeout(REQUEST_TIMEOUT)
+                    .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build(),
                     HttpResponse.BodyHandlers.ofByteArray());
             String text = new String(response.body(), StandardCharsets.UTF_8);
             return new Answer(response.statusCode(), text.startsWith("{") ? JSON.readTree(text)
--- a/src/main/java/cranedeal/fleet/store/DurableValue.java
+++ b/src/main/java/cranedeal/fleet/store/DurableValue.java
@@ -7,23 +7,24 @@
 import java.util.function.Consumer;
 
 /**
- * One value that outlasts a power loss: each record has it whole, and the last one holds. The folder is
- * opened for each change, since the two processes of an upgrade take turns; so it is for what seldom changes.
+ * A single value that survives a power loss. Each record holds the whole value, and the last record is the
+ * current one. The folder is opened and closed for each update, because both processes of a hot restart use
+ * it; so this is for values that seldom change.
  */
 public final class DurableValue {
 
-    private static final int WHOLE = 1;
-    private static final int TRIES = 100;
-    private static final long TRY_AGAIN_MS = 5;
+    private static final int VALUE_RECORD = 1;
+    private static final int MAX_OPEN_ATTEMPTS = 100;
+    private static final long RETRY_DELAY_MS = 5;
 
     private final Path folder;
     private final FolderDisk disk;
     private final Consumer<String> warn;
 
     /**
-     * The value in a folder, which need not be there yet.
+     * A value stored in a folder, which need not exist yet.
      *
-     * @param warn told what went wrong after a change was kept
+     * @param warn receives warnings about failures after an update was stored
      */
     public DurableValue(Path folder, Consumer<String> warn) {
         this.folder = folder;
@@ -31,59 +32,63 @@
         this.warn = warn;
     }
 
-    /** What makes the new value of the old one, which is null at first. */
+    /** Computes the new value from the old one. */
     public interface Update {
 
-        /** Throws {@link IOException} where it can't; then nothing is changed. */
+        /**
+         * Returns the new value. If it throws, nothing is changed.
+         *
+         * @param before the old value; null if there is none
+         */
         byte[] apply(byte[] before) throws IOException;
     }
 
-    /** The value; null if none was kept so far. Throws as {@link Store#open} does. */
+    /** The value; null if none was stored so far. Throws as {@link Store#open} does. */
     public byte[] read() throws IOException {
-        Last last = new Last();
+        LastValue last = new LastValue();
         if (Files.exists(folder)) {
-            whenFree(() -> Repair.verify(disk, StoreLimits.DEFAULT, last));
+            retryWhileInUse(() -> Repair.verify(disk, StoreLimits.DEFAULT, last));
         }
         return last.value;
     }
 
-    /** Changes the value; it is kept once this returns, with what it is now. */
-    public byte[] update(Update change) throws IOException {
+    /** Updates the value and returns the new one, which is forced to disk by then. */
+    public byte[] update(Update update) throws IOException {
         Files.createDirectories(folder);
-        Last last = new Last();
-        try (Store store = whenFree(() -> Store.open(disk, StoreLimits.DEFAULT, last))) {
-            byte[] bytes = change.apply(last.value);
-            store.append(WHOLE, bytes);
+        LastValue last = new LastValue();
+        try (Store store = retryWhileInUse(() -> Store.open(disk, StoreLimits.DEFAULT, last))) {
+            byte[] bytes = update.apply(last.value);
+            store.append(VALUE_RECORD, bytes);
             store.force();
             if (store.isSnapshotDue(bytes.length)) {
-                replaceBySnapshot(store, bytes);
+                writeSnapshot(store, bytes);
             }
             return bytes;
         }
     }
 
-    /** The value is kept by now, so it holds whether this succeeds or not; the next change tries again. */
-    private void replaceBySnapshot(Store store, byte[] bytes) {
+    /** A failure is only logged: the value is on disk already, and the next update tries again. */
+    private void writeSnapshot(Store store, byte[] bytes) {
         try (Store.Snapshot snapshot = store.snapshot()) {
             snapshot.write(bytes);
             snapshot.commit();
         } catch (IOException e) {
-            warn.accept("records in " + folder + " can't be replaced by a snapshot: " + e.getMessage());
+            warn.accept("cannot write a snapshot in " + folder + ": " + e.getMessage());
         }
     }
 
-    private interface Opening<T> {
+    private interface OpenAction<T> {
 
         T open() throws IOException;
     }
 
-    /** Opening it takes milliseconds, so another process is soon done with it. */
-    private static <T> T whenFree(Opening<T> opening) throws IOException {
+    /** Retries while another process has the folder, which it holds for some milliseconds only. */
+    private static <T> T retryWhileInUse(OpenAction<T> action) throws IOException {
         for (int i = 1;; i++) {
             try {
-                return opening.open();
+                return action.open();
             } catch (StoreInUseException e) {
-                if (i == TRIES) {
+                if (i == MAX_OPEN_ATTEMPTS) {
                     throw e;
                 }
                 sleep();
@@ -93,26 +98,26 @@
 
     private static void sleep() throws IOException {
         try {
-            TimeUnit.MILLISECONDS.sleep(TRY_AGAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
     }
 
-    /** Keeps the last value that it is shown. */
-    private static final class Last implements ReplayHandler {
+    /** Remembers the last value of the store. */
+    private static final class LastValue implements ReplayHandler {
 
         private byte[] value;
 
         @Override
-        public void snapshotChunk(byte[] piece) {
-            value = piece;
+        public void snapshotChunk(byte[] chunk) {
+            value = chunk;
         }
 
         @Override
         public void record(Record record) {
-            if (record.type() == WHOLE) {
+            if (record.type() == VALUE_RECORD) {
                 value = record.payload();
             }
         }
--- a/src/main/java/cranedeal/fleet/store/FolderDisk.java
+++ b/src/main/java/cranedeal/fleet/store/FolderDisk.java
@@ -13,14 +13,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder. */
+/** A folder of the file system. */
 public final class FolderDisk implements Disk {
 
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
 
-    /** A folder that is there. */
+    /** Uses an existing folder. */
     public FolderDisk(Path folder) {
         this.folder = folder;
     }
@@ -29,7 +29,7 @@
     public List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile).map(file -> file.getFileName().toString())
-                    .filter(name -> !name.equals(LOCK)).toList();
+                    .filter(name -> !name.equals(LOCK_FILE)).toList();
         }
     }
 
@@ -59,8 +59,8 @@
         return open(name, StandardOpenOption.READ);
     }
 
-    private Output open(String name, StandardOpenOption how) throws IOException {
-        FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE, how);
+    private Output open(String name, StandardOpenOption option) throws IOException {
+        FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE, option);
         file.position(file.size());
         return new Output() {
 
@@ -73,7 +73,7 @@
 
             @Override
             public void force() throws IOException {
-                // The size belongs to what is forced either way; other times of the file do not matter.
+                // The file's size is forced even without metadata; its timestamps don't matter.
                 file.force(false);
             }
 
@@ -102,22 +102,22 @@
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel itself = FileChannel.open(folder, StandardOpenOption.READ)) {
-            itself.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
     @Override
     public Closeable tryLock(boolean shared) throws IOException {
-        Path name = folder.resolve(LOCK);
+        Path lockFile = folder.resolve(LOCK_FILE);
         FileChannel file;
         try {
-            file = shared && Files.exists(name) ? FileChannel.open(name, StandardOpenOption.READ)
-                    : FileChannel.open(name, StandardOpenOption.CREATE, StandardOpenOption.READ,
+            file = shared && Files.exists(lockFile) ? FileChannel.open(lockFile, StandardOpenOption.READ)
+                    : FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.READ,
                             StandardOpenOption.WRITE);
         } catch (IOException e) {
-            if (shared && !Files.exists(name)) {
-                // Nobody has ever written here, and nobody can.
+            if (shared && !Files.exists(lockFile)) {
+                // No process has written here, and none can, so there is nothing to lock against.
                 return () -> { };
             }
             throw e;
@@ -126,7 +126,7 @@
         try {
             lock = file.tryLock(0, Long.MAX_VALUE, shared);
         } catch (OverlappingFileLockException e) {
-            // This very process has it.
+            // This process holds the lock already.
             lock = null;
         } finally {
             if (lock == null) {
--- a/src/main/java/cranedeal/fleet/store/Store.java
+++ b/src/main/java/cranedeal/fleet/store/Store.java
@@ -8,68 +8,71 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A journal with snapshots in one folder. Belongs to one thread; to share its forces among many, see {@link
- * GroupCommit}.
+ * A journal with snapshots in one folder. Not thread-safe; {@link GroupCommit} shares a store and its forces
+ * among threads.
  *
- * <p>{@link #append} only collects; what was appended is kept once {@link #force} has returned. If writing
- * fails, as on a full disk, what was collected is dropped, and the store goes on from where it was. If
- * forcing fails, nobody knows what is on the disk: the store says so from then on and does nothing more
- * (Rebello et al., Can Applications Recover from fsync Failures?, 2020).
+ * <p>{@link #append} only collects records in a batch; they are on disk once {@link #force} has returned. If
+ * a write fails, as on a full disk, the batch is dropped and the store can be used further. If a force fails,
+ * it is unknown what is on the disk: appends, forces and snapshots fail from then on, and the store must be
+ * opened anew (Rebello et al., Can Applications Recover from fsync Failures?, 2020).
  */
 public final class Store implements Closeable {
 
-    /** How many snapshots are kept. */
-    private static final int GENERATIONS = 2;
-    private static final long HIGHEST_US = 600_000_000;
+    /** The number of snapshots that are kept. */
+    private static final int SNAPSHOTS_KEPT = 2;
+    /** The longest force time that the histogram records, in microseconds. */
+    private static final long MAX_FORCE_US = 600_000_000;
     /**
-     * Share of the state's size from which on records are reason for a snapshot. Twice that is kept beside
-     * two snapshots, which leaves some for frames where three times the state is the most.
+     * A snapshot is due when the records since the last one reach this share of the state's size. Records of
+     * up to twice this share are kept beside two snapshots, which leaves room for the frames' overhead within
+     * the bound of three times the state.
      */
-    private static final double BEHIND = 0.4;
-    /** Records of fewer bytes are no reason for a snapshot. */
-    private static final long LEAST_BEHIND = 1 << 16;
+    private static final double SNAPSHOT_DUE_SHARE = 0.4;
+    /** No snapshot is due while the records since the last one take fewer bytes. */
+    private static final long MIN_SNAPSHOT_DUE_BYTES = 1 << 16;
 
     private final Disk disk;
     private final StoreLimits limits;
     private final Closeable lock;
     private final Recovery recovery;
-    private final Recovery.Found found;
+    private final Recovery.Result recovered;
     private final long recoveryNanos;
-    private final Histogram forceMicros = new Histogram(HIGHEST_US, 2);
+    private final Histogram forceMicros = new Histogram(MAX_FORCE_US, 2);
     private ByteBuffer batch = ByteBuffer.allocate(1 << 16);
     private Disk.Output segment;
     private String segmentName;
     private long segmentSize;
-    private long last;
-    private long forced;
-    private long bytes;
-    /** What the records behind the newest snapshot take up, in bytes. */
-    private long behind;
-    /** Whether the next write begins a segment, so that the one before can go as a whole. */
-    private boolean rollNext;
+    private long lastSequence;
+    private long forcedSequence;
+    private long bytesWritten;
+    /** The size of the records after the newest snapshot, in bytes. */
+    private long bytesSinceSnapshot;
+    /** True if the next write begins a segment, so that the one before it can be deleted as a whole. */
+    private boolean beginSegmentNext;
     private boolean writingSnapshot;
-    private StoreException poison;
+    /** The failure after which the store can't be used any more; null if there was none. */
+    private StoreException fatalFailure;
 
-    private Store(Disk disk, StoreLimits limits, Closeable lock, Recovery recovery, Recovery.Found found,
+    private Store(Disk disk, StoreLimits limits, Closeable lock, Recovery recovery, Recovery.Result recovered,
             long nanos) {
         this.disk = disk;
         this.limits = limits;
         this.lock = lock;
         this.recovery = recovery;
-        this.found = found;
+        this.recovered = recovered;
         recoveryNanos = nanos;
-        last = found.last();
-        behind = found.bytes();
-        rollNext = behind == 0;
+        lastSequence = recovered.lastSequence();
+        bytesSinceSnapshot = recovered.recordBytes();
+        beginSegmentNext = bytesSinceSnapshot == 0;
     }
 
     /**
-     * Opens a folder's store, and tells what it holds. A tear is cut off; {@link Stats#notes()} says so.
-     * Throws {@link StoreInUseException} if another process has the folder, {@link StoreDamagedException} if
-     * what was
-     * acknowledged can't be read, and {@link StoreException} if a later version wrote it.
+     * Opens a folder's store and replays its contents. The rest of an incomplete last write is cut off, which
+     * {@link Stats#notes()} reports. Throws {@link StoreInUseException} if another process has the folder,
+     * {@link StoreDamagedException} if acknowledged records can't be read, and {@link StoreException} if a
+     * later version of the program wrote it.
      */
-    public static Store open(Disk disk, StoreLimits limits, ReplayHandler reader) throws IOException {
+    public static Store open(Disk disk, StoreLimits limits, ReplayHandler handler) throws IOException {
         Closeable lock = disk.tryLock(false);
         if (lock == null) {
             throw new StoreInUseException(disk);
@@ -78,9 +81,9 @@
         try {
             long start = System.nanoTime();
             Recovery recovery = new Recovery(disk, limits);
-            Recovery.Found found = recovery.read(reader);
+            Recovery.Result found = recovery.read(handler);
             Store store = new Store(disk, limits, lock, recovery, found, System.nanoTime() - start);
-            store.begin();
+            store.prepareToAppend();
             open = true;
             return store;
         } finally {
@@ -90,202 +93,204 @@
         }
     }
 
-    /** Cuts what is torn, and has all that was read forced: it may have been written and never forced. */
-    private void begin() throws IOException {
-        if (found.segment() != null) {
-            segmentName = found.segment();
+    /** Cuts off an incomplete write, and forces what was read: it may have been written but never forced. */
+    private void prepareToAppend() throws IOException {
+        if (recovered.lastSegment() != null) {
+            segmentName = recovered.lastSegment();
             segment = disk.append(segmentName);
-            if (found.torn() > 0) {
-                segment.truncate(found.end());
+            if (recovered.tornBytes() > 0) {
+                segment.truncate(recovered.intactEnd());
             }
             segment.force();
-            segmentSize = found.end();
+            segmentSize = recovered.intactEnd();
         }
-        for (String unfinished : found.unfinished()) {
+        for (String unfinished : recovered.unfinishedFiles()) {
             disk.delete(unfinished);
         }
         disk.forceDirectory();
-        forced = last;
+        forcedSequence = lastSequence;
     }
 
-    /** What a store has done since it was opened, and what it found then. */
+    /** Counters since the store was opened, and the result of its recovery. */
     public record Stats(long last, long forced, long bytes, long forces, double forceP50Ms,
             double forceP99Ms, long recovered, double recoveryMs, long cut, List<String> notes) { }
 
-    /** The figures. */
+    /** The current counters. */
     public Stats stats() {
-        return new Stats(last, forced, bytes, forceMicros.getTotalCount(),
+        return new Stats(lastSequence, forcedSequence, bytesWritten, forceMicros.getTotalCount(),
                 forceMicros.getValueAtPercentile(50) / 1e3, forceMicros.getValueAtPercentile(99) / 1e3,
-                found.records(), recoveryNanos / 1e6, found.torn(), found.notes());
+                recovered.records(), recoveryNanos / 1e6, recovered.tornBytes(), recovered.notes());
     }
 
     /** The highest sequence number, forced or not. */
     public long lastSequence() {
-        return last;
+        return lastSequence;
     }
 
-    /** Up to which sequence number all is kept. */
+    /** The sequence number up to which all records are on disk. */
     public long forcedSequence() {
-        return forced;
+        return forcedSequence;
     }
 
     /**
-     * Collects a record, and returns its sequence number. Throws {@link IllegalArgumentException} for one
-     * that is larger than the limits say, and {@link StoreException} if what is collected has to be forced
+     * Adds a record to the batch and returns its sequence number. Throws {@link IllegalArgumentException} if
+     * the record exceeds the limits, and {@link StoreException} if the batch has no room and must be forced
      * first.
      */
     public long append(int type, byte[] payload) throws IOException {
-        usable();
+        requireUsable();
         if (payload.length > limits.maxRecordBytes() || type < 0) {
-            throw new IllegalArgumentException("no record of type " + type + " with " + payload.length
-                    + " bytes");
+            throw new IllegalArgumentException("a record of type " + type + " with " + payload.length
+                    + " bytes is not allowed");
         }
         int size = Frame.size(payload.length);
         if (batch.position() + size > limits.maxBatchBytes()) {
             throw new StoreException("more than " + limits.maxBatchBytes()
-                    + " bytes are collected; force them");
+                    + " bytes wait to be written; force them first");
         }
         if (batch.remaining() < size) {
-            int larger = Math.min(limits.maxBatchBytes(), Math.max(2 * batch.capacity(), batch.position()
+            int capacity = Math.min(limits.maxBatchBytes(), Math.max(2 * batch.capacity(), batch.position()
                     + size));
-            batch = ByteBuffer.allocate(larger).put(batch.flip());
+            batch = ByteBuffer.allocate(capacity).put(batch.flip());
         }
-        last++;
-        Frame.put(new Record(last, type, payload), forced, batch);
-        return last;
+        lastSequence++;
+        Frame.encode(new Record(lastSequence, type, payload), forcedSequence, batch);
+        return lastSequence;
     }
 
-    /** Whether a record of a size can be appended before the next force. */
+    /** Returns true if a payload of this size can be appended before the next force. */
     public boolean fitsInBatch(int payload) {
         return batch.position() + Frame.size(payload) <= limits.maxBatchBytes();
     }
 
     /**
-     * Keeps all that was appended. If this throws, nothing of it is kept for sure.
+     * Writes and forces all that was appended. If this throws, none of it is guaranteed to be on disk.
      */
     public void force() throws IOException {
-        usable();
+        requireUsable();
         if (batch.position() == 0) {
             return;
         }
-        write();
+        writeBatch();
         long start = System.nanoTime();
         try {
             segment.force();
         } catch (IOException e) {
-            throw poisoned("cannot force " + segmentName, e);
+            throw becomeUnusable("cannot force " + segmentName, e);
         }
-        forceMicros.recordValue(Math.min((System.nanoTime() - start) / 1_000, HIGHEST_US));
-        forced = last;
+        forceMicros.recordValue(Math.min((System.nanoTime() - start) / 1_000, MAX_FORCE_US));
+        forcedSequence = lastSequence;
     }
 
-    private void write() throws IOException {
+    private void writeBatch() throws IOException {
         int size = batch.position();
         try {
             if (segment == null || segmentSize >= limits.segmentBytes()
-                    || rollNext && segmentSize > FileKind.HEAD) {
-                roll();
+                    || beginSegmentNext && segmentSize > FileKind.HEADER_BYTES) {
+                beginSegment();
             }
-            rollNext = false;
+            beginSegmentNext = false;
             segment.write(batch.flip());
         } catch (IOException e) {
-            last = forced;
+            lastSequence = forcedSequence;
             batch.clear();
-            if (poison == null) {
-                cutBack(e);
+            if (fatalFailure == null) {
+                undoFailedWrite(e);
             }
             throw e;
         }
         batch.clear();
         segmentSize += size;
-        behind += size;
-        bytes += size;
+        bytesSinceSnapshot += size;
+        bytesWritten += size;
     }
 
-    /** Takes back a write that did not come to its end. */
-    private void cutBack(IOException cause) throws IOException {
+    /** Removes what an incomplete write has left. */
+    private void undoFailedWrite(IOException cause) throws IOException {
         if (segment != null) {
             try {
                 segment.truncate(segmentSize);
-                // Or what was dropped might be back after a power loss, between records that were not.
+                // Without the force, dropped records could reappear after a power loss, between others.
                 segment.force();
             } catch (IOException e) {
                 e.addSuppressed(cause);
-                throw poisoned("cannot cut " + segmentName + " back after a failed write", e);
+                throw becomeUnusable("cannot truncate " + segmentName + " after a failed write", e);
             }
         }
     }
 
-    /** Begins a segment; all of the one before is forced by then. */
-    private void roll() throws IOException {
-        String name = FileKind.JOURNAL.name(forced + 1);
+    /** Begins a new segment. Everything in the one before has been forced by then. */
+    private void beginSegment() throws IOException {
+        String name = FileKind.JOURNAL.name(forcedSequence + 1);
         if (disk.fileNames().contains(name)) {
-            // An earlier try that came to nothing.
+            // Left by an earlier attempt that failed.
             disk.delete(name);
         }
-        Disk.Output fresh = disk.create(name);
+        Disk.Output newSegment = disk.create(name);
         boolean begun = false;
         try {
-            fresh.write(FileKind.JOURNAL.head(forced + 1));
+            newSegment.write(FileKind.JOURNAL.header(forcedSequence + 1));
             try {
-                fresh.force();
+                newSegment.force();
                 disk.forceDirectory();
             } catch (IOException e) {
-                throw poisoned("cannot force " + name, e);
+                throw becomeUnusable("cannot force " + name, e);
             }
             begun = true;
         } finally {
             if (!begun) {
-                fresh.close();
+                newSegment.close();
             }
         }
         if (segment != null) {
             segment.close();
         }
-        segment = fresh;
+        segment = newSegment;
         segmentName = name;
-        segmentSize = FileKind.HEAD;
-        bytes += FileKind.HEAD;
+        segmentSize = FileKind.HEADER_BYTES;
+        bytesWritten += FileKind.HEADER_BYTES;
     }
 
     /**
-     * Whether a snapshot of a state of so many bytes is worth its write by now. Taken whenever it is, the
-     * two snapshots and the records that are kept come to less than three times the state, or to some 130 kB
-     * more than two of it where it is small.
+     * Returns true if enough records have been written since the last snapshot to write another one of a
+     * state of this size. If a snapshot is written whenever one is due, the two snapshots and the records
+     * that are kept take less than three times the state's size, or some 130 kB more than twice its size if
+     * it is small.
      */
     public boolean isSnapshotDue(long stateBytes) {
-        return behind >= Math.max(LEAST_BEHIND, (long) (BEHIND * stateBytes));
+        return bytesSinceSnapshot >= Math.max(MIN_SNAPSHOT_DUE_BYTES,
+                (long) (SNAPSHOT_DUE_SHARE * stateBytes));
     }
 
     /**
-     * Begins a snapshot of the state that all forced records have led to. Records may be appended while it is
-     * written; one snapshot at a time.
+     * Begins a snapshot of the state after all forced records. Records may be appended while it is written.
+     * Only one snapshot can be written at a time.
      */
     public Snapshot snapshot() throws IOException {
-        usable();
+        requireUsable();
         if (writingSnapshot) {
-            throw new StoreException("a snapshot is being written");
+            throw new StoreException("another snapshot is being written");
         }
-        if (forced == 0) {
-            throw new StoreException("there is nothing to make a snapshot of");
+        if (forcedSequence == 0) {
+            throw new StoreException("no record is on disk, so there is no state to snapshot");
         }
-        return new Snapshot(forced);
+        return new Snapshot(forcedSequence);
     }
 
-    /** A snapshot that is being written. Closed without {@link #commit} it leaves nothing. */
+    /** A snapshot that is being written. It is deleted if closed without {@link #commit}. */
     public final class Snapshot implements Closeable {
 
-        private final long covers;
+        private final long lastIncludedSequence;
         private final String name;
         private final Disk.Output out;
-        private final long behindBefore = behind;
-        private long pieces;
-        private boolean ended;
+        private final long bytesBefore = bytesSinceSnapshot;
+        private long chunks;
+        private boolean finished;
 
-        private Snapshot(long covers) throws IOException {
-            this.covers = covers;
-            name = FileKind.SNAPSHOT.name(covers);
-            String unfinished = name + FileKind.UNFINISHED;
+        private Snapshot(long lastIncluded) throws IOException {
+            this.lastIncludedSequence = lastIncluded;
+            name = FileKind.SNAPSHOT.name(lastIncluded);
+            String unfinished = name + FileKind.UNFINISHED_SUFFIX;
             if (disk.fileNames().contains(unfinished)) {
                 disk.delete(unfinished);
             }
@@ -293,7 +298,7 @@
             writingSnapshot = true;
             boolean begun = false;
             try {
-                out.write(FileKind.SNAPSHOT.head(covers));
+                out.write(FileKind.SNAPSHOT.header(lastIncluded));
                 begun = true;
             } finally {
                 if (!begun) {
@@ -302,91 +307,91 @@
             }
         }
 
-        /** The highest sequence number that it stands for. */
+        /** The sequence number of the last record that is included. */
         public long lastIncludedSequence() {
-            return covers;
+            return lastIncludedSequence;
         }
 
-        /** Writes a piece; what it means is its owner's affair. */
-        public void write(byte[] piece) throws IOException {
-            if (piece.length > limits.maxRecordBytes()) {
-                throw new IllegalArgumentException("a piece of " + piece.length + " bytes");
+        /** Writes a chunk of the state, in a format of the owner's choice. */
+        public void write(byte[] chunk) throws IOException {
+            if (chunk.length > limits.maxRecordBytes()) {
+                throw new IllegalArgumentException("a chunk of " + chunk.length + " bytes is too large");
             }
-            pieces++;
-            put(Snapshots.piece(pieces, piece));
+            chunks++;
+            writeFrame(Snapshots.chunk(chunks, chunk));
         }
 
-        private void put(Record record) throws IOException {
+        private void writeFrame(Record record) throws IOException {
             ByteBuffer frame = ByteBuffer.allocate(Frame.size(record.payload().length));
-            Frame.put(record, 0, frame);
+            Frame.encode(record, 0, frame);
             out.write(frame.flip());
         }
 
-        /** Puts it in place once it is read back whole, and drops what is needed no more. */
+        /** Reads the snapshot back, puts it in place if it is intact, and deletes obsolete files. */
         public void commit() throws IOException {
-            usable();
-            put(Snapshots.end(pieces + 1));
+            requireUsable();
+            writeFrame(Snapshots.endMarker(chunks + 1));
             out.force();
             out.close();
-            String unfinished = name + FileKind.UNFINISHED;
-            if (!Snapshots.pieces(disk, unfinished, limits, piece -> { })) {
-                throw new StoreException(unfinished + " does not read back as it was written");
+            String unfinished = name + FileKind.UNFINISHED_SUFFIX;
+            if (!Snapshots.readChunks(disk, unfinished, limits, chunk -> { })) {
+                throw new StoreException(unfinished + " is not intact when read back");
             }
             disk.rename(unfinished, name);
             try {
                 disk.forceDirectory();
             } catch (IOException e) {
-                throw poisoned("cannot force the name of " + name, e);
+                throw becomeUnusable("cannot force the name of " + name, e);
             }
-            ended = true;
+            finished = true;
             writingSnapshot = false;
-            behind -= behindBefore;
-            rollNext = true;
-            compact();
+            bytesSinceSnapshot -= bytesBefore;
+            beginSegmentNext = true;
+            deleteObsoleteFiles();
         }
 
-        /** Drops it, unless it was committed. */
+        /** Deletes the snapshot unless it was committed. */
         @Override
         public void close() throws IOException {
-            if (!ended) {
-                ended = true;
+            if (!finished) {
+                finished = true;
                 writingSnapshot = false;
                 out.close();
-                disk.delete(name + FileKind.UNFINISHED);
+                disk.delete(name + FileKind.UNFINISHED_SUFFIX);
             }
         }
     }
 
-    /** Deletes snapshots but the newest two, and the segments that the older of these covers. */
-    private void compact() throws IOException {
+    /** Deletes all snapshots but the newest two, and the segments that the older of these includes. */
+    private void deleteObsoleteFiles() throws IOException {
         List<String> snapshots = new ArrayList<>(recovery.files(FileKind.SNAPSHOT));
-        while (snapshots.size() > GENERATIONS) {
+        while (snapshots.size() > SNAPSHOTS_KEPT) {
             disk.delete(snapshots.remove(0));
         }
-        if (snapshots.size() < GENERATIONS) {
+        if (snapshots.size() < SNAPSHOTS_KEPT) {
             return;
         }
-        long covered = FileKind.SNAPSHOT.number(snapshots.get(0));
-        // Those snapshots' names are forced, so it does not matter which deletions outlast a power loss.
-        for (String name : Recovery.unneeded(recovery.files(FileKind.JOURNAL), covered)) {
+        long lastIncluded = FileKind.SNAPSHOT.number(snapshots.get(0));
+        // The directory entries of both snapshots are forced, so any of these deletions may be lost or kept.
+        for (String name : Recovery.obsoleteSegments(recovery.files(FileKind.JOURNAL), lastIncluded)) {
             disk.delete(name);
         }
         disk.forceDirectory();
     }
 
-    private void usable() throws StoreException {
-        if (poison != null) {
-            throw new StoreException("the store is out of use: " + poison.getMessage(), poison);
+    private void requireUsable() throws StoreException {
+        if (fatalFailure != null) {
+            throw new StoreException("the store can't be used: " + fatalFailure.getMessage(), fatalFailure);
         }
     }
 
-    private StoreException poisoned(String what, IOException cause) {
-        poison = new StoreException(what + ": " + cause.getMessage()
-                + "; what is on the disk is not known, so the store has to be opened anew", cause);
-        return poison;
+    private StoreException becomeUnusable(String action, IOException cause) {
+        fatalFailure = new StoreException(action + ": " + cause.getMessage()
+                + "; the state on disk is unknown, so the store has to be opened anew", cause);
+        return fatalFailure;
     }
 
-    /** Ends; what was appended and not forced is dropped. */
+    /** Closes the store. Records that were appended but not forced are dropped. */
     @Override
     public void close() throws IOException {
         try {
