--- a/src/main/java/cranedeal/lab/slope/BalancerFault.java
+++ b/src/main/java/cranedeal/lab/slope/BalancerFault.java
@@ -1,18 +1,18 @@
 package cranedeal.lab.slope;
 
 /**
- * What happens to one balancer of a trial.
+ * A fault that is injected into one balancer of a trial.
  *
- * @param beforeChangeS how long before the list changes, in seconds
- * @param balancer its number
+ * @param beforeChangeS seconds between the fault and the change of the upstream list
+ * @param balancer the index of the balancer
  */
 record BalancerFault(double beforeChangeS, int balancer, Kind kind) {
 
-    /** What happens to it. */
+    /** The kind of fault. */
     enum Kind {
-        /** It is told to read its configuration again. */
+        /** The balancer reloads its configuration. */
         RELOAD,
-        /** It is killed, and started again at once. */
+        /** The balancer is killed and restarted at once. */
         RESTART
     }
 }
--- a/src/main/java/cranedeal/lab/slope/Chain.java
+++ b/src/main/java/cranedeal/lab/slope/Chain.java
@@ -18,81 +18,82 @@
 import java.util.SplittableRandom;
 
 /**
- * Tiers of upstreams with a balancer before each tier, in virtual time: each upstream of a tier works, then
- * calls the next tier through a balancer of its own, and if that call fails, so does it. The leaf is well at
- * first, is in trouble for a while, and is well again. Balancers make their decisions with the program's own
- * module; time limits go down the chain, and an upstream doesn't begin what is over. No client comes again.
+ * Simulates tiers of upstreams with balancers before each tier, in virtual time. Each upstream works on a
+ * request, then calls the next tier through a balancer of its own; if that call fails, its answer is an
+ * error. The last tier, the leaf, is healthy at first, then faulty for a while, then healthy again. The
+ * balancers run the production decision code. Deadlines propagate down the chain, and an upstream doesn't
+ * start a request whose deadline has passed. Clients do not retry.
  */
 final class Chain {
 
-    /** What the leaf's upstreams do while they are in trouble. */
+    /** The fault of the leaf's upstreams. */
     enum Leaf {
-        /** Nothing is wrong. */
+        /** No fault. */
         HEALTHY,
-        /** Each answers 500 at once. */
+        /** Each upstream answers 500 at once. */
         FAILING,
-        /** Each takes so many times as long. */
+        /** Each upstream takes {@link Shape#slowTimes()} times as long. */
         SLOW,
-        /** Each is silent: what was under way and what comes over open connections has no answer. */
+        /** Each upstream is silent: requests in flight and new ones on open connections get no answer. */
         GONE,
-        /** Each is down on a machine that lives: connections are refused. */
+        /** Each upstream process is down but its machine is up: connections are refused. */
         REFUSING
     }
 
     /**
-     * What is played.
+     * The parameters of a run.
      *
-     * @param tiers how many tiers of upstreams there are
-     * @param width how many upstreams each has, and how many balancers are before the first
-     * @param ratePerS how many requests come to each of these balancers in a second
-     * @param workMs how long an upstream works on a request in the mean, exponentially
-     * @param cores how many requests an upstream works on at a time
-     * @param queue how many wait there at most; beyond that they are turned away
-     * @param hopMs how long a message takes between two machines
-     * @param slowTimes what {@link Leaf#SLOW} is
-     * @param settleMs how long all is well before the trouble
-     * @param troubleMs how long that lasts
+     * @param tiers number of tiers of upstreams
+     * @param width upstreams per tier, and balancers before the first tier
+     * @param ratePerS requests per second at each balancer before the first tier
+     * @param workMs mean of the exponentially distributed service time of an upstream
+     * @param cores how many requests an upstream processes concurrently
+     * @param queue maximum queue length of an upstream; further requests are rejected
+     * @param hopMs one-way network delay between two machines
+     * @param slowTimes factor on the service time for {@link Leaf#SLOW}
+     * @param settleMs duration of the healthy phase before the fault
+     * @param troubleMs duration of the fault
      */
     record Shape(int tiers, int width, double ratePerS, double workMs, int cores, int queue, double hopMs,
             double slowTimes, double settleMs, double troubleMs) { }
 
     /**
-     * What became of the requests that clients sent during the trouble.
+     * Results for the requests that clients sent during the fault.
      *
-     * @param requests how many they were
-     * @param admitted how many of them were sent on at least once
-     * @param calls how many requests the balancers before each tier got for them, from the first tier on
-     * @param attempts how many attempts these made
-     * @param arrived how many of the attempts at the leaf came there
-     * @param peak attempts at the leaf in the worst tenth of a second, whoever caused them, over the clients'
-     *     requests in that time in the mean
-     * @param workMs work that upstreams of each tier have done for them
-     * @param wastedMs the part of it that was done when whoever asked for it had given up
-     * @param goneCalls calls that upstreams began for a caller that had given up
+     * @param requests number of these requests
+     * @param admitted how many of them had at least one attempt
+     * @param calls requests that the balancers before each tier received for them, first tier first
+     * @param attempts attempts of these balancers, by tier
+     * @param arrived how many of the attempts at the leaf arrived there
+     * @param peak attempts at the leaf in the worst 100 ms, those for other requests included, divided by the
+     *     mean number of client requests in 100 ms
+     * @param workMs work time of the upstreams of each tier for them
+     * @param wastedMs the part of it that finished after the caller had given up
+     * @param goneCalls calls to the next tier that upstreams started after their caller had given up
      */
-    record Seen(int requests, int admitted, int served, int refused, int failed, int unanswered,
+    record Stats(int requests, int admitted, int served, int refused, int failed, int unanswered,
             long[] calls, long[] attempts, long arrived, double peak, double[] workMs, double[] wastedMs,
             long goneCalls) { }
 
     private static final double MS_PER_S = 1_000;
     private static final double SLOT_MS = 100;
-    /** How an answer ends for whoever asked. */
+    /** The outcome of a call for its caller. */
     private enum End { SERVED, REFUSED, FAILED, UNANSWERED }
 
-    /** Whoever waits for an answer. */
+    /** Waits for the outcome of a call. */
     private interface Caller {
         void answered(End end);
     }
 
     private record Event(double at, long number, Runnable task) { }
 
-    /** A client's request, with all that was done for it. */
-    private static final class Root {
-        private final boolean counts;
+    /** A client's request, shared by all calls made for it. */
+    private static final class ClientRequest {
+        private final boolean counted;
         private boolean admitted;
 
-        Root(boolean counts) {
-            this.counts = counts;
+        ClientRequest(boolean counts) {
+            this.counted = counts;
         }
     }
 
@@ -101,8 +102,8 @@
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
-    private final Host[][] hosts;
-    private final Machine[][] machines;
+    private final BalancerHost[][] hosts;
+    private final UpstreamMachine[][] machines;
     private double now;
     private long number;
     private int requests;
@@ -125,27 +126,27 @@
         workMs = new double[shape.tiers()];
         wastedMs = new double[shape.tiers()];
         slots = new int[(int) Math.ceil((shape.troubleMs() + ChainSettings.DEADLINE_MS) / SLOT_MS)];
-        hosts = new Host[shape.tiers()][shape.width()];
-        machines = new Machine[shape.tiers()][shape.width()];
+        hosts = new BalancerHost[shape.tiers()][shape.width()];
+        machines = new UpstreamMachine[shape.tiers()][shape.width()];
         for (int tier = 0; tier < shape.tiers(); tier++) {
             for (int i = 0; i < shape.width(); i++) {
-                machines[tier][i] = new Machine(tier, i);
-                hosts[tier][i] = new Host(tier, i);
+                machines[tier][i] = new UpstreamMachine(tier, i);
+                hosts[tier][i] = new BalancerHost(tier, i);
             }
         }
     }
 
-    /** Plays it once. */
-    static Seen play(Shape shape, Leaf leaf, long seed) {
+    /** Runs the simulation once. */
+    static Stats simulate(Shape shape, Leaf leaf, long seed) {
         return new Chain(shape, leaf, seed).run();
     }
 
-    private Seen run() {
+    private Stats run() {
         double end = shape.settleMs() + shape.troubleMs();
-        for (Host front : hosts[0]) {
-            nextClient(front, end);
+        for (BalancerHost front : hosts[0]) {
+            scheduleNextClient(front, end);
         }
-        // All that was asked for in the trouble is over within a client's patience.
+        // All requests sent during the fault end within a client's deadline.
         double over = end + 2 * ChainSettings.DEADLINE_MS;
         while (!events.isEmpty() && events.peek().at() <= over) {
             Event event = events.poll();
@@ -157,12 +158,12 @@
             most = Math.max(most, slot);
         }
         double usual = shape.width() * shape.ratePerS() * SLOT_MS / MS_PER_S;
-        return new Seen(requests, admitted, ends[End.SERVED.ordinal()], ends[End.REFUSED.ordinal()],
+        return new Stats(requests, admitted, ends[End.SERVED.ordinal()], ends[End.REFUSED.ordinal()],
                 ends[End.FAILED.ordinal()], ends[End.UNANSWERED.ordinal()], calls, attempts, arrived,
                 most / usual, workMs, wastedMs, goneCalls);
     }
 
-    private void later(double at, Runnable task) {
+    private void schedule(double at, Runnable task) {
         events.add(new Event(Math.max(now, at), number++, task));
     }
 
@@ -170,37 +171,38 @@
         return -Math.log(1 - random.nextDouble()) * mean;
     }
 
-    private void nextClient(Host front, double end) {
+    private void scheduleNextClient(BalancerHost front, double end) {
         double at = now + exponential(MS_PER_S / shape.ratePerS());
         if (at < end) {
-            later(at, () -> {
-                client(front);
-                nextClient(front, end);
+            schedule(at, () -> {
+                sendClientRequest(front);
+                scheduleNextClient(front, end);
             });
         }
     }
 
-    private void client(Host front) {
-        Root root = new Root(now >= shape.settleMs());
-        requests += root.counts ? 1 : 0;
-        front.take(root, now + ChainSettings.DEADLINE_MS, end -> ends[end.ordinal()] += root.counts ? 1 : 0);
+    private void sendClientRequest(BalancerHost front) {
+        ClientRequest root = new ClientRequest(now >= shape.settleMs());
+        requests += root.counted ? 1 : 0;
+        front.accept(root, now + ChainSettings.DEADLINE_MS,
+                end -> ends[end.ordinal()] += root.counted ? 1 : 0);
     }
 
-    private boolean inTrouble(int tier, Leaf how) {
+    private boolean hasFault(int tier, Leaf how) {
         return leaf == how && tier == shape.tiers() - 1 && now >= shape.settleMs()
                 && now < shape.settleMs() + shape.troubleMs();
     }
 
-    /** A request at a balancer. */
-    private static final class Open {
+    /** A request that a balancer has in hand. */
+    private static final class PendingRequest {
         private final long id;
-        private final Root root;
+        private final ClientRequest root;
         private final double deadline;
         private final Caller caller;
-        private final List<Attempt> tries = new ArrayList<>(1);
-        private boolean over;
+        private final List<Attempt> attempts = new ArrayList<>(1);
+        private boolean done;
 
-        Open(long id, Root root, double deadline, Caller caller) {
+        PendingRequest(long id, ClientRequest root, double deadline, Caller caller) {
             this.id = id;
             this.root = root;
             this.deadline = deadline;
@@ -209,34 +211,34 @@
     }
 
     private static final class Attempt {
-        private final Open of;
+        private final PendingRequest request;
         private final int number;
         private final int upstream;
         private final double sentAt;
-        /** Until when its balancer waits. */
-        private final double until;
-        private boolean over;
+        /** When the balancer's timeout for this attempt expires. */
+        private final double expiresAt;
+        private boolean done;
 
-        Attempt(Open of, int upstream, double sentAt, double until) {
-            this.of = of;
-            this.number = of.tries.size();
+        Attempt(PendingRequest of, int upstream, double sentAt, double until) {
+            this.request = of;
+            this.number = of.attempts.size();
             this.upstream = upstream;
             this.sentAt = sentAt;
-            this.until = until;
+            this.expiresAt = until;
         }
     }
 
-    /** A balancer: the module, and what a process does for it. */
-    private final class Host implements LoadBalancer.Actions {
+    /** A balancer: the decision code and a simulated host for it. */
+    private final class BalancerHost implements LoadBalancer.Actions {
 
         private final int tier;
         private final LoadBalancer balancer = new LatencyWeightedBalancer(this);
-        private final Map<Long, Open> open = new HashMap<>();
-        /** Its open connections to each upstream that no request is on. */
+        private final Map<Long, PendingRequest> open = new HashMap<>();
+        /** The number of idle connections to each upstream. */
         private final int[] idle = new int[shape.width()];
         private long lastId;
 
-        Host(int tier, int position) {
+        BalancerHost(int tier, int position) {
             this.tier = tier;
             balancer.start(now, ChainSettings.of(tier, shape.tiers(), position, shape.width()),
                     random.nextLong());
@@ -247,11 +249,11 @@
             balancer.upstreamsChanged(now, Change.CACHED, list);
         }
 
-        void take(Root root, double deadline, Caller caller) {
-            Open request = new Open(++lastId, root, deadline, caller);
+        void accept(ClientRequest root, double deadline, Caller caller) {
+            PendingRequest request = new PendingRequest(++lastId, root, deadline, caller);
             open.put(request.id, request);
-            calls[tier] += root.counts ? 1 : 0;
-            later(deadline, () -> {
+            calls[tier] += root.counted ? 1 : 0;
+            schedule(deadline, () -> {
                 if (end(request, End.UNANSWERED)) {
                     balancer.clientGone(now, request.id);
                 }
@@ -259,47 +261,48 @@
             balancer.request(now, new Request(request.id, 0, 0, 0, deadline, 0, false, false));
         }
 
-        private boolean end(Open request, End how) {
-            if (request.over) {
+        private boolean end(PendingRequest request, End how) {
+            if (request.done) {
                 return false;
             }
-            request.over = true;
+            request.done = true;
             request.caller.answered(how);
-            forget(request);
+            removeIfDone(request);
             return true;
         }
 
-        private void forget(Open request) {
-            if (request.over && request.tries.stream().allMatch(attempt -> attempt.over)) {
+        private void removeIfDone(PendingRequest request) {
+            if (request.done && request.attempts.stream().allMatch(attempt -> attempt.done)) {
                 open.remove(request.id);
             }
         }
 
         @Override
         public void send(long requestId, long upstream, double timeout) {
-            Open request = open.get(requestId);
+            PendingRequest request = open.get(requestId);
             int to = (int) upstream;
             Attempt attempt = new Attempt(request, to, now, now + timeout);
-            request.tries.add(attempt);
+            request.attempts.add(attempt);
             count(request.root);
-            later(attempt.until, () -> finish(attempt, Result.TIMEOUT));
+            schedule(attempt.expiresAt, () -> finish(attempt, Result.TIMEOUT));
             boolean fresh = idle[to] == 0;
             idle[to] -= fresh ? 0 : 1;
-            if (inTrouble(tier, Leaf.REFUSING)) {
-                later(now + 2 * shape.hopMs(), () -> finish(attempt, Result.CONNECT_FAILED));
-            } else if (!inTrouble(tier, Leaf.GONE)) {
-                later(now + shape.hopMs(), () -> machines[tier][to].arrive(this, attempt));
+            if (hasFault(tier, Leaf.REFUSING)) {
+                schedule(now + 2 * shape.hopMs(), () -> finish(attempt, Result.CONNECT_FAILED));
+            } else if (!hasFault(tier, Leaf.GONE)) {
+                schedule(now + shape.hopMs(), () -> machines[tier][to].arrive(this, attempt));
             } else if (fresh) {
-                later(now + ChainSettings.CONNECT_TIMEOUT_MS, () -> finish(attempt, Result.CONNECT_FAILED));
+                schedule(now + ChainSettings.CONNECT_TIMEOUT_MS,
+                        () -> finish(attempt, Result.CONNECT_FAILED));
             }
         }
 
-        private void count(Root root) {
-            if (tier == 0 && root.counts && !root.admitted) {
+        private void count(ClientRequest root) {
+            if (tier == 0 && root.counted && !root.admitted) {
                 root.admitted = true;
                 admitted++;
             }
-            attempts[tier] += root.counts ? 1 : 0;
+            attempts[tier] += root.counted ? 1 : 0;
             int slot = (int) ((now - shape.settleMs()) / SLOT_MS);
             if (tier == shape.tiers() - 1 && now >= shape.settleMs() && slot < slots.length) {
                 slots[slot]++;
@@ -307,18 +310,18 @@
         }
 
         private void finish(Attempt attempt, Result result) {
-            if (attempt.over) {
+            if (attempt.done) {
                 return;
             }
-            attempt.over = true;
+            attempt.done = true;
             boolean kept = result == Result.OK || result == Result.ERROR || result == Result.FULL;
             idle[attempt.upstream] += kept ? 1 : 0;
             if (result == Result.OK) {
-                end(attempt.of, End.SERVED);
+                end(attempt.request, End.SERVED);
             }
-            forget(attempt.of);
-            balancer.attemptFinished(now, new Outcome(attempt.of.id, attempt.number, attempt.upstream, result,
-                    attempt.of.over, now - attempt.sentAt, null));
+            removeIfDone(attempt.request);
+            balancer.attemptFinished(now, new Outcome(attempt.request.id, attempt.number, attempt.upstream,
+                    result, attempt.request.done, now - attempt.sentAt, null));
         }
 
         @Override
@@ -333,13 +336,13 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            Attempt cancelled = open.get(requestId).tries.get(attempt);
-            later(now, () -> finish(cancelled, Result.CANCELLED));
+            Attempt cancelled = open.get(requestId).attempts.get(attempt);
+            schedule(now, () -> finish(cancelled, Result.CANCELLED));
         }
 
         @Override
         public void setTimer(long token, double at) {
-            later(at, () -> balancer.timer(now, token));
+            schedule(at, () -> balancer.timer(now, token));
         }
 
         @Override
@@ -349,12 +352,12 @@
 
         @Override
         public void probe(long upstream) {
-            throw new IllegalStateException("the module sends no probes");
+            throw new IllegalStateException("the decision code sends no probes with these settings");
         }
 
         @Override
         public void fetch() {
-            throw new IllegalStateException("the module asks for changes only");
+            throw new IllegalStateException("the decision code only watches for changes with these settings");
         }
 
         @Override
@@ -364,79 +367,79 @@
 
         @Override
         public void sendToPeer(int peer, byte[] payload) {
-            throw new IllegalStateException("balancers tell one another nothing");
+            throw new IllegalStateException("balancers exchange no reports with these settings");
         }
 
         @Override
         public void log(String text) {
-            // Log lines decide nothing.
+            // The simulation ignores log lines.
         }
     }
 
-    /** An upstream: cores, and a queue before them, in order of arrival. */
-    private final class Machine {
+    /** An upstream: a number of cores with one FIFO queue. */
+    private final class UpstreamMachine {
 
         private final int tier;
         private final int index;
         private final double[] freeAt = new double[shape.cores()];
-        /** When each that waits will begin. */
-        private final ArrayDeque<Double> begins = new ArrayDeque<>();
+        /** The start times of the queued requests. */
+        private final ArrayDeque<Double> startTimes = new ArrayDeque<>();
 
-        Machine(int tier, int index) {
+        UpstreamMachine(int tier, int index) {
             this.tier = tier;
             this.index = index;
         }
 
-        void arrive(Host from, Attempt attempt) {
-            if (inTrouble(tier, Leaf.GONE)) {
+        void arrive(BalancerHost from, Attempt attempt) {
+            if (hasFault(tier, Leaf.GONE)) {
                 return;
             }
-            arrived += attempt.of.root.counts && tier == shape.tiers() - 1 ? 1 : 0;
-            if (inTrouble(tier, Leaf.FAILING)) {
+            arrived += attempt.request.root.counted && tier == shape.tiers() - 1 ? 1 : 0;
+            if (hasFault(tier, Leaf.FAILING)) {
                 answer(from, attempt, Result.ERROR);
                 return;
             }
-            while (!begins.isEmpty() && begins.peek() <= now) {
-                begins.poll();
+            while (!startTimes.isEmpty() && startTimes.peek() <= now) {
+                startTimes.poll();
             }
             int core = 0;
             for (int i = 1; i < freeAt.length; i++) {
                 core = freeAt[i] < freeAt[core] ? i : core;
             }
             double begin = Math.max(now, freeAt[core]);
-            if (begin > now && begins.size() >= shape.queue()) {
+            if (begin > now && startTimes.size() >= shape.queue()) {
                 answer(from, attempt, Result.FULL);
                 return;
             }
             if (begin > now) {
-                begins.add(begin);
+                startTimes.add(begin);
             }
-            if (begin >= attempt.until) {
-                // By then it is over, and is not begun.
+            if (begin >= attempt.expiresAt) {
+                // Its deadline passes before a core is free, so it never starts.
                 return;
             }
-            double work = exponential(shape.workMs()) * (inTrouble(tier, Leaf.SLOW) ? shape.slowTimes() : 1);
+            double work = exponential(shape.workMs()) * (hasFault(tier, Leaf.SLOW) ? shape.slowTimes() : 1);
             freeAt[core] = begin + work;
-            later(freeAt[core], () -> worked(from, attempt, work));
+            schedule(freeAt[core], () -> finishWork(from, attempt, work));
         }
 
-        private void worked(Host from, Attempt attempt, double work) {
-            if (attempt.of.root.counts) {
+        private void finishWork(BalancerHost from, Attempt attempt, double work) {
+            if (attempt.request.root.counted) {
                 workMs[tier] += work;
-                wastedMs[tier] += attempt.over ? work : 0;
+                wastedMs[tier] += attempt.done ? work : 0;
             }
             if (tier == shape.tiers() - 1) {
                 answer(from, attempt, Result.OK);
-            } else if (now < attempt.until) {
-                goneCalls += attempt.over && attempt.of.root.counts ? 1 : 0;
-                hosts[tier + 1][index].take(attempt.of.root, attempt.until,
+            } else if (now < attempt.expiresAt) {
+                goneCalls += attempt.done && attempt.request.root.counted ? 1 : 0;
+                hosts[tier + 1][index].accept(attempt.request.root, attempt.expiresAt,
                         end -> answer(from, attempt, end == End.SERVED ? Result.OK : Result.ERROR));
             }
         }
 
-        private void answer(Host to, Attempt attempt, Result result) {
-            if (!inTrouble(tier, Leaf.GONE)) {
-                later(now + shape.hopMs(), () -> to.finish(attempt, result));
+        private void answer(BalancerHost to, Attempt attempt, Result result) {
+            if (!hasFault(tier, Leaf.GONE)) {
+                schedule(now + shape.hopMs(), () -> to.finish(attempt, result));
             }
         }
     }
--- a/src/main/java/cranedeal/lab/slope/ChainSettings.java
+++ b/src/main/java/cranedeal/lab/slope/ChainSettings.java
@@ -14,22 +14,22 @@
 
 /**
  * The settings of a balancer in a chain of tiers: those that the lab writes for an experiment with one zone,
- * one kind of upstreams, no tenants and one class that may be repeated freely, as such a class is repeated
- * most.
+ * one machine type, no tenants and one idempotent class. An idempotent class is retried most, so it is the
+ * worst case for retry amplification.
  */
 public final class ChainSettings {
 
-    /** The class's time limits in milliseconds, as the lab's first experiment has them. */
+    /** The class's latency target in milliseconds, as in the lab's first experiment. */
     public static final double AIM_MS = 500;
-    /** How long a client waits. */
+    /** The client's deadline in milliseconds. */
     public static final double DEADLINE_MS = 2_000;
-    /** After how long a connection that does not come up has failed. */
+    /** The connect timeout in milliseconds. */
     static final double CONNECT_TIMEOUT_MS = 250;
 
     private ChainSettings() {
     }
 
-    /** Of the balancer at a position in a tier; {@code tier} counts from 0, which clients reach. */
+    /** Returns the settings of one balancer; {@code tier} counts from 0, the tier that clients call. */
     public static Settings of(int tier, int tiers, int position, int siblings) {
         ServiceClass lookUp = new ServiceClass("look-up", AIM_MS, 0, DEADLINE_MS, 1, 0,
                 Idempotency.IDEMPOTENT, DedupScope.ALL, 0, false, false, null, null);
--- a/src/main/java/cranedeal/lab/slope/CountingUpstreams.java
+++ b/src/main/java/cranedeal/lab/slope/CountingUpstreams.java
@@ -20,34 +20,34 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Upstreams that answer at once, each on a port of loopback. Those of odd places note when a call comes. */
+/** Upstreams on loopback ports that answer at once. Those with an odd index record the time of each call. */
 final class CountingUpstreams {
 
-    private static final int LARGEST = 64 * 1024;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
     private static final int BACKLOG = 256;
 
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final ConcurrentLinkedQueue<Long> calls = new ConcurrentLinkedQueue<>();
 
-    /** Listens on free ports of loopback; ends with its loops. */
+    /** Listens on free loopback ports until the event loops shut down. */
     CountingUpstreams(EventLoopGroup loops, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            boolean noted = isNoted(i);
+            boolean noted = isRecorded(i);
             Channel bound = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new HttpServerCodec(),
-                                    new HttpObjectAggregator(LARGEST), new Answering(noted));
+                                    new HttpObjectAggregator(MAX_REQUEST_BYTES), new AnswerHandler(noted));
                         }
                     }).bind("127.0.0.1", 0).sync().channel();
             addresses.add((InetSocketAddress) bound.localAddress());
         }
     }
 
-    /** Whether an upstream notes its calls, by its place. */
-    static boolean isNoted(int place) {
+    /** Returns true if the upstream with this index records its calls. */
+    static boolean isRecorded(int place) {
         return place % 2 == 1;
     }
 
@@ -55,22 +55,22 @@
         return addresses;
     }
 
-    /** When the calls came that were noted, in nanoseconds of the monotonic clock. */
+    /** Returns the arrival times of the recorded calls, in nanoseconds of the monotonic clock. */
     List<Long> calls() {
         return List.copyOf(calls);
     }
 
-    private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-        private final boolean noted;
+        private final boolean recorded;
 
-        Answering(boolean noted) {
-            this.noted = noted;
+        AnswerHandler(boolean noted) {
+            this.recorded = noted;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (noted) {
+            if (recorded) {
                 calls.add(System.nanoTime());
             }
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
--- a/src/main/java/cranedeal/lab/slope/DepthStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DepthStudy.java
@@ -55,13 +55,13 @@
                 .with("settle_s", shape.settleMs() / S).with("trouble_s", troubleS)
                 .with("aim_ms", ChainSettings.AIM_MS).with("deadline_ms", ChainSettings.DEADLINE_MS);
         for (Chain.Leaf leaf : Chain.Leaf.values()) {
-            Map<Integer, List<Chain.Seen>> runs = new LinkedHashMap<>();
+            Map<Integer, List<Chain.Stats>> runs = new LinkedHashMap<>();
             for (int depth : tiers) {
                 Chain.Shape deep = new Chain.Shape(depth, width, rate, workMs, shape.cores(), shape.queue(),
                         shape.hopMs(), slowTimes, shape.settleMs(), shape.troubleMs());
                 for (int seed = 1; seed <= repeat; seed++) {
                     runs.computeIfAbsent(depth, absent -> new ArrayList<>())
-                            .add(Chain.play(deep, leaf, seed));
+                            .add(Chain.simulate(deep, leaf, seed));
                 }
             }
             add(report, leaf, runs);
@@ -69,14 +69,14 @@
         return report;
     }
 
-    private static void add(SlopeReport report, Chain.Leaf leaf, Map<Integer, List<Chain.Seen>> runs) {
+    private static void add(SlopeReport report, Chain.Leaf leaf, Map<Integer, List<Chain.Stats>> runs) {
         String name = "-" + leaf.name().toLowerCase(Locale.ROOT);
         add(report, "attempts" + name, "attempts/request", runs, seen -> per(last(seen.attempts()),
                 seen.requests()));
         add(report, "attempts-admitted" + name, "attempts/request", runs, seen -> per(last(seen.attempts()),
                 seen.admitted()));
         add(report, "arrived" + name, "attempts/request", runs, seen -> per(seen.arrived(), seen.requests()));
-        add(report, "peak" + name, "attempts/request", runs, Chain.Seen::peak);
+        add(report, "peak" + name, "attempts/request", runs, Chain.Stats::peak);
         add(report, "repeats-first-tier" + name, "attempts/call", runs, seen -> per(seen.attempts()[0],
                 seen.calls()[0]));
         add(report, "repeats-last-tier" + name, "attempts/call", runs, seen -> per(last(seen.attempts()),
@@ -94,7 +94,7 @@
     }
 
     private static void add(SlopeReport report, String name, String unit,
-            Map<Integer, List<Chain.Seen>> runs, ToDoubleFunction<Chain.Seen> what) {
+            Map<Integer, List<Chain.Stats>> runs, ToDoubleFunction<Chain.Stats> what) {
         report.add(name, unit, Basis.SIMULATED, runs.entrySet().stream().map(entry -> new Point(
                 entry.getKey(), entry.getValue().stream().map(what::applyAsDouble).toList())).toList());
     }
--- a/src/main/java/cranedeal/lab/slope/DrainTrial.java
+++ b/src/main/java/cranedeal/lab/slope/DrainTrial.java
@@ -176,7 +176,7 @@
     private void change() {
         discovery.addFaults(plan.trouble().faults());
         changedAt = System.nanoTime();
-        discovery.remove(IntStream.range(0, plan.upstreams()).filter(CountingUpstreams::isNoted)
+        discovery.remove(IntStream.range(0, plan.upstreams()).filter(CountingUpstreams::isRecorded)
                 .mapToObj(DataPathConfig::id).toList());
     }
 
--- a/src/main/java/cranedeal/lab/slope/package-info.java
+++ b/src/main/java/cranedeal/lab/slope/package-info.java
@@ -1,2 +1,2 @@
-/** Slopes: what a fleet costs by its size, each through repeated runs at four sizes or more. */
+/** Studies that measure how a fleet's costs grow with its size, by repeated runs at four or more sizes. */
 package cranedeal.lab.slope;
--- a/src/test/java/cranedeal/lab/slope/ChainTest.java
+++ b/src/test/java/cranedeal/lab/slope/ChainTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.lab.slope.Chain.Leaf;
-import cranedeal.lab.slope.Chain.Seen;
+import cranedeal.lab.slope.Chain.Stats;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -17,14 +17,15 @@
     private static final double SAVED = 3;
     private static final double EARNED = 0.1;
 
-    private static Seen play(int tiers, Leaf leaf, long seed) {
-        return Chain.play(new Chain.Shape(tiers, WIDTH, 100, 2, 4, 100, 0.1, 50, 4_000, 2_000), leaf, seed);
+    private static Stats play(int tiers, Leaf leaf, long seed) {
+        return Chain.simulate(new Chain.Shape(tiers, WIDTH, 100, 2, 4, 100, 0.1, 50, 4_000, 2_000), leaf,
+                seed);
     }
 
     @ParameterizedTest
     @EnumSource(Leaf.class)
     void everyRequestHasOneEndAndEveryCallItsCause(Leaf leaf) {
-        Seen seen = play(3, leaf, 1);
+        Stats seen = play(3, leaf, 1);
         assertEquals(seen.requests(), seen.served() + seen.refused() + seen.failed() + seen.unanswered());
         assertTrue(seen.requests() > WIDTH * 100, "two seconds' worth of requests: " + seen.requests());
         assertEquals(seen.requests(), seen.calls()[0]);
@@ -39,8 +40,8 @@
 
     @Test
     void theSameSeedPlaysTheSame() {
-        Seen first = play(3, Leaf.SLOW, 7);
-        Seen second = play(3, Leaf.SLOW, 7);
+        Stats first = play(3, Leaf.SLOW, 7);
+        Stats second = play(3, Leaf.SLOW, 7);
         assertArrayEquals(first.attempts(), second.attempts());
         assertArrayEquals(first.workMs(), second.workMs());
         assertEquals(first.refused(), second.refused());
@@ -49,7 +50,7 @@
 
     @Test
     void aHealthyChainMakesOneAttemptATier() {
-        Seen seen = play(4, Leaf.HEALTHY, 1);
+        Stats seen = play(4, Leaf.HEALTHY, 1);
         assertEquals(seen.requests(), seen.served());
         for (int tier = 0; tier < 4; tier++) {
             assertEquals(seen.requests(), seen.attempts()[tier]);
@@ -60,7 +61,7 @@
 
     @Test
     void repeatsOfAFailingLeafKeepToTheAllowanceOfEachTier() {
-        Seen seen = play(4, Leaf.FAILING, 1);
+        Stats seen = play(4, Leaf.FAILING, 1);
         for (int tier = 0; tier < 4; tier++) {
             assertTrue(seen.attempts()[tier] > seen.calls()[tier], "there is an allowance");
             assertTrue(seen.attempts()[tier] <= (1 + EARNED) * seen.calls()[tier] + SAVED * WIDTH,
@@ -72,18 +73,18 @@
 
     @Test
     void hardlyAnythingComesToALeafThatIsGone() {
-        Seen gone = play(2, Leaf.GONE, 1);
+        Stats gone = play(2, Leaf.GONE, 1);
         assertTrue(gone.arrived() < gone.requests() / 20);
         assertTrue(gone.served() <= gone.arrived());
         assertTrue(gone.attempts()[1] > 0);
-        Seen refusing = play(2, Leaf.REFUSING, 1);
+        Stats refusing = play(2, Leaf.REFUSING, 1);
         assertTrue(refusing.arrived() < refusing.requests() / 20);
         assertTrue(refusing.attempts()[1] > refusing.requests());
     }
 
     @Test
     void aSlowLeafWorksForCallersWhoHaveGone() {
-        Seen seen = play(2, Leaf.SLOW, 1);
+        Stats seen = play(2, Leaf.SLOW, 1);
         assertTrue(seen.wastedMs()[1] > 0);
         assertTrue(seen.served() < seen.requests());
     }
