--- a/src/main/java/cranedeal/lab/slope/DataPathStage.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathBench.java
@@ -30,37 +30,37 @@
 import java.util.stream.Stream;
 
 /**
- * One balancer as it runs in service, before upstreams in a process of their own; the clients are this
- * process. Between them there is nothing but loopback.
+ * Runs one balancer process as in production, with its upstreams in a second process and discovery and the
+ * clients in this one. All traffic goes over loopback.
  */
-final class DataPathStage implements AutoCloseable {
+final class DataPathBench implements AutoCloseable {
 
     private static final String ADDRESS = "127.0.0.1";
-    private static final long LOOK_EVERY_MS = 10;
-    private static final long LONGEST_START_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 10;
+    private static final long START_TIMEOUT_MS = 60_000;
     private static final int CONNECT_MS = 1_000;
     private static final int FIRST_PORT = 10_000;
     private static final int END_OF_PORTS = 32_000;
-    private static final int PORT_TRIES = 100;
-    private static final String OPTION = "-Xlog:gc,gc+heap:stdout:uptime";
-    /** What the young generation held before a collection, as the virtual machine logs it. */
-    private static final Pattern EDEN = Pattern.compile("\\[([0-9.]+)s\\].*Eden: (\\d+)K\\(");
-    private static final String PREFIX = "edge_proxy.";
+    private static final int MAX_PORT_ATTEMPTS = 100;
+    private static final String GC_LOG_OPTION = "-Xlog:gc,gc+heap:stdout:uptime";
+    /** Matches the size of the eden space before a collection in the JVM's GC log. */
+    private static final Pattern EDEN_SIZE = Pattern.compile("\\[([0-9.]+)s\\].*Eden: (\\d+)K\\(");
+    private static final String METRIC_PREFIX = "edge_proxy.";
     private static final double NANOS_PER_US = 1e3;
     private static final int BYTES_PER_KB = 1_024;
 
-    /** Runs on one processor and does nothing else, at normal priority. */
-    private static final List<String> BUSY = List.of("sh", "-c", "while :; do :; done");
+    /** A busy loop at normal priority. */
+    private static final List<String> BUSY_LOOP = List.of("sh", "-c", "while :; do :; done");
 
     /**
      * The processor that the balancer runs on.
      *
-     * @param number as the kernel counts them; negative for any
-     * @param competitors busy processes of normal priority that share it
+     * @param number the kernel's processor number; negative for any processor
+     * @param competitors busy processes of normal priority on the same processor
      */
     record Processor(int number, int competitors) {
 
-        /** Any, shared with nobody. */
+        /** Any processor, without competing processes. */
         static final Processor ANY = new Processor(-1, 0);
 
         List<String> bind(List<String> command) {
@@ -72,7 +72,7 @@
     }
 
     private final Path folder;
-    private final ProcessSupervisor warden;
+    private final ProcessSupervisor supervisor;
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2,
             new DefaultThreadFactory("data-path", true), NioIoHandler.newFactory());
     private final DiscoveryServer discovery;
@@ -83,57 +83,58 @@
     private final ChildProcess balancer;
 
     /**
-     * Starts all of it, and returns when the balancer serves.
+     * Starts all processes and returns when the balancer accepts connections.
      *
      * @param program the command that runs the program, without its arguments
-     * @param workUs how long each upstream takes for an answer, in microseconds
+     * @param workUs how long each upstream takes to answer, in microseconds
      */
-    DataPathStage(List<String> program, int count, long workUs) throws IOException, InterruptedException {
-        this(program, count, workUs, DataPathConfig.SOCKETS, Integer.MAX_VALUE, Processor.ANY);
+    DataPathBench(List<String> program, int count, long workUs) throws IOException, InterruptedException {
+        this(program, count, workUs, DataPathConfig.DEFAULT_SOCKETS, Integer.MAX_VALUE, Processor.ANY);
     }
 
     /**
-     * The same with a balancer that is short of something.
+     * Starts all processes with limited resources for the balancer.
      *
-     * @param sockets the descriptors that it may hold
-     * @param mostConnections that the client may hold
-     * @param processor what it runs on
+     * @param sockets limit on the balancer's file descriptors
+     * @param mostConnections limit on the client's connections
+     * @param processor the processor that the balancer runs on
      */
-    DataPathStage(List<String> program, int count, long workUs, int sockets, int mostConnections,
+    DataPathBench(List<String> program, int count, long workUs, int sockets, int mostConnections,
             Processor processor) throws IOException, InterruptedException {
         client = new DataPathClient(loops.next(), mostConnections);
         folder = Files.createTempDirectory("data-path");
-        warden = new ProcessSupervisor();
+        supervisor = new ProcessSupervisor();
         Path ports = folder.resolve("ports");
-        ChildProcess all = warden.start("upstreams", List.of(program.get(0), "-Xmx128m", "-cp",
+        ChildProcess all = supervisor.start("upstreams", List.of(program.get(0), "-Xmx128m", "-cp",
                 System.getProperty("java.class.path"), DataPathUpstreams.class.getName(),
                 Integer.toString(count), Long.toString(workUs), ports.toString()), Map.of(),
                 folder.resolve("upstreams.txt"));
         await(all, () -> Files.exists(ports));
         upstreams = Files.readAllLines(ports).stream()
                 .map(port -> new InetSocketAddress(ADDRESS, Integer.parseInt(port))).toList();
-        // Only now: thousands of upstreams would take a port that was free before.
-        listen = free();
-        admin = free();
-        InetSocketAddress list = free();
+        // Chosen after the upstreams have bound their ports, as thousands of them could take a free port.
+        listen = freeAddress();
+        admin = freeAddress();
+        InetSocketAddress list = freeAddress();
         discovery = new DiscoveryServer(loops.next(), new LabClock(), 0,
                 Map.of(InetAddress.getByName(ADDRESS), 0), Map.of(0, "n0"), (to, of) -> upstreams.get(of),
                 event -> { });
         discovery.bind(list);
         for (int i = 0; i < count; i++) {
-            discovery.list(DataPathConfig.id(i), i, DataPathConfig.ZONE, DataPathConfig.KIND, 0, 1).sync();
+            discovery.list(DataPathConfig.id(i), i, DataPathConfig.ZONE, DataPathConfig.MACHINE_TYPE, 0, 1)
+                    .sync();
         }
         Path config = folder.resolve("config.json");
         Files.writeString(config,
                 DataPathConfig.of(listen, list, admin, upstreams, sockets).toPrettyString());
         List<String> command = new ArrayList<>(program);
-        command.add(1, OPTION);
+        command.add(1, GC_LOG_OPTION);
         command.add("serve");
-        balancer = warden.start("balancer", processor.bind(command),
+        balancer = supervisor.start("balancer", processor.bind(command),
                 Map.of("PROXY_CONFIG", config.toString()), log());
-        await(balancer, this::listens);
+        await(balancer, this::acceptsConnections);
         for (int i = 0; i < processor.competitors(); i++) {
-            warden.start("busy" + i, processor.bind(BUSY), Map.of(), folder.resolve("busy.txt"));
+            supervisor.start("busy" + i, processor.bind(BUSY_LOOP), Map.of(), folder.resolve("busy.txt"));
         }
     }
 
@@ -142,16 +143,16 @@
     }
 
     private void await(ChildProcess child, Condition until) throws IOException, InterruptedException {
-        for (long waited = 0; !until.holds(); waited += LOOK_EVERY_MS) {
-            if (!child.isAlive() || waited > LONGEST_START_MS) {
+        for (long waited = 0; !until.holds(); waited += POLL_INTERVAL_MS) {
+            if (!child.isAlive() || waited > START_TIMEOUT_MS) {
                 close();
-                throw new IOException(child.name() + " does not serve");
+                throw new IOException(child.name() + " exited or did not accept connections in time");
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private boolean listens() {
+    private boolean acceptsConnections() {
         try (Socket socket = new Socket()) {
             socket.connect(listen, CONNECT_MS);
             return true;
@@ -161,16 +162,16 @@
     }
 
     /**
-     * A port that nobody holds now, from below those that the kernel deals out by itself: a connection of
-     * somebody else can't have taken it by the time it is bound.
+     * Finds a port that is free now, below the kernel's ephemeral range, so that an outgoing connection of
+     * another process can't take it before it is bound.
      */
-    static InetSocketAddress free() throws IOException {
-        for (int i = 0; i < PORT_TRIES; i++) {
+    static InetSocketAddress freeAddress() throws IOException {
+        for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_OF_PORTS);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(ADDRESS))) {
                 return new InetSocketAddress(ADDRESS, socket.getLocalPort());
             } catch (BindException e) {
-                // Somebody holds it: another one, then.
+                // The port is in use; try another.
                 continue;
             }
         }
@@ -194,8 +195,9 @@
     }
 
     /**
-     * The processor time that the balancer has used so far, in microseconds: of its threads as they are, in
-     * nanoseconds by the kernel, where the process's own count goes in steps of 10 ms.
+     * Returns the processor time that the balancer's live threads have used so far, in microseconds. It sums
+     * the per-thread counters, which the kernel keeps in nanoseconds; the process's own counter has a
+     * resolution of only 10 ms.
      */
     double cpuUs() throws IOException {
         double nanos = 0;
@@ -207,20 +209,20 @@
         return nanos / NANOS_PER_US;
     }
 
-    /** The list that the balancer has, to be changed by discovery. */
+    /** The discovery server, through which a test changes the balancer's upstream list. */
     DiscoveryServer discovery() {
         return discovery;
     }
 
-    /** The descriptors that the balancer holds now. */
+    /** Returns the number of file descriptors that the balancer has open. */
     int descriptors() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(balancer.pid()), "fd"))) {
             return (int) open.count();
         }
     }
 
-    /** All figures that the balancer tells its operators, a line each. */
-    String figures() {
+    /** Returns the balancer's metrics from the admin endpoint, one per line. */
+    String metricsText() {
         try (Socket socket = new Socket()) {
             socket.connect(admin, CONNECT_MS);
             socket.getOutputStream().write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n"
@@ -231,48 +233,49 @@
         }
     }
 
-    /** One of these figures; throws {@link java.util.NoSuchElementException} if there is none so named. */
-    long figure(String name) {
-        String line = PREFIX + name + "=";
-        return figures().lines().filter(one -> one.startsWith(line))
-                .mapToLong(one -> Long.parseLong(one.substring(line.length()))).findFirst().orElseThrow();
+    /** Returns one metric; throws {@link java.util.NoSuchElementException} if it does not exist. */
+    long metric(String name) {
+        String line = METRIC_PREFIX + name + "=";
+        return metricsText().lines().filter(candidate -> candidate.startsWith(line))
+                .mapToLong(match -> Long.parseLong(match.substring(line.length()))).findFirst().orElseThrow();
     }
 
-    /** All figures by name, without the prefix that they share. */
-    Map<String, Long> allFigures() {
+    /** Returns all metrics by name, without their common prefix. */
+    Map<String, Long> allMetrics() {
         Map<String, Long> byName = new LinkedHashMap<>();
-        figures().lines().filter(line -> line.startsWith(PREFIX)).forEach(line -> {
+        metricsText().lines().filter(line -> line.startsWith(METRIC_PREFIX)).forEach(line -> {
             int equals = line.lastIndexOf('=');
-            byName.put(line.substring(PREFIX.length(), equals), Long.valueOf(line.substring(equals + 1)));
+            byName.put(line.substring(METRIC_PREFIX.length(), equals),
+                    Long.valueOf(line.substring(equals + 1)));
         });
         return byName;
     }
 
-    /** The balancer, for faults of its process. */
+    /** The balancer's process, for injecting faults into it. */
     ChildProcess balancer() {
         return balancer;
     }
 
-    /** The most memory that the balancer has had resident so far. */
+    /** Returns the balancer's peak resident memory in kB. */
     long peakKb() throws IOException {
         return Files.readAllLines(Path.of("/proc", Long.toString(balancer.pid()), "status")).stream()
                 .filter(line -> line.startsWith("VmHWM:"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElseThrow();
     }
 
-    /** The balancer's resident memory. */
+    /** Returns the balancer's resident memory in kB. */
     long rssKb() throws IOException {
         return balancer.usage().orElseThrow(() -> new IOException("the balancer has ended")).rssKb();
     }
 
-    /** A mark in the balancer's log, to count from. */
-    long mark() throws IOException {
+    /** Returns the current size of the balancer's log, as a start for {@link #allocatedPerS(long)}. */
+    long logPosition() throws IOException {
         return Files.size(log());
     }
 
     /**
-     * Bytes that the balancer has allocated a second on its heap since a mark, between the first and the last
-     * collection since; NaN where there were not two.
+     * Returns the heap bytes that the balancer allocated per second between the first and the last garbage
+     * collection logged after the mark; NaN if there were fewer than two collections.
      */
     double allocatedPerS(long mark) throws IOException {
         byte[] all = Files.readAllBytes(log());
@@ -281,7 +284,7 @@
     }
 
     static double allocatedPerS(String log) {
-        Matcher matcher = EDEN.matcher(log);
+        Matcher matcher = EDEN_SIZE.matcher(log);
         double first = Double.NaN;
         double last = Double.NaN;
         double bytes = 0;
@@ -298,7 +301,7 @@
 
     @Override
     public void close() throws IOException {
-        warden.close();
+        supervisor.close();
         if (discovery != null) {
             discovery.close();
         }
--- a/src/main/java/cranedeal/lab/slope/DataPathClient.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathClient.java
@@ -32,19 +32,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open loop: sends each call when it is due, whatever became of those before, on connections that it
- * keeps. All sockets belong to one loop; the thread that plays only keeps time, as timers of a loop are as
- * coarse as a millisecond.
+ * An open-loop load generator: it sends each call when it is due, whether or not earlier calls have ended,
+ * and reuses its connections. All sockets belong to one event loop. The calling thread only keeps time,
+ * because the event loop's timers are no finer than a millisecond.
  */
 final class DataPathClient {
 
-    private static final int LARGEST = 64 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     private static final double NANOS_PER_S = 1e9;
-    private static final long LONGEST_NANOS = 60_000_000_000L;
-    private static final long ANSWER_S = 10;
-    /** After its patience and half a second more a call is lost; the client hangs up. */
+    private static final long MAX_RECORDED_NANOS = 60_000_000_000L;
+    private static final long ANSWER_TIMEOUT_S = 10;
+    /** After its deadline and about half a second more a call counts as unanswered, and the client closes. */
     private static final long GIVE_UP_MS = 2_550;
-    /** How far before a call is due the thread stops to sleep: the kernel wakes it some 50 us late. */
+    /** The thread spins for this long before a call is due, as the kernel wakes it about 50 us late. */
     private static final long SPIN_NANOS = 80_000;
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -52,55 +52,56 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, ArrayDeque<Connection>> idle = new HashMap<>();
-    private final int mostConnections;
+    private final int maxConnections;
     private int connections;
     private long lastId;
-    private Tally tally;
+    private Counters counters;
 
-    /** A client that holds as many connections as its calls need. */
+    /** Creates a client with no limit on its connections. */
     DataPathClient(EventLoop loop) {
         this(loop, Integer.MAX_VALUE);
     }
 
-    /** A client that holds so many connections at most; calls beyond are not sent. */
+    /** Creates a client with a connection limit; calls that would need more connections are not sent. */
     DataPathClient(EventLoop loop, int mostConnections) {
         this.loop = loop;
-        this.mostConnections = mostConnections;
+        this.maxConnections = mostConnections;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST),
-                                new Connection(channel));
+                        channel.pipeline().addLast(new HttpClientCodec(),
+                                new HttpObjectAggregator(MAX_RESPONSE_BYTES), new Connection(channel));
                     }
                 });
     }
 
     /**
-     * What became of the calls of a block.
+     * The results of a block of calls.
      *
-     * @param calls how many were due; each of them is counted in one of the next four
-     * @param refused answered 503: the balancer turned them away
-     * @param failed answered otherwise, or their connection broke
-     * @param unanswered sent on a connection that was up, without any answer half a second after their time
-     * @param unconnected whose connection had not come up by the end: nobody had room for it in the queue
-     * @param unsent not sent, as the client held all connections that it may
-     * @param ended how many of the failed ones saw their connection end without an answer
-     * @param failures the failed ones by cause: a status, the end of a connection, a connect that failed
+     * @param calls how many were due; each is counted in exactly one of {@code served}, {@code refused},
+     *     {@code failed}, {@code unanswered}, {@code unconnected} and {@code unsent}
+     * @param refused answered 503: the balancer shed them
+     * @param failed answered with another status, or their connection broke
+     * @param unanswered sent on an established connection, without an answer half a second after the deadline
+     * @param unconnected their connection was not established by the end, as the accept queue was full
+     * @param unsent not sent, as the client had reached its connection limit
+     * @param ended how many of the failed calls had their connection closed without an answer
+     * @param failures the failed calls by cause: a status, a closed connection, a failed connect
      * @param refusals the ids of the first refused calls
-     * @param latency from a call's writing to its whole answer, of those served, in nanoseconds
-     * @param lateness from when a call was due to its writing, in nanoseconds: the generator's own fault
+     * @param latency from writing a call to its complete answer, for served calls, in nanoseconds
+     * @param lateness from when a call was due to writing it, in nanoseconds: the generator's own delay
      */
-    record Block(long calls, long served, long refused, long failed, long unanswered, long unconnected,
+    record Results(long calls, long served, long refused, long failed, long unanswered, long unconnected,
             long unsent, long ended, Map<String, Long> failures, List<String> refusals, Histogram latency,
             Histogram lateness) { }
 
-    private static final class Tally {
+    private static final class Counters {
 
-        private static final int IDS_KEPT = 20;
+        private static final int MAX_REFUSAL_IDS = 20;
 
         private final long calls;
-        private final CountDownLatch open;
+        private final CountDownLatch pending;
         private long served;
         private long refused;
         private long failed;
@@ -109,59 +110,60 @@
         private long unsent;
         private long unanswered;
         private final List<String> refusals = new ArrayList<>();
-        private final Histogram latency = new Histogram(LONGEST_NANOS, 3);
-        private final Histogram lateness = new Histogram(LONGEST_NANOS, 3);
+        private final Histogram latency = new Histogram(MAX_RECORDED_NANOS, 3);
+        private final Histogram lateness = new Histogram(MAX_RECORDED_NANOS, 3);
 
-        Tally(int calls) {
+        Counters(int calls) {
             this.calls = calls;
-            open = new CountDownLatch(calls);
+            pending = new CountDownLatch(calls);
         }
 
         void fail(String cause) {
             failed++;
             failures.merge(cause, 1L, Long::sum);
-            open.countDown();
+            pending.countDown();
         }
 
-        Block block() {
-            return new Block(calls, served, refused, failed, unanswered,
+        Results results() {
+            return new Results(calls, served, refused, failed, unanswered,
                     calls - served - refused - failed - unanswered - unsent, unsent, ended,
                     Map.copyOf(failures), List.copyOf(refusals), latency.copy(), lateness.copy());
         }
     }
 
     /**
-     * Plays a block of calls and returns when all are answered: Poisson, the same for the same seed. Each
-     * goes to a target at random.
+     * Sends a block of calls with Poisson arrivals and waits up to 10 s for the answers that are still
+     * missing. Each call goes to a random target; the same seed gives the same calls.
      *
-     * @param perS calls a second
+     * @param perS calls per second
      */
-    Block play(List<InetSocketAddress> targets, double perS, double seconds, long seed)
+    Results run(List<InetSocketAddress> targets, double perS, double seconds, long seed)
             throws InterruptedException {
-        return play(targets, LoadProfile.constant(perS, seconds), seed);
+        return run(targets, LoadProfile.constant(perS, seconds), seed);
     }
 
-    /** The same with a load that need not be constant. */
-    Block play(List<InetSocketAddress> targets, LoadProfile load, long seed) throws InterruptedException {
+    /** Sends a block of calls with a load that may vary. */
+    Results run(List<InetSocketAddress> targets, LoadProfile load, long seed) throws InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
         List<Double> due = load.arrivals(random);
-        Tally block = new Tally(due.size());
-        loop.submit(() -> tally = block).sync();
+        Counters counted = new Counters(due.size());
+        loop.submit(() -> counters = counted).sync();
         long start = System.nanoTime();
         for (double at : due) {
             long dueAt = start + (long) (at * NANOS_PER_S);
             InetSocketAddress target = targets.get(random.nextInt(targets.size()));
             awaitTime(dueAt);
-            loop.execute(() -> call(block, target, dueAt));
+            loop.execute(() -> call(counted, target, dueAt));
         }
-        block.open.await(ANSWER_S, TimeUnit.SECONDS);
-        return loop.submit(block::block).sync().getNow();
+        counted.pending.await(ANSWER_TIMEOUT_S, TimeUnit.SECONDS);
+        return loop.submit(counted::results).sync().getNow();
     }
 
     private static void awaitTime(long nanos) throws InterruptedException {
-        for (long left = nanos - System.nanoTime(); left > 0; left = nanos - System.nanoTime()) {
-            if (left > SPIN_NANOS) {
-                LockSupport.parkNanos(left - SPIN_NANOS);
+        for (long remaining = nanos - System.nanoTime(); remaining > 0;
+                remaining = nanos - System.nanoTime()) {
+            if (remaining > SPIN_NANOS) {
+                LockSupport.parkNanos(remaining - SPIN_NANOS);
             } else {
                 Thread.onSpinWait();
             }
@@ -171,16 +173,16 @@
         }
     }
 
-    /** Opens connections to be kept, each for one call; how many stand idle at the target in the end. */
+    /** Opens connections to the target with one call on each, and returns how many are idle at the end. */
     int open(InetSocketAddress target, int connections) throws InterruptedException {
-        Tally block = new Tally(connections);
-        loop.submit(() -> tally = block).sync();
+        Counters counted = new Counters(connections);
+        loop.submit(() -> counters = counted).sync();
         for (int i = 0; i < connections; i++) {
-            loop.submit(() -> connect(block, target, System.nanoTime())).sync();
-            // One after the other: a burst of calls is another thing to measure.
+            loop.submit(() -> connect(counted, target, System.nanoTime())).sync();
+            // Spaced out, as this measures idle connections and not a burst of calls.
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        block.open.await(ANSWER_S, TimeUnit.SECONDS);
+        counted.pending.await(ANSWER_TIMEOUT_S, TimeUnit.SECONDS);
         return loop.submit(() -> idle.getOrDefault(target, new ArrayDeque<>()).size()).sync().getNow();
     }
 
@@ -193,42 +195,43 @@
         }).sync();
     }
 
-    private void call(Tally block, InetSocketAddress target, long dueAt) {
-        ArrayDeque<Connection> kept = idle.computeIfAbsent(target, address -> new ArrayDeque<>());
-        for (Connection one = kept.pollLast(); one != null; one = kept.pollLast()) {
-            if (one.channel.isActive()) {
-                one.send(block, dueAt);
+    private void call(Counters counted, InetSocketAddress target, long dueAt) {
+        ArrayDeque<Connection> idleConnections = idle.computeIfAbsent(target, address -> new ArrayDeque<>());
+        for (Connection connection = idleConnections.pollLast(); connection != null;
+                connection = idleConnections.pollLast()) {
+            if (connection.channel.isActive()) {
+                connection.send(counted, dueAt);
                 return;
             }
         }
-        connect(block, target, dueAt);
+        connect(counted, target, dueAt);
     }
 
-    private void connect(Tally block, InetSocketAddress target, long dueAt) {
-        if (connections >= mostConnections) {
-            block.unsent++;
-            block.open.countDown();
+    private void connect(Counters counted, InetSocketAddress target, long dueAt) {
+        if (connections >= maxConnections) {
+            counted.unsent++;
+            counted.pending.countDown();
             return;
         }
         connections++;
-        bootstrap.connect(target).addListener((ChannelFuture up) -> {
-            up.channel().closeFuture().addListener(closed -> connections--);
-            if (up.isSuccess()) {
-                Connection fresh = up.channel().pipeline().get(Connection.class);
+        bootstrap.connect(target).addListener((ChannelFuture connected) -> {
+            connected.channel().closeFuture().addListener(closed -> connections--);
+            if (connected.isSuccess()) {
+                Connection fresh = connected.channel().pipeline().get(Connection.class);
                 fresh.target = target;
-                fresh.send(block, dueAt);
+                fresh.send(counted, dueAt);
             } else {
-                block.fail("connect: " + up.cause().getMessage());
+                counted.fail("connect: " + connected.cause().getMessage());
             }
         });
     }
 
-    /** A connection, and the call that is on it. */
+    /** A connection and the call in flight on it. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private final Channel channel;
         private InetSocketAddress target;
-        private Tally block;
+        private Counters counters;
         private String id;
         private long sentAt;
 
@@ -236,25 +239,25 @@
             this.channel = channel;
         }
 
-        void send(Tally to, long dueAt) {
-            block = to;
+        void send(Counters callCounters, long dueAt) {
+            counters = callCounters;
             id = String.format(Locale.ROOT, "%016x", ++lastId);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                     "/" + DataPathConfig.CLASS + "/7");
             request.headers().set("Host", "app.svc").set("X-Txn", id).set("X-Lane", DataPathConfig.CLASS)
-                    .set("X-Remaining", DataPathConfig.PATIENCE_S);
+                    .set("X-Remaining", DataPathConfig.TIME_LIMIT_S);
             sentAt = System.nanoTime();
             String sent = id;
-            channel.eventLoop().schedule(() -> giveUp(to, sent), GIVE_UP_MS, TimeUnit.MILLISECONDS);
-            block.lateness.recordValue(Math.min(LONGEST_NANOS, Math.max(0, sentAt - dueAt)));
+            channel.eventLoop().schedule(() -> giveUp(callCounters, sent), GIVE_UP_MS, TimeUnit.MILLISECONDS);
+            counters.lateness.recordValue(Math.min(MAX_RECORDED_NANOS, Math.max(0, sentAt - dueAt)));
             channel.writeAndFlush(request);
         }
 
-        private void giveUp(Tally to, String waited) {
-            if (block == to && waited.equals(id)) {
-                block = null;
-                to.unanswered++;
-                to.open.countDown();
+        private void giveUp(Counters waiting, String waited) {
+            if (counters == waiting && waited.equals(id)) {
+                counters = null;
+                waiting.unanswered++;
+                waiting.pending.countDown();
                 channel.close();
             }
         }
@@ -262,8 +265,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             long took = System.nanoTime() - sentAt;
-            Tally answered = block;
-            block = null;
+            Counters answered = counters;
+            counters = null;
             if (answered == null) {
                 ctx.close();
                 return;
@@ -271,10 +274,10 @@
             int status = response.status().code();
             if (status == OK) {
                 answered.served++;
-                answered.latency.recordValue(Math.min(LONGEST_NANOS, took));
+                answered.latency.recordValue(Math.min(MAX_RECORDED_NANOS, took));
             } else if (status == UNAVAILABLE) {
                 answered.refused++;
-                if (answered.refusals.size() < Tally.IDS_KEPT) {
+                if (answered.refusals.size() < Counters.MAX_REFUSAL_IDS) {
                     answered.refusals.add(id);
                 }
             }
@@ -284,7 +287,7 @@
                 ctx.close();
             }
             if (status == OK || status == UNAVAILABLE) {
-                answered.open.countDown();
+                answered.pending.countDown();
             } else {
                 answered.fail("status " + status);
             }
@@ -292,14 +295,14 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ArrayDeque<Connection> kept = idle.get(target);
-            if (kept != null) {
-                kept.remove(this);
+            ArrayDeque<Connection> idleConnections = idle.get(target);
+            if (idleConnections != null) {
+                idleConnections.remove(this);
             }
-            if (block != null) {
-                block.ended++;
-                block.fail("connection ended");
-                block = null;
+            if (counters != null) {
+                counters.ended++;
+                counters.fail("connection ended");
+                counters = null;
             }
             ctx.fireChannelInactive();
         }
@@ -308,7 +311,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 java.util.logging.Logger.getLogger("sablehinge").log(java.util.logging.Level.WARNING,
-                        "a connection of the bench failed", cause);
+                        "load generator: a connection failed", cause);
             }
             ctx.close();
         }
--- a/src/main/java/cranedeal/lab/slope/DataPathConfig.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathConfig.java
@@ -7,17 +7,17 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The configuration of the one balancer of the bench, in the form of the deployment page. */
+/** Builds the JSON configuration of a balancer under test. */
 final class DataPathConfig {
 
-    /** The one class of calls. */
+    /** The only service class. */
     static final String CLASS = "look-up";
-    /** How long a call waits for its answer, in seconds, as its header has it. */
-    static final String PATIENCE_S = "2.000";
+    /** The value of the X-Remaining header of each call: its time limit in seconds. */
+    static final String TIME_LIMIT_S = "2.000";
     static final String ZONE = "a";
-    static final String KIND = "plain";
-    /** The descriptors that a balancer may hold, where nothing is said of them. */
-    static final int SOCKETS = 4_096;
+    static final String MACHINE_TYPE = "plain";
+    /** The default limit on a balancer's file descriptors. */
+    static final int DEFAULT_SOCKETS = 4_096;
     private static final double DEADLINE_MS = 2_000;
     private static final double AIM_MS = 500;
     private static final long FIRST_VERSION = 41;
@@ -26,18 +26,18 @@
     private DataPathConfig() {
     }
 
-    /** How discovery names an upstream, by its place. */
+    /** Returns the id of an upstream in discovery, by its index. */
     static String id(int place) {
         return String.format(Locale.ROOT, "s-%08x", place + 1);
     }
 
-    /** The list of upstreams as discovery tells it: all up, warm, in one zone. */
+    /** Returns the upstream list in discovery's format: all up and warm, in one zone. */
     private static ObjectNode list(List<InetSocketAddress> upstreams) {
         ObjectNode list = JSON.createObjectNode().put("version", FIRST_VERSION).put("full", true);
         ArrayNode servers = list.putArray("servers");
         for (int i = 0; i < upstreams.size(); i++) {
-            servers.addObject().put("id", id(i)).put("addr", text(upstreams.get(i)))
-                    .put("zone", ZONE).put("kind", KIND).put("cell", 0).put("state", "up")
+            servers.addObject().put("id", id(i)).put("addr", hostAndPort(upstreams.get(i)))
+                    .put("zone", ZONE).put("kind", MACHINE_TYPE).put("cell", 0).put("state", "up")
                     .put("weight", 1.0).put("started_ms", 0);
         }
         return list;
@@ -45,9 +45,9 @@
 
     static ObjectNode of(InetSocketAddress listen, InetSocketAddress discovery,
             InetSocketAddress admin, List<InetSocketAddress> upstreams, int sockets) {
-        ObjectNode root = JSON.createObjectNode().put("name", "n0").put("listen", text(listen))
-                .put("discovery", text(discovery)).put("seed", "0000000000000001")
-                .put("admin_addr", text(admin));
+        ObjectNode root = JSON.createObjectNode().put("name", "n0").put("listen", hostAndPort(listen))
+                .put("discovery", hostAndPort(discovery)).put("seed", "0000000000000001")
+                .put("admin_addr", hostAndPort(admin));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", sockets);
         root.set("known", list(upstreams));
         ObjectNode settings = root.putObject("settings").put("position", 0).put("siblings", 1).put("tier", 0)
@@ -55,7 +55,7 @@
                 .put("overShareWorth", 0.1).put("weightKind", "silent");
         settings.putArray("stages").add("front");
         settings.putArray("zones").add(ZONE);
-        settings.putArray("machineTypes").add(KIND);
+        settings.putArray("machineTypes").add(MACHINE_TYPE);
         settings.putObject("familyInfo").put("passesDeadline", true);
         settings.putObject("callers").put("marksRetry", false);
         settings.putObject("stats").put("how", "silent").putArray("fields");
@@ -80,7 +80,7 @@
         return root;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/cranedeal/lab/slope/DataPathConnections.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathConnections.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** What a client's kept connection costs a balancer in memory: resident, by how many stand idle. */
+/** Measures the balancer's resident memory by the number of idle client connections. */
 @Command(name = "connections", mixinStandardHelpOptions = true,
         description = "Memory of a balancer by how many connections its clients keep.")
 final class DataPathConnections extends Study {
@@ -20,16 +20,16 @@
     private static final double WARM_UP_RATE = 500;
 
     @Option(names = "--connections", split = ",", defaultValue = "100,200,400,800", paramLabel = "N",
-            description = "The sizes, in the order in which they are opened; default ${DEFAULT-VALUE}.")
+            description = "Numbers of idle connections to measure at; default ${DEFAULT-VALUE}.")
     private List<Integer> sizes;
     @Option(names = "--upstreams", defaultValue = "25", paramLabel = "N",
             description = "How many upstreams there are; default ${DEFAULT-VALUE}.")
     private int upstreams;
     @Option(names = "--repeat", defaultValue = "3", paramLabel = "N",
-            description = "Balancers, one after the other; default ${DEFAULT-VALUE}.")
+            description = "How many balancers are measured, one after the other; default ${DEFAULT-VALUE}.")
     private int repeat;
     @Option(names = "--warm-up", defaultValue = "6", paramLabel = "SECONDS",
-            description = "Calls before any is counted; default ${DEFAULT-VALUE}.")
+            description = "How long calls are sent before measuring; default ${DEFAULT-VALUE}.")
     private double warmUp;
     @Mixin
     private ProgramUnderTest program;
@@ -37,14 +37,14 @@
     @Override
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
         List<Integer> sorted = sizes.stream().sorted().distinct().toList();
-        if (sorted.size() < Line.LEAST_SIZES || sorted.get(0) < 1 || upstreams < 1 || repeat < 1
+        if (sorted.size() < Line.MIN_SIZES || sorted.get(0) < 1 || upstreams < 1 || repeat < 1
                 || !(warmUp > 0)) {
-            throw wrong("four sizes or more, and numbers above 0, are wanted");
+            throw wrong("--connections needs at least four sizes, and all numbers must be above 0");
         }
         Map<Integer, List<Double>> rss = new LinkedHashMap<>();
         for (int i = 0; i < repeat; i++) {
-            try (DataPathStage stage = new DataPathStage(program.command(), upstreams, 0)) {
-                stage.client().play(List.of(stage.listen()), WARM_UP_RATE, warmUp, i);
+            try (DataPathBench stage = new DataPathBench(program.command(), upstreams, 0)) {
+                stage.client().run(List.of(stage.listen()), WARM_UP_RATE, warmUp, i);
                 stage.client().close();
                 int open = 0;
                 for (int size : sorted) {
@@ -52,7 +52,7 @@
                         throw new IOException("the balancer did not keep " + size + " connections");
                     }
                     open = size;
-                    rss.computeIfAbsent(size, one -> new ArrayList<>()).add((double) stage.rssKb());
+                    rss.computeIfAbsent(size, absent -> new ArrayList<>()).add((double) stage.rssKb());
                 }
             }
         }
--- a/src/main/java/cranedeal/lab/slope/DataPathStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathStudy.java
@@ -17,28 +17,28 @@
 import picocli.CommandLine.Option;
 
 /**
- * What a balancer adds to a call: the same calls sent directly to the upstreams and through one balancer, in
- * pairs, one after the other.
+ * Measures the latency that a balancer adds to a call. It sends the same calls directly to the upstreams and
+ * through one balancer, in pairs of runs one after the other.
  */
 @Command(name = "data-path", mixinStandardHelpOptions = true,
-        description = "Time that a balancer adds to a call, and what a call costs it, by rate and list.")
+        description = "Latency that a balancer adds to a call, and its cost per call, by rate and list size.")
 final class DataPathStudy extends Study {
 
-    /** Quantiles in the names of series, in percent. */
+    /** Percentiles by their label in series names. */
     private static final Map<String, Double> QUANTILES = new TreeMap<>(Map.of("p50", 50.0, "p99", 99.0,
             "p999", 99.9));
     private static final double NANOS_PER_US = 1e3;
-    /** The seed of the warm-up; pairs are numbered from 1. */
+    /** The seed of the warm-up; pairs use their number, from 1 on, as seed. */
     private static final long WARM_UP = 0;
 
     @Option(names = "--rates", split = ",", defaultValue = "10,50,231,700,1500", paramLabel = "N",
-            description = "Calls a second, 10 for an idle balancer; default ${DEFAULT-VALUE}.")
+            description = "Calls per second, 10 for an idle balancer; default ${DEFAULT-VALUE}.")
     private List<Double> rates;
     @Option(names = "--lists", split = ",", defaultValue = "25", paramLabel = "N",
             description = "How many upstreams there are; default ${DEFAULT-VALUE}.")
     private List<Integer> lists;
     @Option(names = "--along", defaultValue = "rates", paramLabel = "rates|lists",
-            description = "Which of them the lines go along; default ${DEFAULT-VALUE}.")
+            description = "Which of the two lines are fitted over; default ${DEFAULT-VALUE}.")
     private String along;
     @Option(names = "--seconds", defaultValue = "4",
             description = "How long each half of a pair lasts; default ${DEFAULT-VALUE}.")
@@ -47,19 +47,20 @@
             description = "Pairs at each point; default ${DEFAULT-VALUE}.")
     private int pairs;
     @Option(names = "--warm-up", defaultValue = "8", paramLabel = "SECONDS",
-            description = "At the greatest rate, for each list; counted apart. Default ${DEFAULT-VALUE}.")
+            description = "Warm-up for each list, at the greatest rate, counted separately; "
+                    + "default ${DEFAULT-VALUE}.")
     private double warmUp;
     @Option(names = "--work-us", defaultValue = "0", paramLabel = "N",
-            description = "Microseconds that an upstream takes for an answer; default ${DEFAULT-VALUE}.")
+            description = "Microseconds that an upstream takes to answer; default ${DEFAULT-VALUE}.")
     private long workUs;
     @Mixin
     private ProgramUnderTest program;
 
-    /** A point of the grid. */
-    private record Place(double rate, int list) { }
+    /** One combination of rate and list size. */
+    private record GridPoint(double rate, int list) { }
 
-    /** A pair: the same calls directly and through the balancer; {@code bytes} NaN where not measured. */
-    private record Pair(DataPathClient.Block direct, DataPathClient.Block through, double cpuUs,
+    /** The same calls sent directly and through the balancer; {@code bytes} is NaN if not measured. */
+    private record Pair(DataPathClient.Results direct, DataPathClient.Results through, double cpuUs,
             double bytes) {
 
         double addedUs(double percent) {
@@ -67,32 +68,32 @@
         }
     }
 
-    private static double us(Histogram of, double percent) {
-        return of.getValueAtPercentile(percent) / NANOS_PER_US;
+    private static double us(Histogram histogram, double percent) {
+        return histogram.getValueAtPercentile(percent) / NANOS_PER_US;
     }
 
     @Override
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
         boolean byRate = along.equals("rates");
         if (!byRate && !along.equals("lists")) {
-            throw wrong("--along: rates or lists is wanted, not '" + along + "'");
+            throw wrong("--along must be rates or lists, not '" + along + "'");
         }
-        if ((byRate ? rates.size() : lists.size()) < Line.LEAST_SIZES) {
-            throw wrong("--" + along + ": " + Line.LEAST_SIZES + " or more are wanted for a line");
+        if ((byRate ? rates.size() : lists.size()) < Line.MIN_SIZES) {
+            throw wrong("--" + along + ": " + Line.MIN_SIZES + " or more values are needed to fit a line");
         }
         if (!rates.stream().allMatch(rate -> rate > 0 && Double.isFinite(rate)) || !(seconds > 0)
-                || lists.stream().anyMatch(one -> one < 1) || pairs < 1 || !(warmUp > 0) || workUs < 0) {
-            throw wrong("rates, lists, times and pairs above 0 are wanted");
+                || lists.stream().anyMatch(list -> list < 1) || pairs < 1 || !(warmUp > 0) || workUs < 0) {
+            throw wrong("rates, lists, times and pairs must be above 0");
         }
-        Map<Place, List<Pair>> seen = new LinkedHashMap<>();
+        Map<GridPoint, List<Pair>> seen = new LinkedHashMap<>();
         Map<String, Object> warmUps = new LinkedHashMap<>();
         Map<String, Object> memory = new LinkedHashMap<>();
         for (int list : lists) {
-            try (DataPathStage stage = new DataPathStage(program.command(), list, workUs)) {
+            try (DataPathBench stage = new DataPathBench(program.command(), list, workUs)) {
                 warmUps.put(Integer.toString(list), warmUp(stage));
                 for (int pair = 1; pair <= pairs; pair++) {
                     for (double rate : rates) {
-                        seen.computeIfAbsent(new Place(rate, list), place -> new ArrayList<>())
+                        seen.computeIfAbsent(new GridPoint(rate, list), place -> new ArrayList<>())
                                 .add(pair(stage, rate, pair));
                     }
                 }
@@ -101,35 +102,35 @@
         }
         return report(seen, byRate).with("seconds", seconds).with("pairs", pairs).with("work_us", workUs)
                 .with("warm_up_s", warmUp).with("warm_up", warmUps).with("rss_kb", memory)
-                .with("latency", "from a call's writing to its whole answer; the generator's lateness apart");
+                .with("latency", "from writing a call to its complete answer; generator lateness apart");
     }
 
-    /** Calls to each upstream and through the balancer until all of it is compiled and connected. */
-    private Map<String, Object> warmUp(DataPathStage stage) throws InterruptedException {
-        double most = rates.stream().mapToDouble(Double::doubleValue).max().orElseThrow();
-        stage.client().play(stage.upstreams(), most, warmUp, WARM_UP);
-        return told(stage.client().play(List.of(stage.listen()), most, warmUp, WARM_UP));
+    /** Sends calls directly and through the balancer until code is compiled and connections are open. */
+    private Map<String, Object> warmUp(DataPathBench stage) throws InterruptedException {
+        double maxRate = rates.stream().mapToDouble(Double::doubleValue).max().orElseThrow();
+        stage.client().run(stage.upstreams(), maxRate, warmUp, WARM_UP);
+        return countsOf(stage.client().run(List.of(stage.listen()), maxRate, warmUp, WARM_UP));
     }
 
-    private Pair pair(DataPathStage stage, double rate, int number) throws IOException,
+    private Pair pair(DataPathBench stage, double rate, int number) throws IOException,
             InterruptedException {
-        // Which half comes first changes with each pair, so that a drift of the machine favours neither.
+        // The order alternates between pairs, so that a drift of the machine's speed favours neither half.
         boolean directFirst = number % 2 == 1;
-        DataPathClient.Block direct = directFirst ? direct(stage, rate, number) : null;
+        DataPathClient.Results direct = directFirst ? direct(stage, rate, number) : null;
         double before = stage.cpuUs();
-        long mark = stage.mark();
-        DataPathClient.Block through = stage.client().play(List.of(stage.listen()), rate, seconds, number);
+        long mark = stage.logPosition();
+        DataPathClient.Results through = stage.client().run(List.of(stage.listen()), rate, seconds, number);
         double cpu = (stage.cpuUs() - before) / Math.max(1, through.calls());
         double bytes = stage.allocatedPerS(mark) * seconds / Math.max(1, through.calls());
         return new Pair(directFirst ? direct : direct(stage, rate, number), through, cpu, bytes);
     }
 
-    private DataPathClient.Block direct(DataPathStage stage, double rate, int number)
+    private DataPathClient.Results direct(DataPathBench stage, double rate, int number)
             throws InterruptedException {
-        return stage.client().play(stage.upstreams(), rate, seconds, number);
+        return stage.client().run(stage.upstreams(), rate, seconds, number);
     }
 
-    static Map<String, Object> told(DataPathClient.Block block) {
+    static Map<String, Object> countsOf(DataPathClient.Results block) {
         Map<String, Object> counts = new LinkedHashMap<>();
         counts.put("calls", block.calls());
         counts.put("served", block.served());
@@ -148,7 +149,7 @@
         return counts;
     }
 
-    private SlopeReport report(Map<Place, List<Pair>> seen, boolean byRate) {
+    private SlopeReport report(Map<GridPoint, List<Pair>> seen, boolean byRate) {
         SlopeReport report = report(byRate ? "call a second" : "upstream");
         Map<String, Object> counts = new LinkedHashMap<>();
         List<String> missing = new ArrayList<>();
@@ -171,26 +172,26 @@
                     .allMatch(Double::isFinite)) {
                 add(report, "allocated" + name, "bytes", line, Pair::bytes);
             } else {
-                missing.add("allocated" + name + ": a half with fewer than two collections");
+                missing.add("allocated" + name + ": a run with fewer than two garbage collections");
                 line.forEach((at, all) -> all.stream().mapToDouble(Pair::bytes).filter(Double::isFinite)
                         .average().ifPresent(mean -> counts.put("allocated_bytes" + name + "-at-" + plain(at),
                                 Math.round(mean))));
             }
             line.forEach((at, all) -> {
                 counts.put("through" + name + "-at-" + plain(at), all.stream()
-                        .map(pair -> told(pair.through())).toList());
+                        .map(pair -> countsOf(pair.through())).toList());
                 counts.put("direct" + name + "-at-" + plain(at), all.stream()
-                        .map(pair -> told(pair.direct())).toList());
+                        .map(pair -> countsOf(pair.direct())).toList());
             });
         }
         return report.with("counts", counts).with("not_measured", missing);
     }
 
     private static void add(SlopeReport report, String name, String unit, Map<Double, List<Pair>> line,
-            ToDoubleFunction<Pair> what) {
+            ToDoubleFunction<Pair> value) {
         report.add(name, unit, Basis.MEASURED, line.entrySet().stream()
                 .map(entry -> new Point(entry.getKey(), entry.getValue().stream()
-                        .map(what::applyAsDouble).toList())).toList());
+                        .map(value::applyAsDouble).toList())).toList());
     }
 
     private static String plain(double size) {
--- a/src/main/java/cranedeal/lab/slope/DataPathUpstreams.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathUpstreams.java
@@ -30,12 +30,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * All upstreams of the bench, a process of their own: each a port of loopback that answers at once, or after
- * the same time always. They never are busy, so that whatever is refused is refused for no reason of theirs.
+ * The process that runs all upstreams of a measurement. Each upstream is a loopback port that answers at once
+ * or after a fixed delay. Upstreams are never overloaded, so they never cause a refusal.
  */
 final class DataPathUpstreams {
 
-    private static final int LARGEST = 64 * 1024;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
     private static final int BACKLOG = 1_024;
     private static final ByteBuf BODY = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
             "{\"slot\":\"2026-12-01T10:20\",\"free\":true}", StandardCharsets.UTF_8));
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Listens on free ports and writes them to a file, one a line, once all do.
+     * Listens on free ports and, once all are bound, writes them to a file, one per line.
      *
-     * @param args how many, the time that each takes in microseconds, the file
+     * @param args the number of upstreams, the delay of an answer in microseconds, the file
      */
     public static void main(String[] args) throws Exception {
         int count = Integer.parseInt(args[0]);
@@ -59,8 +59,8 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST),
-                                new Answering(workUs));
+                        channel.pipeline().addLast(new HttpServerCodec(),
+                                new HttpObjectAggregator(MAX_REQUEST_BYTES), new AnswerHandler(workUs));
                     }
                 });
         List<String> lines = new ArrayList<>();
@@ -68,19 +68,19 @@
             Channel bound = server.bind("127.0.0.1", 0).sync().channel();
             lines.add(Integer.toString(((InetSocketAddress) bound.localAddress()).getPort()));
         }
-        // Whoever waits for the file must never see half of it.
+        // Moved atomically, so that the waiting process never reads a partial file.
         Path part = ports.resolveSibling(ports.getFileName() + ".part");
         Files.write(part, lines);
         Files.move(part, ports, StandardCopyOption.ATOMIC_MOVE);
         new CountDownLatch(1).await();
     }
 
-    /** Answers what comes on a connection. */
-    private static final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Answers the requests on a connection. */
+    private static final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private final long workUs;
 
-        Answering(long workUs) {
+        AnswerHandler(long workUs) {
             this.workUs = workUs;
         }
 
--- a/src/main/java/cranedeal/lab/slope/DrainCommand.java
+++ b/src/main/java/cranedeal/lab/slope/DrainCommand.java
@@ -88,7 +88,7 @@
             DrainTrial.Seen seen = trial.play();
             out.printf(Locale.ROOT, "%s upstreams=%d balancers=%d seed=%d last=%.0f ms late=%d lists=%d KB "
                     + "%s%n", name, plan.upstreams(), plan.balancers(), plan.seed(), seen.lastMs(),
-                    seen.late(), seen.listBytes() / BYTES_PER_KB, DataPathStudy.told(seen.requests()));
+                    seen.late(), seen.listBytes() / BYTES_PER_KB, DataPathStudy.countsOf(seen.requests()));
             for (int i = 0; calls && i < plan.balancers(); i++) {
                 trial.log(i).lines().filter(line -> line.contains("discovery")).forEach(out::println);
             }
--- a/src/main/java/cranedeal/lab/slope/DrainTrial.java
+++ b/src/main/java/cranedeal/lab/slope/DrainTrial.java
@@ -58,7 +58,7 @@
      * @param lastMs from the change to the last request to an upstream that had left; 0 if none came
      * @param late how many came later than {@link #LATEST_MS}
      */
-    record Seen(double lastMs, long late, DataPathClient.Block requests, long listBytes) { }
+    record Seen(double lastMs, long late, DataPathClient.Results requests, long listBytes) { }
 
     private final Path folder = Files.createTempDirectory("drain");
     private final ProcessSupervisor warden = new ProcessSupervisor();
@@ -79,13 +79,14 @@
         command.add("serve");
         balancers = new ChildProcess[plan.balancers()];
         upstreams = new CountingUpstreams(loops, plan.upstreams());
-        InetSocketAddress list = DataPathStage.free();
+        InetSocketAddress list = DataPathBench.freeAddress();
         discovery = new DiscoveryServer(loops.next(), new LabClock(), 0,
                 Map.of(InetAddress.getByName(ADDRESS), 0), Map.of(0, "n0"),
                 (to, of) -> upstreams.addresses().get(of), event -> { });
         discovery.bind(list);
         for (int i = 0; i < plan.upstreams(); i++) {
-            discovery.list(DataPathConfig.id(i), i, DataPathConfig.ZONE, DataPathConfig.KIND, 0, 1).sync();
+            discovery.list(DataPathConfig.id(i), i, DataPathConfig.ZONE, DataPathConfig.MACHINE_TYPE, 0, 1)
+                    .sync();
         }
         for (int i = 0; i < plan.balancers(); i++) {
             configure(list, i);
@@ -97,10 +98,10 @@
     }
 
     private void configure(InetSocketAddress list, int number) throws IOException {
-        InetSocketAddress listen = DataPathStage.free();
+        InetSocketAddress listen = DataPathBench.freeAddress();
         listening.add(listen);
-        Files.writeString(config(number), DataPathConfig.of(listen, list, DataPathStage.free(),
-                upstreams.addresses(), DataPathConfig.SOCKETS).put("seed", "%016x".formatted(
+        Files.writeString(config(number), DataPathConfig.of(listen, list, DataPathBench.freeAddress(),
+                upstreams.addresses(), DataPathConfig.DEFAULT_SOCKETS).put("seed", "%016x".formatted(
                         plan.seed() * plan.balancers() + number + 1)).toPrettyString());
     }
 
@@ -162,7 +163,7 @@
                         TimeUnit.MILLISECONDS);
             }
             clock.schedule(this::change, (long) ((WARM_UP_S + TROUBLE_S) * MS_PER_S), TimeUnit.MILLISECONDS);
-            DataPathClient.Block block = new DataPathClient(loops.next()).play(listening, plan.rate(),
+            DataPathClient.Results block = new DataPathClient(loops.next()).run(listening, plan.rate(),
                     WARM_UP_S + TROUBLE_S + plan.afterS(), plan.seed());
             List<Double> after = upstreams.calls().stream().map(at -> (at - changedAt) / NANOS_PER_MS)
                     .filter(ms -> ms > 0).toList();
--- a/src/main/java/cranedeal/lab/slope/GoodputStudy.java
+++ b/src/main/java/cranedeal/lab/slope/GoodputStudy.java
@@ -62,8 +62,8 @@
 
     @Override
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
-        if (rates.size() < Line.LEAST_SIZES) {
-            throw wrong("--rates: " + Line.LEAST_SIZES + " or more are wanted for a line");
+        if (rates.size() < Line.MIN_SIZES) {
+            throw wrong("--rates: " + Line.MIN_SIZES + " or more are wanted for a line");
         }
         if (rates.stream().anyMatch(rate -> !(rate > 0)) || upstreams < 1 || !(seconds > 0) || processor < 0
                 || busy < 0 || sockets < 1 || connections < 1 || !(afterRate > 0) || workMs < 0) {
@@ -88,9 +88,9 @@
                 .with("busy", busy).with("sockets", sockets).with("connections", connections);
         Map<String, Object> counts = new LinkedHashMap<>();
         seen.forEach((rate, one) -> {
-            counts.put("load-at-" + rate.longValue(), DataPathStudy.told(one.load()));
+            counts.put("load-at-" + rate.longValue(), DataPathStudy.countsOf(one.load()));
             counts.put("causes-at-" + rate.longValue(), one.causes());
-            counts.put("after-" + rate.longValue(), DataPathStudy.told(one.after()));
+            counts.put("after-" + rate.longValue(), DataPathStudy.countsOf(one.after()));
         });
         add(report, "goodput", "calls/s", seen, one -> one.load().served() / seconds);
         add(report, "refused", "share", seen, one -> share(one.load().refused(), one.load()));
@@ -106,7 +106,7 @@
         return report.with("counts", counts);
     }
 
-    private static double share(long part, DataPathClient.Block of) {
+    private static double share(long part, DataPathClient.Results of) {
         return (double) part / Math.max(1, of.calls());
     }
 
--- a/src/main/java/cranedeal/lab/slope/LoadProfile.java
+++ b/src/main/java/cranedeal/lab/slope/LoadProfile.java
@@ -5,12 +5,12 @@
 import java.util.SplittableRandom;
 
 /**
- * How many calls a second are offered over the time of a block: the full rate, which is reached and left in
- * equal steps.
+ * The rate of calls over the duration of a block: it rises to the full rate and falls from it in equal steps.
  *
- * @param perS calls a second at the full rate
- * @param seconds how long the block lasts
- * @param steps in how many steps the rate rises over the first quarter, and falls over the last; 1 for none
+ * @param perS calls per second at the full rate
+ * @param seconds duration of the block
+ * @param steps number of steps in which the rate rises over the first quarter and falls over the last; 1 for
+ *     a constant rate
  */
 record LoadProfile(double perS, double seconds, int steps) {
 
@@ -20,7 +20,7 @@
         return new LoadProfile(perS, seconds, 1);
     }
 
-    /** The rate at a time in seconds from the beginning of the block. */
+    /** Returns the rate at a time in seconds since the start of the block. */
     double rateAt(double at) {
         double ramp = RAMP_SHARE * seconds;
         double fromEdge = Math.min(at, seconds - at);
@@ -30,7 +30,7 @@
         return perS * (Math.floor(fromEdge / ramp * steps) + 1) / steps;
     }
 
-    /** The times in seconds at which calls are due: a Poisson process, the same for the same seed. */
+    /** Draws the times in seconds at which calls are due, as a Poisson process; equal seeds, equal times. */
     List<Double> arrivals(SplittableRandom random) {
         List<Double> due = new ArrayList<>();
         for (double at = gap(random); at < seconds; at += gap(random)) {
--- a/src/main/java/cranedeal/lab/slope/Machine.java
+++ b/src/main/java/cranedeal/lab/slope/Machine.java
@@ -9,22 +9,22 @@
 import java.util.stream.Stream;
 
 /**
- * On what a study was run; nothing that names the machine.
+ * Describes the machine that a study ran on, without anything that identifies it.
  *
- * @param processor its model, as the system has it
- * @param cores those that this process may use
- * @param memoryMb of the machine
+ * @param processor the processor model as the system reports it
+ * @param cores number of cores available to this process
+ * @param memoryMb the machine's memory in MB
  * @param system the operating system and its version
  * @param java the runtime and its version
- * @param flags those of the virtual machine, without paths
- * @param load the load average of the minute before
+ * @param flags the JVM's -X flags, except those that contain a path
+ * @param load the load average over the last minute
  */
 record Machine(String processor, int cores, long memoryMb, String system, String java, List<String> flags,
         double load) {
 
     private static final int MB = 1 << 20;
 
-    static Machine here() {
+    static Machine current() {
         OperatingSystemMXBean system =
                 (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         return new Machine(model(), Runtime.getRuntime().availableProcessors(),
--- a/src/main/java/cranedeal/lab/slope/OverloadCommand.java
+++ b/src/main/java/cranedeal/lab/slope/OverloadCommand.java
@@ -54,9 +54,9 @@
         try {
             OverloadPlay seen = OverloadPlay.play(program.command(), scenario, processor, SOCKETS, CALM);
             print((seen.faults().isEmpty() ? "held" : "BROKE " + seen.faults()) + "  " + scenario);
-            print("    load  " + DataPathStudy.told(seen.load()) + " in " + Math.round(seen.cpuUs() / 1e3)
+            print("    load  " + DataPathStudy.countsOf(seen.load()) + " in " + Math.round(seen.cpuUs() / 1e3)
                     + " ms of processor time");
-            print("    after " + DataPathStudy.told(seen.after()));
+            print("    after " + DataPathStudy.countsOf(seen.after()));
             print("    by    " + seen.causes());
             if (!seen.faults().isEmpty()) {
                 print("    all   " + seen.figures());
--- a/src/main/java/cranedeal/lab/slope/OverloadPlay.java
+++ b/src/main/java/cranedeal/lab/slope/OverloadPlay.java
@@ -1,6 +1,6 @@
 package cranedeal.lab.slope;
 
-import cranedeal.lab.slope.DataPathStage.Processor;
+import cranedeal.lab.slope.DataPathBench.Processor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
  * @param before the balancer's figures before the load
  * @param figures the same after the last call
  */
-record OverloadPlay(DataPathClient.Block load, DataPathClient.Block after, double cpuUs,
+record OverloadPlay(DataPathClient.Results load, DataPathClient.Results after, double cpuUs,
         Map<String, Long> before, Map<String, Long> figures) {
 
     private static final double RECOVERY_S = 2;
@@ -37,25 +37,25 @@
     /** Plays a scenario with the given calm around its load, on a balancer of its own. */
     static OverloadPlay play(List<String> program, OverloadScenario scenario, int processor, int sockets,
             Calm calm) throws IOException, InterruptedException {
-        try (DataPathStage stage = new DataPathStage(program, scenario.upstreams(),
+        try (DataPathBench stage = new DataPathBench(program, scenario.upstreams(),
                 TimeUnit.MILLISECONDS.toMicros(scenario.workMs()), sockets, scenario.connections(),
                 new Processor(processor, scenario.competitors()))) {
             List<InetSocketAddress> balancer = List.of(stage.listen());
             DataPathClient client = stage.client();
             long seed = scenario.seed();
-            client.play(balancer, LoadProfile.constant(calm.perS(), calm.seconds()), seed);
-            Map<String, Long> before = stage.allFigures();
+            client.run(balancer, LoadProfile.constant(calm.perS(), calm.seconds()), seed);
+            Map<String, Long> before = stage.allMetrics();
             double cpuBefore = stage.cpuUs();
-            DataPathClient.Block load = playWithPause(stage, balancer, scenario);
+            DataPathClient.Results load = playWithPause(stage, balancer, scenario);
             double cpuUs = stage.cpuUs() - cpuBefore;
-            client.play(balancer, LoadProfile.constant(calm.perS(), RECOVERY_S), seed + 2);
-            DataPathClient.Block after = client.play(balancer,
+            client.run(balancer, LoadProfile.constant(calm.perS(), RECOVERY_S), seed + 2);
+            DataPathClient.Results after = client.run(balancer,
                     LoadProfile.constant(calm.perS(), calm.seconds()), seed + 3);
-            return new OverloadPlay(load, after, cpuUs, before, stage.allFigures());
+            return new OverloadPlay(load, after, cpuUs, before, stage.allMetrics());
         }
     }
 
-    private static DataPathClient.Block playWithPause(DataPathStage stage, List<InetSocketAddress> balancer,
+    private static DataPathClient.Results playWithPause(DataPathBench stage, List<InetSocketAddress> balancer,
             OverloadScenario scenario) throws IOException, InterruptedException {
         ExecutorService pauses = Executors.newSingleThreadExecutor();
         try {
@@ -63,7 +63,7 @@
                 pause(stage, scenario);
                 return null;
             });
-            DataPathClient.Block load = stage.client().play(balancer, scenario.load(), scenario.seed() + 1);
+            DataPathClient.Results load = stage.client().run(balancer, scenario.load(), scenario.seed() + 1);
             paused.get();
             return load;
         } catch (ExecutionException e) {
@@ -73,7 +73,7 @@
         }
     }
 
-    private static void pause(DataPathStage stage, OverloadScenario scenario)
+    private static void pause(DataPathBench stage, OverloadScenario scenario)
             throws IOException, InterruptedException {
         if (scenario.pauseMs() > 0) {
             TimeUnit.MILLISECONDS.sleep((long) (scenario.load().seconds() * MS_PER_S / 2));
--- a/src/main/java/cranedeal/lab/slope/SlopeReport.java
+++ b/src/main/java/cranedeal/lab/slope/SlopeReport.java
@@ -58,7 +58,7 @@
         this.study = study;
         this.command = command;
         this.size = size;
-        machine = Machine.here();
+        machine = Machine.current();
     }
 
     /** Tells something of how it was measured: a number, a text or a list of numbers. */
@@ -103,7 +103,7 @@
         ObjectNode points = to.putObject("points");
         for (Point point : one.points()) {
             ObjectNode at = points.putObject(plain(point.size())).put("median", point.median())
-                    .put("least", point.least()).put("most", point.most());
+                    .put("least", point.min()).put("most", point.max());
             ArrayNode values = at.putArray("values");
             point.values().forEach(values::add);
         }
@@ -162,7 +162,7 @@
                     one.basis().name().toLowerCase(Locale.ROOT)));
             one.points().forEach(point -> lines.add(String.format(Locale.ROOT,
                     "  %10s %-8s %12.6g  (%.6g to %.6g, %d runs)", plain(point.size()), size, point.median(),
-                    point.least(), point.most(), point.values().size())));
+                    point.min(), point.max(), point.values().size())));
             for (Line piece : one.fit().pieces()) {
                 lines.add(String.format(Locale.ROOT, "  %s from %s to %s: %.4g + %.4g each; residual %.3g,"
                         + " worst %.1f%%", one.fit().isStraight() ? "line" : "not straight; piece",
--- a/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
+++ b/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
@@ -2,7 +2,7 @@
 
 import cranedeal.fleet.command.CommandException;
 import cranedeal.lab.LabCommand.ProgramUnderTest;
-import cranedeal.lab.slope.DataPathStage.Processor;
+import cranedeal.lab.slope.DataPathBench.Processor;
 import cranedeal.lab.slope.SlopeReport.Basis;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -55,12 +55,12 @@
     private ProgramUnderTest program;
 
     /** What one balancer has needed. */
-    private record Seen(DataPathClient.Block block, double cpuS, double peakMb, double descriptors,
+    private record Seen(DataPathClient.Results block, double cpuS, double peakMb, double descriptors,
             double connects, double listKb) { }
 
     @Override
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
-        if (lists.size() < Line.LEAST_SIZES || lists.stream().anyMatch(list -> list < 2 * WAVES)
+        if (lists.size() < Line.MIN_SIZES || lists.stream().anyMatch(list -> list < 2 * WAVES)
                 || !(rate > 0) || !(seconds > 0) || sockets < 1 || repeat < 1) {
             throw wrong("four lists of " + 2 * WAVES + " or more, and numbers above 0, are wanted");
         }
@@ -75,26 +75,26 @@
 
     private Seen play(int list, long seed) throws CommandException, IOException, InterruptedException {
         ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
-        try (DataPathStage stage = new DataPathStage(program.command(), list, 0, sockets,
+        try (DataPathBench stage = new DataPathBench(program.command(), list, 0, sockets,
                 Integer.MAX_VALUE, Processor.ANY)) {
             List<InetSocketAddress> balancer = List.of(stage.listen());
-            stage.client().play(balancer, rate, WARM_UP_S, 0);
+            stage.client().run(balancer, rate, WARM_UP_S, 0);
             Waves waves = new Waves(stage, list);
             clock.scheduleAtFixedRate(waves::next, WAVE_MS, WAVE_MS, TimeUnit.MILLISECONDS);
             int[] most = new int[1];
             clock.scheduleAtFixedRate(() -> most[0] = Math.max(most[0], descriptors(stage)), SAMPLE_MS,
                     SAMPLE_MS, TimeUnit.MILLISECONDS);
-            DataPathClient.Block block = stage.client().play(balancer, rate, seconds, seed);
+            DataPathClient.Results block = stage.client().run(balancer, rate, seconds, seed);
             clock.shutdownNow();
             clock.awaitTermination(1, TimeUnit.MINUTES);
             return new Seen(block, stage.cpuUs() / US_PER_S, stage.peakKb() / 1024.0, most[0],
-                    stage.figure("connects"), stage.discovery().listBytes() / 1024.0);
+                    stage.metric("connects"), stage.discovery().listBytes() / 1024.0);
         } finally {
             clock.shutdownNow();
         }
     }
 
-    private static int descriptors(DataPathStage stage) {
+    private static int descriptors(DataPathBench stage) {
         try {
             return stage.descriptors();
         } catch (IOException e) {
@@ -105,11 +105,11 @@
     /** Half of the upstreams, in waves: each is drained, and is back some waves later, started anew. */
     private static final class Waves {
 
-        private final DataPathStage stage;
+        private final DataPathBench stage;
         private final int size;
         private int wave;
 
-        Waves(DataPathStage stage, int list) {
+        Waves(DataPathBench stage, int list) {
             this.stage = stage;
             size = list / 2 / WAVES;
         }
@@ -136,7 +136,7 @@
                 .with("sockets", sockets).with("repeat", repeat);
         Map<String, Object> counts = new LinkedHashMap<>();
         seen.forEach((list, all) -> counts.put("calls-at-" + list,
-                all.stream().map(one -> DataPathStudy.told(one.block())).toList()));
+                all.stream().map(one -> DataPathStudy.countsOf(one.block())).toList()));
         add(report, "cpu", "s", seen, Seen::cpuS);
         add(report, "peak", "MB", seen, Seen::peakMb);
         add(report, "descriptors", "descriptors", seen, Seen::descriptors);
--- a/src/test/java/cranedeal/lab/slope/DataPathTest.java
+++ b/src/test/java/cranedeal/lab/slope/DataPathTest.java
@@ -38,7 +38,7 @@
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Answers server = new Answers("200", "503", "500", "gone")) {
             DataPathClient client = new DataPathClient(loops.next());
-            DataPathClient.Block block = client.play(List.of(server.address()), 400, 0.5, 7);
+            DataPathClient.Results block = client.run(List.of(server.address()), 400, 0.5, 7);
             assertEquals(server.taken(), block.calls());
             assertTrue(block.calls() > 100, block.calls() + " calls");
             assertEquals(0, block.unanswered());
@@ -49,7 +49,7 @@
             assertEquals(block.served(), block.latency().getTotalCount());
             assertEquals(block.calls(), block.lateness().getTotalCount());
             // The same seed plays the same calls again.
-            assertEquals(block.calls(), client.play(List.of(server.address()), 400, 0.5, 7).calls());
+            assertEquals(block.calls(), client.run(List.of(server.address()), 400, 0.5, 7).calls());
         } finally {
             loops.shutdownGracefully().syncUninterruptibly();
         }
@@ -63,9 +63,9 @@
                 [1.001s] GC(1) Pause Young (Allocation Failure) 9M->3M(24M) 0.866ms
                 [2.500s] GC(2) Eden: 6656K(6656K)->0K(6656K) From: 831K(832K)->830K(832K)
                 """;
-        assertEquals(1_024.0 * (6_000 + 6_656) / 2, DataPathStage.allocatedPerS(log), 1e-6);
-        assertTrue(Double.isNaN(DataPathStage.allocatedPerS(log.lines().findFirst().orElseThrow())));
-        assertTrue(Double.isNaN(DataPathStage.allocatedPerS("")));
+        assertEquals(1_024.0 * (6_000 + 6_656) / 2, DataPathBench.allocatedPerS(log), 1e-6);
+        assertTrue(Double.isNaN(DataPathBench.allocatedPerS(log.lines().findFirst().orElseThrow())));
+        assertTrue(Double.isNaN(DataPathBench.allocatedPerS("")));
     }
 
     @Test
--- a/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
+++ b/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.lab.LabCommand.ProgramUnderTest;
-import cranedeal.lab.slope.DataPathStage.Processor;
+import cranedeal.lab.slope.DataPathBench.Processor;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,18 +22,19 @@
 
     @Test
     void socketsThatFailForAWhileAreAnsweredForAndForgotten() throws Exception {
-        try (DataPathStage stage = new DataPathStage(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
+        try (DataPathBench stage = new DataPathBench(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
                 SOCKETS / 3, Processor.ANY)) {
             List<InetSocketAddress> balancer = List.of(stage.listen());
-            stage.client().play(balancer, RATE, SECONDS, 1);
+            stage.client().run(balancer, RATE, SECONDS, 1);
             stage.balancer().limitDescriptors(stage.descriptors());
-            DataPathClient.Block shortOfSockets = stage.client().play(balancer, RATE, SECONDS, 2);
+            DataPathClient.Results shortOfSockets = stage.client().run(balancer, RATE, SECONDS, 2);
             stage.balancer().limitDescriptors(USUAL);
-            stage.client().play(balancer, RATE, SECONDS, 3);
-            DataPathClient.Block after = stage.client().play(balancer, RATE, SECONDS, 4);
-            assertEquals(0, shortOfSockets.unanswered(), () -> DataPathStudy.told(shortOfSockets).toString());
+            stage.client().run(balancer, RATE, SECONDS, 3);
+            DataPathClient.Results after = stage.client().run(balancer, RATE, SECONDS, 4);
+            assertEquals(0, shortOfSockets.unanswered(),
+                    () -> DataPathStudy.countsOf(shortOfSockets).toString());
             assertTrue(stage.balancer().isAlive());
-            assertEquals(after.calls(), after.served(), () -> "after it: " + DataPathStudy.told(after));
+            assertEquals(after.calls(), after.served(), () -> "after it: " + DataPathStudy.countsOf(after));
         }
     }
 }
--- a/src/test/java/cranedeal/lab/slope/LineTest.java
+++ b/src/test/java/cranedeal/lab/slope/LineTest.java
@@ -105,7 +105,7 @@
     void theMedianIsTheMiddleOne() {
         assertEquals(3, Point.of(1, 9, 1, 3).median(), EPS);
         assertEquals(4, Point.of(1, 9, 1, 3, 5).median(), EPS);
-        assertEquals(1, Point.of(1, 9, 1, 3, 5).least(), EPS);
-        assertEquals(9, Point.of(1, 9, 1, 3, 5).most(), EPS);
+        assertEquals(1, Point.of(1, 9, 1, 3, 5).min(), EPS);
+        assertEquals(9, Point.of(1, 9, 1, 3, 5).max(), EPS);
     }
 }
--- a/src/test/java/cranedeal/lab/slope/OverloadScenarioTest.java
+++ b/src/test/java/cranedeal/lab/slope/OverloadScenarioTest.java
@@ -24,8 +24,8 @@
                 USUAL_SEED)));
         System.out.println("plays " + scenario);
         OverloadPlay seen = OverloadPlay.play(new ProgramUnderTest().command(), scenario, 0, SOCKETS, CALM);
-        assertEquals(List.of(), seen.faults(), () -> scenario + ": " + DataPathStudy.told(seen.load()) + ", "
-                + DataPathStudy.told(seen.after()) + ", " + seen.causes());
+        assertEquals(List.of(), seen.faults(), () -> scenario + ": " + DataPathStudy.countsOf(seen.load())
+                + ", " + DataPathStudy.countsOf(seen.after()) + ", " + seen.causes());
     }
 
     @Test
