--- a/src/main/java/cranedeal/lab/slope/DataPathConnections.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathConnections.java
@@ -39,7 +39,7 @@
         List<Integer> sorted = sizes.stream().sorted().distinct().toList();
         if (sorted.size() < Line.MIN_SIZES || sorted.get(0) < 1 || upstreams < 1 || repeat < 1
                 || !(warmUp > 0)) {
-            throw wrong("--connections needs at least four sizes, and all numbers must be above 0");
+            throw usageError("--connections needs at least four sizes, and all numbers must be above 0");
         }
         Map<Integer, List<Double>> rss = new LinkedHashMap<>();
         for (int i = 0; i < repeat; i++) {
--- a/src/main/java/cranedeal/lab/slope/DataPathStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathStudy.java
@@ -76,14 +76,14 @@
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
         boolean byRate = along.equals("rates");
         if (!byRate && !along.equals("lists")) {
-            throw wrong("--along must be rates or lists, not '" + along + "'");
+            throw usageError("--along must be rates or lists, not '" + along + "'");
         }
         if ((byRate ? rates.size() : lists.size()) < Line.MIN_SIZES) {
-            throw wrong("--" + along + ": " + Line.MIN_SIZES + " or more values are needed to fit a line");
+            throw usageError("--" + along + ": " + Line.MIN_SIZES + " or more values are needed for a line");
         }
         if (!rates.stream().allMatch(rate -> rate > 0 && Double.isFinite(rate)) || !(seconds > 0)
                 || lists.stream().anyMatch(list -> list < 1) || pairs < 1 || !(warmUp > 0) || workUs < 0) {
-            throw wrong("rates, lists, times and pairs must be above 0");
+            throw usageError("rates, lists, times and pairs must be above 0");
         }
         Map<GridPoint, List<Pair>> seen = new LinkedHashMap<>();
         Map<String, Object> warmUps = new LinkedHashMap<>();
--- a/src/main/java/cranedeal/lab/slope/DepthStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DepthStudy.java
@@ -12,31 +12,31 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What the leaf of a chain gets for each request at its top, by the number of tiers, in virtual time. */
+/** Simulates how many attempts reach the last tier for each client request, by the number of tiers. */
 @Command(name = "depth", mixinStandardHelpOptions = true,
-        description = "Attempts at the last of several tiers for each request at the first, while the last"
-                + " is in trouble; in virtual time.")
+        description = "Attempts at the last of several tiers per request at the first, while the last"
+                + " is faulty; in virtual time.")
 final class DepthStudy extends Study {
 
-    private static final double S = 1_000;
+    private static final double MS_PER_S = 1_000;
 
     @Option(names = "--tiers", split = ",", defaultValue = "1,2,4,9,18", paramLabel = "N",
-            description = "How many tiers; default ${DEFAULT-VALUE}.")
+            description = "Numbers of tiers; default ${DEFAULT-VALUE}.")
     private List<Integer> tiers;
     @Option(names = "--width", defaultValue = "8", paramLabel = "N",
             description = "Upstreams of each tier, and balancers before the first; default ${DEFAULT-VALUE}.")
     private int width;
     @Option(names = "--rate", defaultValue = "231", paramLabel = "N",
-            description = "Requests a second at each balancer; default ${DEFAULT-VALUE}.")
+            description = "Requests per second at each balancer; default ${DEFAULT-VALUE}.")
     private double rate;
-    @Option(names = "--work-ms", defaultValue = "2", description = "An upstream's own work for a request.")
+    @Option(names = "--work-ms", defaultValue = "2", description = "Mean service time of an upstream.")
     private double workMs;
-    @Option(names = "--slow-times", defaultValue = "50", description = "How much slower the slow leaf is.")
+    @Option(names = "--slow-times", defaultValue = "50", description = "Slowdown factor of the slow leaf.")
     private double slowTimes;
-    @Option(names = "--trouble-s", defaultValue = "2", description = "How long the leaf is in trouble.")
+    @Option(names = "--trouble-s", defaultValue = "2", description = "How long the leaf is faulty.")
     private double troubleS;
     @Option(names = "--repeat", defaultValue = "5", paramLabel = "N",
-            description = "Runs of each, with seeds 1 to N; default ${DEFAULT-VALUE}.")
+            description = "Runs of each size, with seeds 1 to N; default ${DEFAULT-VALUE}.")
     private int repeat;
 
     @Override
@@ -44,15 +44,15 @@
         if (tiers.size() < Line.MIN_SIZES || tiers.stream().anyMatch(one -> one < 1 || one > 100)
                 || width < 1 || width > 1_000 || !(rate > 0) || !(workMs > 0) || !(slowTimes >= 1)
                 || !(troubleS > 0) || repeat < 1) {
-            throw wrong("four numbers of tiers from 1 to 100, a width from 1 to 1000, and a rate, times and"
-                    + " repeats above 0 are wanted");
+            throw usageError("at least four numbers of tiers from 1 to 100, a width from 1 to 1000, and a"
+                    + " rate, times and repeats above 0 are needed");
         }
-        Chain.Shape shape = new Chain.Shape(1, width, rate, workMs, 4, 100, 0.1, slowTimes, 10 * S,
-                troubleS * S);
+        Chain.Shape shape = new Chain.Shape(1, width, rate, workMs, 4, 100, 0.1, slowTimes, 10 * MS_PER_S,
+                troubleS * MS_PER_S);
         SlopeReport report = report("tiers").with("width", width).with("rate_per_s", rate)
                 .with("work_ms", workMs).with("cores", shape.cores()).with("queue", shape.queue())
                 .with("hop_ms", shape.hopMs()).with("slow_times", slowTimes)
-                .with("settle_s", shape.settleMs() / S).with("trouble_s", troubleS)
+                .with("settle_s", shape.settleMs() / MS_PER_S).with("trouble_s", troubleS)
                 .with("aim_ms", ChainSettings.AIM_MS).with("deadline_ms", ChainSettings.DEADLINE_MS);
         for (Chain.Leaf leaf : Chain.Leaf.values()) {
             Map<Integer, List<Chain.Stats>> runs = new LinkedHashMap<>();
@@ -71,25 +71,26 @@
 
     private static void add(SlopeReport report, Chain.Leaf leaf, Map<Integer, List<Chain.Stats>> runs) {
         String name = "-" + leaf.name().toLowerCase(Locale.ROOT);
-        add(report, "attempts" + name, "attempts/request", runs, seen -> per(last(seen.attempts()),
+        add(report, "attempts" + name, "attempts/request", runs, seen -> ratio(last(seen.attempts()),
                 seen.requests()));
-        add(report, "attempts-admitted" + name, "attempts/request", runs, seen -> per(last(seen.attempts()),
+        add(report, "attempts-admitted" + name, "attempts/request", runs, seen -> ratio(last(seen.attempts()),
                 seen.admitted()));
-        add(report, "arrived" + name, "attempts/request", runs, seen -> per(seen.arrived(), seen.requests()));
+        add(report, "arrived" + name, "attempts/request", runs, seen -> ratio(seen.arrived(),
+                seen.requests()));
         add(report, "peak" + name, "attempts/request", runs, Chain.Stats::peak);
-        add(report, "repeats-first-tier" + name, "attempts/call", runs, seen -> per(seen.attempts()[0],
+        add(report, "repeats-first-tier" + name, "attempts/call", runs, seen -> ratio(seen.attempts()[0],
                 seen.calls()[0]));
-        add(report, "repeats-last-tier" + name, "attempts/call", runs, seen -> per(last(seen.attempts()),
+        add(report, "repeats-last-tier" + name, "attempts/call", runs, seen -> ratio(last(seen.attempts()),
                 last(seen.calls())));
-        add(report, "served" + name, "share", runs, seen -> per(seen.served(), seen.requests()));
-        add(report, "refused" + name, "share", runs, seen -> per(seen.refused(), seen.requests()));
-        add(report, "failed" + name, "share", runs, seen -> per(seen.failed(), seen.requests()));
-        add(report, "unanswered" + name, "share", runs, seen -> per(seen.unanswered(), seen.requests()));
-        add(report, "work" + name, "ms/request", runs, seen -> per(DoubleStream.of(seen.workMs()).sum(),
+        add(report, "served" + name, "share", runs, seen -> ratio(seen.served(), seen.requests()));
+        add(report, "refused" + name, "share", runs, seen -> ratio(seen.refused(), seen.requests()));
+        add(report, "failed" + name, "share", runs, seen -> ratio(seen.failed(), seen.requests()));
+        add(report, "unanswered" + name, "share", runs, seen -> ratio(seen.unanswered(), seen.requests()));
+        add(report, "work" + name, "ms/request", runs, seen -> ratio(DoubleStream.of(seen.workMs()).sum(),
                 seen.requests()));
-        add(report, "wasted" + name, "share", runs, seen -> per(DoubleStream.of(seen.wastedMs()).sum(),
+        add(report, "wasted" + name, "share", runs, seen -> ratio(DoubleStream.of(seen.wastedMs()).sum(),
                 DoubleStream.of(seen.workMs()).sum()));
-        add(report, "gone-calls" + name, "calls/request", runs, seen -> per(seen.goneCalls(),
+        add(report, "gone-calls" + name, "calls/request", runs, seen -> ratio(seen.goneCalls(),
                 seen.requests()));
     }
 
@@ -103,7 +104,7 @@
         return tiers[tiers.length - 1];
     }
 
-    private static double per(double one, double other) {
+    private static double ratio(double one, double other) {
         return other == 0 ? 0 : one / other;
     }
 }
--- a/src/main/java/cranedeal/lab/slope/DiscoveryTrouble.java
+++ b/src/main/java/cranedeal/lab/slope/DiscoveryTrouble.java
@@ -9,20 +9,20 @@
 import java.util.regex.Pattern;
 
 /**
- * What is wrong with discovery around a change of the list.
+ * A fault of discovery around a change of the upstream list.
  *
- * @param pace how slow it is, from some seconds before the change on
- * @param faults what becomes of the first answers that tell of the change
+ * @param pace how slow discovery is, from some seconds before the change on
+ * @param faults faults of the first answers that contain the change
  */
 record DiscoveryTrouble(DiscoveryPace pace, List<AnswerFault> faults) {
 
-    /** What the command line takes, for its help and its errors. */
+    /** The accepted forms, for help and error texts. */
     static final String FORMS = "none, slow:MS, turn:MS, or silent, half, endless, cut:TIMES[:MS]";
     private static final Pattern SLOW = Pattern.compile("(slow|turn):(\\d{1,6})");
     private static final Pattern FAULT = Pattern.compile(
             "(silent|half|endless|cut):(\\d{1,3})(?::(\\d{1,6}))?");
 
-    /** Reads {@link #FORMS}; throws {@link IllegalArgumentException} for anything else. */
+    /** Parses {@link #FORMS}; throws {@link IllegalArgumentException} for anything else. */
     static DiscoveryTrouble parse(String text) {
         Matcher slow = SLOW.matcher(text);
         if (slow.matches()) {
@@ -41,6 +41,6 @@
         if (text.equals("none")) {
             return new DiscoveryTrouble(DiscoveryPace.ofCalls(0), List.of());
         }
-        throw new IllegalArgumentException(text + ": wanted is " + FORMS);
+        throw new IllegalArgumentException(text + ": expected " + FORMS);
     }
 }
--- a/src/main/java/cranedeal/lab/slope/DrainCommand.java
+++ b/src/main/java/cranedeal/lab/slope/DrainCommand.java
@@ -14,9 +14,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** How long requests go to upstreams that have left the list, while discovery is in trouble. */
+/** Measures how long upstreams still get requests after they left the list, while discovery is faulty. */
 @Command(name = "drain", mixinStandardHelpOptions = true,
-        description = "How long upstreams that have left are used, by what is wrong with discovery. "
+        description = "How long removed upstreams are still used, by the fault of discovery. "
                 + "Exit code 1 if a request came more than 8,050 ms after the change.")
 final class DrainCommand implements Callable<Integer> {
 
@@ -24,13 +24,13 @@
 
     @Spec
     private CommandSpec spec;
-    @Option(names = "--drawn", description = "Draws troubles, sizes, reloads and restarts by seed instead.")
+    @Option(names = "--drawn", description = "Draws faults, sizes, reloads and restarts by seed instead.")
     private boolean drawn;
     @Option(names = "--first", defaultValue = "1", paramLabel = "N",
             description = "The first seed; default ${DEFAULT-VALUE}.")
     private int first;
     @Option(names = "--trouble", split = ",", paramLabel = "TROUBLE",
-            description = "What is wrong with discovery: " + DiscoveryTrouble.FORMS + ".")
+            description = "The fault of discovery: " + DiscoveryTrouble.FORMS + ".")
     private List<String> troubles = List.of();
     @Option(names = "--upstreams", defaultValue = "3200", paramLabel = "N",
             description = "How many upstreams there are; default ${DEFAULT-VALUE}.")
@@ -39,35 +39,36 @@
             description = "How many balancers there are; default ${DEFAULT-VALUE}.")
     private int balancers;
     @Option(names = "--rate", defaultValue = "200", paramLabel = "N",
-            description = "Requests a second in all; default ${DEFAULT-VALUE}.")
+            description = "Total requests per second; default ${DEFAULT-VALUE}.")
     private double rate;
     @Option(names = "--seconds", defaultValue = "14",
             description = "How long requests go on after the change; default ${DEFAULT-VALUE}.")
     private double seconds;
     @Option(names = "--plays", defaultValue = "1", paramLabel = "N",
-            description = "Plays of each trouble, a seed each; default ${DEFAULT-VALUE}.")
-    private int plays;
-    @Option(names = "--calls", description = "Prints the balancers' lines on discovery too.")
+            description = "Runs of each fault, each with its own seed; default ${DEFAULT-VALUE}.")
+    private int runs;
+    @Option(names = "--calls", description = "Also prints the balancers' log lines on discovery.")
     private boolean calls;
     @Mixin
     private ProgramUnderTest program;
 
     @Override
     public Integer call() throws CommandException, InterruptedException {
-        if (upstreams < 2 || balancers < 1 || !(rate > 0) || !(seconds > 0) || plays < 1) {
-            throw new CommandException(Program.USAGE_ERROR, "numbers above 0 and two upstreams are wanted");
+        if (upstreams < 2 || balancers < 1 || !(rate > 0) || !(seconds > 0) || runs < 1) {
+            throw new CommandException(Program.USAGE_ERROR,
+                    "at least two upstreams and numbers above 0 are needed");
         }
         if (drawn != troubles.isEmpty()) {
-            throw new CommandException(Program.USAGE_ERROR, "either --trouble or --drawn is wanted");
+            throw new CommandException(Program.USAGE_ERROR, "give either --trouble or --drawn");
         }
         boolean held = true;
-        for (int seed = first; seed < first + plays; seed++) {
+        for (int seed = first; seed < first + runs; seed++) {
             if (drawn) {
                 DrainTrial.Plan plan = DrainDraw.plan(seed);
-                held &= play(plan.trouble() + " " + plan.faults(), plan);
+                held &= run(plan.trouble() + " " + plan.faults(), plan);
             }
             for (String name : troubles) {
-                held &= play(name, new DrainTrial.Plan(upstreams, balancers, rate, seconds, parse(name),
+                held &= run(name, new DrainTrial.Plan(upstreams, balancers, rate, seconds, parse(name),
                         List.of(), seed));
             }
         }
@@ -82,10 +83,10 @@
         }
     }
 
-    private boolean play(String name, DrainTrial.Plan plan) throws CommandException, InterruptedException {
+    private boolean run(String name, DrainTrial.Plan plan) throws CommandException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         try (DrainTrial trial = new DrainTrial(program.command(), plan)) {
-            DrainTrial.Seen seen = trial.play();
+            DrainTrial.Results seen = trial.run();
             out.printf(Locale.ROOT, "%s upstreams=%d balancers=%d seed=%d last=%.0f ms late=%d lists=%d KB "
                     + "%s%n", name, plan.upstreams(), plan.balancers(), plan.seed(), seen.lastMs(),
                     seen.late(), seen.listBytes() / BYTES_PER_KB, DataPathStudy.countsOf(seen.requests()));
--- a/src/main/java/cranedeal/lab/slope/DrainTrial.java
+++ b/src/main/java/cranedeal/lab/slope/DrainTrial.java
@@ -26,42 +26,45 @@
 import java.util.stream.Stream;
 
 /**
- * Real balancers before upstreams of which half leave the list in one change, and go on answering, while
- * discovery is in trouble. Shows how long requests still come to those that have left.
+ * Runs real balancers and removes half of their upstreams in one change of the list, while discovery is
+ * faulty. Removed upstreams keep answering; the trial measures how long they still receive requests.
  */
 final class DrainTrial implements AutoCloseable {
 
-    /** From the change to the last request: 6 s until it counts as told, the grace of 2 s, and 50 ms. */
-    static final double LATEST_MS = 8_050;
+    /**
+     * Limit from the change to the last request: 6 s until the list counts as known,
+     * the drain grace of 2 s, and 50 ms.
+     */
+    static final double MAX_LAST_REQUEST_MS = 8_050;
     private static final String ADDRESS = "127.0.0.1";
     private static final double WARM_UP_S = 2;
     private static final double TROUBLE_S = 6;
-    private static final long LONGEST_START_MS = 60_000;
-    private static final long LOOK_EVERY_MS = 10;
+    private static final long START_TIMEOUT_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 10;
     private static final int CONNECT_MS = 1_000;
     private static final double NANOS_PER_MS = 1e6;
     private static final double MS_PER_S = 1e3;
 
     /**
-     * One trial.
+     * The parameters of a trial.
      *
-     * @param rate requests a second over all balancers
+     * @param rate requests per second over all balancers
      * @param afterS how long requests go on after the change, in seconds
-     * @param faults what happens to balancers before it
+     * @param faults faults of balancers before the change
      */
     record Plan(int upstreams, int balancers, double rate, double afterS, DiscoveryTrouble trouble,
             List<BalancerFault> faults, long seed) { }
 
     /**
-     * What was seen.
+     * The results of a trial.
      *
-     * @param lastMs from the change to the last request to an upstream that had left; 0 if none came
-     * @param late how many came later than {@link #LATEST_MS}
+     * @param lastMs time from the change to the last request to a removed upstream; 0 if there was none
+     * @param late how many such requests came later than {@link #MAX_LAST_REQUEST_MS}
      */
-    record Seen(double lastMs, long late, DataPathClient.Results requests, long listBytes) { }
+    record Results(double lastMs, long late, DataPathClient.Results requests, long listBytes) { }
 
     private final Path folder = Files.createTempDirectory("drain");
-    private final ProcessSupervisor warden = new ProcessSupervisor();
+    private final ProcessSupervisor supervisor = new ProcessSupervisor();
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2,
             new DefaultThreadFactory("drain", true), NioIoHandler.newFactory());
     private final Plan plan;
@@ -72,7 +75,7 @@
     private final ChildProcess[] balancers;
     private volatile long changedAt;
 
-    /** Starts all balancers side by side, and returns when they serve. */
+    /** Starts all balancers in parallel and returns when they accept connections. */
     DrainTrial(List<String> program, Plan plan) throws IOException, InterruptedException {
         this.plan = plan;
         command.addAll(program);
@@ -110,12 +113,12 @@
     }
 
     private void start(int number) throws IOException, InterruptedException {
-        balancers[number] = warden.start("balancer" + number, command,
+        balancers[number] = supervisor.start("balancer" + number, command,
                 Map.of("PROXY_CONFIG", config(number).toString()),
                 folder.resolve("balancer" + number + ".txt"));
     }
 
-    private void hit(BalancerFault fault) {
+    private void inject(BalancerFault fault) {
         try {
             if (fault.kind() == BalancerFault.Kind.RELOAD) {
                 balancers[fault.balancer()].signal("HUP");
@@ -133,12 +136,12 @@
 
     private void awaitListening(ChildProcess balancer, InetSocketAddress listen)
             throws IOException, InterruptedException {
-        for (long waited = 0; !listens(listen); waited += LOOK_EVERY_MS) {
-            if (!balancer.isAlive() || waited > LONGEST_START_MS) {
+        for (long waited = 0; !listens(listen); waited += POLL_INTERVAL_MS) {
+            if (!balancer.isAlive() || waited > START_TIMEOUT_MS) {
                 close();
-                throw new IOException(balancer.name() + " does not serve");
+                throw new IOException(balancer.name() + " exited or did not accept connections in time");
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -151,14 +154,14 @@
         }
     }
 
-    /** Plays it; returns when requests have gone on for long enough after the change. */
-    Seen play() throws InterruptedException {
+    /** Runs the trial; returns when the requests after the change have been sent. */
+    Results run() throws InterruptedException {
         ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
         try {
             clock.schedule(() -> discovery.setPace(plan.trouble().pace()), (long) (WARM_UP_S * MS_PER_S),
                     TimeUnit.MILLISECONDS);
             for (BalancerFault fault : plan.faults()) {
-                clock.schedule(() -> hit(fault),
+                clock.schedule(() -> inject(fault),
                         (long) ((WARM_UP_S + TROUBLE_S - fault.beforeChangeS()) * MS_PER_S),
                         TimeUnit.MILLISECONDS);
             }
@@ -167,8 +170,9 @@
                     WARM_UP_S + TROUBLE_S + plan.afterS(), plan.seed());
             List<Double> after = upstreams.calls().stream().map(at -> (at - changedAt) / NANOS_PER_MS)
                     .filter(ms -> ms > 0).toList();
-            return new Seen(after.stream().mapToDouble(ms -> ms).max().orElse(0),
-                    after.stream().filter(ms -> ms > LATEST_MS).count(), block, discovery.listBytes());
+            return new Results(after.stream().mapToDouble(ms -> ms).max().orElse(0),
+                    after.stream().filter(ms -> ms > MAX_LAST_REQUEST_MS).count(), block,
+                    discovery.listBytes());
         } finally {
             clock.shutdownNow();
         }
@@ -181,14 +185,14 @@
                 .mapToObj(DataPathConfig::id).toList());
     }
 
-    /** The log of a balancer, by its number. */
+    /** Returns the log of a balancer. */
     String log(int number) throws IOException {
         return Files.readString(folder.resolve("balancer" + number + ".txt"));
     }
 
     @Override
     public void close() throws IOException {
-        warden.close();
+        supervisor.close();
         discovery.close();
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         try (Stream<Path> files = Files.walk(folder)) {
--- a/src/main/java/cranedeal/lab/slope/GoodputStudy.java
+++ b/src/main/java/cranedeal/lab/slope/GoodputStudy.java
@@ -15,11 +15,11 @@
 import picocli.CommandLine.Option;
 
 /**
- * What a balancer that is short of processor time serves of what it is offered, how it ends the rest, and
- * how it does once the load is over. Each rate has a balancer of its own.
+ * Measures how much of the offered load a balancer serves when it is short of processor time, how the other
+ * calls end, and how it recovers after the load. Each rate uses a new balancer.
  */
 @Command(name = "goodput", mixinStandardHelpOptions = true,
-        description = "What a balancer on one shared processor serves, by the calls that it is offered.")
+        description = "Goodput of a balancer on one shared processor, by the offered rate.")
 final class GoodputStudy extends Study {
 
     private static final double NANOS_PER_MS = 1e6;
@@ -27,7 +27,7 @@
     private static final double AFTER_S = 3;
 
     @Option(names = "--rates", split = ",", defaultValue = "250,500,1000,2000", paramLabel = "N",
-            description = "Calls a second; default ${DEFAULT-VALUE}.")
+            description = "Calls per second; default ${DEFAULT-VALUE}.")
     private List<Double> rates;
     @Option(names = "--upstreams", defaultValue = "25", paramLabel = "N",
             description = "How many upstreams there are; default ${DEFAULT-VALUE}.")
@@ -39,20 +39,20 @@
             description = "The processor that the balancer runs on; default ${DEFAULT-VALUE}.")
     private int processor;
     @Option(names = "--busy", defaultValue = "1", paramLabel = "N",
-            description = "Busy processes that share it; default ${DEFAULT-VALUE}.")
+            description = "Busy processes on the same processor; default ${DEFAULT-VALUE}.")
     private int busy;
     @Option(names = "--sockets", defaultValue = "1024", paramLabel = "N",
             description = "Descriptors that the balancer may hold; default ${DEFAULT-VALUE}.")
     private int sockets;
     @Option(names = "--connections", defaultValue = "341", paramLabel = "N",
-            description = "Connections that the clients may hold, a third of the descriptors by the terms; "
+            description = "Limit on client connections, by default a third of the default descriptors; "
                     + "default ${DEFAULT-VALUE}.")
     private int connections;
     @Option(names = "--after-rate", defaultValue = "50", paramLabel = "N",
-            description = "Calls a second before the load and after it; default ${DEFAULT-VALUE}.")
+            description = "Calls per second before and after the load; default ${DEFAULT-VALUE}.")
     private double afterRate;
     @Option(names = "--work-ms", defaultValue = "0", paramLabel = "N",
-            description = "How long each upstream takes for an answer; default ${DEFAULT-VALUE}.")
+            description = "How long each upstream takes to answer; default ${DEFAULT-VALUE}.")
     private int workMs;
     @Option(names = "--seed", defaultValue = "0", paramLabel = "N",
             description = "The seed of the arrivals; default ${DEFAULT-VALUE}.")
@@ -63,27 +63,27 @@
     @Override
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
         if (rates.size() < Line.MIN_SIZES) {
-            throw wrong("--rates: " + Line.MIN_SIZES + " or more are wanted for a line");
+            throw usageError("--rates: " + Line.MIN_SIZES + " or more values are needed for a line");
         }
         if (rates.stream().anyMatch(rate -> !(rate > 0)) || upstreams < 1 || !(seconds > 0) || processor < 0
                 || busy < 0 || sockets < 1 || connections < 1 || !(afterRate > 0) || workMs < 0) {
-            throw wrong("rates, upstreams, times and descriptors above 0 are wanted");
+            throw usageError("rates, upstreams, times and descriptors must be above 0");
         }
-        Map<Double, OverloadPlay> seen = new TreeMap<>();
+        Map<Double, OverloadRun> seen = new TreeMap<>();
         for (double rate : rates) {
-            seen.put(rate, play(rate));
+            seen.put(rate, run(rate));
         }
         return report(seen);
     }
 
-    private OverloadPlay play(double rate) throws CommandException, IOException, InterruptedException {
+    private OverloadRun run(double rate) throws CommandException, IOException, InterruptedException {
         OverloadScenario scenario = new OverloadScenario(busy, LoadProfile.constant(rate, seconds), upstreams,
                 workMs, connections, 0, seed);
-        return OverloadPlay.play(program.command(), scenario, processor, sockets,
-                new OverloadPlay.Calm(afterRate, AFTER_S));
+        return OverloadRun.run(program.command(), scenario, processor, sockets,
+                new OverloadRun.LowLoad(afterRate, AFTER_S));
     }
 
-    private SlopeReport report(Map<Double, OverloadPlay> seen) {
+    private SlopeReport report(Map<Double, OverloadRun> seen) {
         SlopeReport report = report("call a second").with("upstreams", upstreams).with("seconds", seconds)
                 .with("busy", busy).with("sockets", sockets).with("connections", connections);
         Map<String, Object> counts = new LinkedHashMap<>();
@@ -110,8 +110,8 @@
         return (double) part / Math.max(1, of.calls());
     }
 
-    private static void add(SlopeReport report, String name, String unit, Map<Double, OverloadPlay> seen,
-            ToDoubleFunction<OverloadPlay> what) {
+    private static void add(SlopeReport report, String name, String unit, Map<Double, OverloadRun> seen,
+            ToDoubleFunction<OverloadRun> what) {
         List<Point> points = new ArrayList<>();
         seen.forEach((rate, one) -> points.add(Point.of(rate, what.applyAsDouble(one))));
         report.add(name, unit, Basis.MEASURED, points);
--- a/src/main/java/cranedeal/lab/slope/OverloadCommand.java
+++ b/src/main/java/cranedeal/lab/slope/OverloadCommand.java
@@ -12,14 +12,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Plays the overloads of a range of seeds, and tells of each whether the balancer came through it. */
+/** Runs the overload scenarios of a range of seeds and reports for each whether the balancer passed. */
 @Command(name = "overload", mixinStandardHelpOptions = true,
-        description = "Plays an overload of each seed: its load, its pause, its upstreams and the processes "
-                + "beside the balancer are drawn. Exits with 1 if one broke something.")
+        description = "Runs one overload per seed: load, pause, upstreams and competing processes are drawn. "
+                + "Exit code 1 if a run failed.")
 final class OverloadCommand implements Callable<Integer> {
 
     private static final int SOCKETS = 1_024;
-    private static final OverloadPlay.Calm CALM = new OverloadPlay.Calm(50, 2);
+    private static final OverloadRun.LowLoad LOW_LOAD = new OverloadRun.LowLoad(50, 2);
 
     @Spec
     private CommandSpec spec;
@@ -27,8 +27,8 @@
             description = "The first seed; default ${DEFAULT-VALUE}.")
     private long first;
     @Option(names = "--plays", defaultValue = "10", paramLabel = "N",
-            description = "How many seeds are played; default ${DEFAULT-VALUE}.")
-    private int plays;
+            description = "How many seeds are run; default ${DEFAULT-VALUE}.")
+    private int runs;
     @Option(names = "--processor", defaultValue = "0", paramLabel = "N",
             description = "The processor that the balancer runs on; default ${DEFAULT-VALUE}.")
     private int processor;
@@ -37,29 +37,30 @@
 
     @Override
     public Integer call() throws CommandException, InterruptedException {
-        if (plays < 1 || processor < 0) {
-            throw new CommandException(Program.USAGE_ERROR, "one play or more, and a processor, are wanted");
+        if (runs < 1 || processor < 0) {
+            throw new CommandException(Program.USAGE_ERROR,
+                    "--plays must be 1 or more, and --processor 0 or more");
         }
         int broken = 0;
-        for (long seed = first; seed < first + plays; seed++) {
-            broken += play(seed) ? 0 : 1;
+        for (long seed = first; seed < first + runs; seed++) {
+            broken += run(seed) ? 0 : 1;
         }
-        print(plays + " seeds played, " + broken + " broke something");
+        print(runs + " seeds run, " + broken + " failed");
         return broken == 0 ? 0 : 1;
     }
 
-    /** Whether the balancer came through. */
-    private boolean play(long seed) throws CommandException, InterruptedException {
+    /** Returns true if the balancer passed. */
+    private boolean run(long seed) throws CommandException, InterruptedException {
         OverloadScenario scenario = OverloadScenario.of(seed);
         try {
-            OverloadPlay seen = OverloadPlay.play(program.command(), scenario, processor, SOCKETS, CALM);
+            OverloadRun seen = OverloadRun.run(program.command(), scenario, processor, SOCKETS, LOW_LOAD);
             print((seen.faults().isEmpty() ? "held" : "BROKE " + seen.faults()) + "  " + scenario);
             print("    load  " + DataPathStudy.countsOf(seen.load()) + " in " + Math.round(seen.cpuUs() / 1e3)
                     + " ms of processor time");
             print("    after " + DataPathStudy.countsOf(seen.after()));
             print("    by    " + seen.causes());
             if (!seen.faults().isEmpty()) {
-                print("    all   " + seen.figures());
+                print("    all   " + seen.metrics());
             }
             return seen.faults().isEmpty();
         } catch (IOException e) {
--- a/src/main/java/cranedeal/lab/slope/OverloadPlay.java
+++ b/src/main/java/cranedeal/lab/slope/OverloadRun.java
@@ -14,29 +14,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays an overload against a balancer: little before it, the load, two seconds of little for the balancer
- * to recover, and little again.
+ * Runs an overload against a balancer: a low rate, the load, two seconds at the low rate for the balancer to
+ * recover, and the low rate again. The components are the results.
  *
- * @param load what became of the calls under load
- * @param after what became of those from two seconds after it
+ * @param load the calls under load
+ * @param after the calls from two seconds after the load
  * @param cpuUs the processor time that the balancer used under load, in microseconds
- * @param before the balancer's figures before the load
- * @param figures the same after the last call
+ * @param metricsBefore the balancer's metrics before the load
+ * @param metrics the balancer's metrics after the last call
  */
-record OverloadPlay(DataPathClient.Results load, DataPathClient.Results after, double cpuUs,
-        Map<String, Long> before, Map<String, Long> figures) {
+record OverloadRun(DataPathClient.Results load, DataPathClient.Results after, double cpuUs,
+        Map<String, Long> metricsBefore, Map<String, Long> metrics) {
 
     private static final double RECOVERY_S = 2;
     private static final long MS_PER_S = 1_000;
     private static final List<String> CAUSES = List.of("refused_for_", "failed_for_", "unserved_",
             "connect_failed_", "closed_", "retried_after_");
 
-    /** The calls a second before and after the load, and for how many seconds. */
-    record Calm(double perS, double seconds) { }
+    /** The rate and duration of the low load before and after the overload. */
+    record LowLoad(double perS, double seconds) { }
 
-    /** Plays a scenario with the given calm around its load, on a balancer of its own. */
-    static OverloadPlay play(List<String> program, OverloadScenario scenario, int processor, int sockets,
-            Calm calm) throws IOException, InterruptedException {
+    /** Runs a scenario on a new balancer, with the given low load around it. */
+    static OverloadRun run(List<String> program, OverloadScenario scenario, int processor, int sockets,
+            LowLoad calm) throws IOException, InterruptedException {
         try (DataPathBench stage = new DataPathBench(program, scenario.upstreams(),
                 TimeUnit.MILLISECONDS.toMicros(scenario.workMs()), sockets, scenario.connections(),
                 new Processor(processor, scenario.competitors()))) {
@@ -46,16 +46,16 @@
             client.run(balancer, LoadProfile.constant(calm.perS(), calm.seconds()), seed);
             Map<String, Long> before = stage.allMetrics();
             double cpuBefore = stage.cpuUs();
-            DataPathClient.Results load = playWithPause(stage, balancer, scenario);
+            DataPathClient.Results load = runWithPause(stage, balancer, scenario);
             double cpuUs = stage.cpuUs() - cpuBefore;
             client.run(balancer, LoadProfile.constant(calm.perS(), RECOVERY_S), seed + 2);
             DataPathClient.Results after = client.run(balancer,
                     LoadProfile.constant(calm.perS(), calm.seconds()), seed + 3);
-            return new OverloadPlay(load, after, cpuUs, before, stage.allMetrics());
+            return new OverloadRun(load, after, cpuUs, before, stage.allMetrics());
         }
     }
 
-    private static DataPathClient.Results playWithPause(DataPathBench stage, List<InetSocketAddress> balancer,
+    private static DataPathClient.Results runWithPause(DataPathBench stage, List<InetSocketAddress> balancer,
             OverloadScenario scenario) throws IOException, InterruptedException {
         ExecutorService pauses = Executors.newSingleThreadExecutor();
         try {
@@ -83,11 +83,11 @@
         }
     }
 
-    /** How often each cause of an ending was counted since the load began, where it was. */
+    /** Returns the non-zero counts by cause of how calls ended since the load began. */
     Map<String, Long> causes() {
         Map<String, Long> causes = new LinkedHashMap<>();
-        figures.forEach((name, count) -> {
-            long since = count - before.getOrDefault(name, 0L);
+        metrics.forEach((name, count) -> {
+            long since = count - metricsBefore.getOrDefault(name, 0L);
             if (since != 0 && CAUSES.stream().anyMatch(name::startsWith)) {
                 causes.put(name, since);
             }
@@ -95,7 +95,7 @@
         return causes;
     }
 
-    /** How many connections of callers the balancer closed, or did not take, since the load began. */
+    /** Returns how many caller connections the balancer closed or did not accept since the load began. */
     long closedCallers() {
         Map<String, Long> causes = causes();
         return causes.getOrDefault("closed_caller_not_taken", 0L)
@@ -103,7 +103,10 @@
                 + causes.getOrDefault("closed_silent_caller_for_room", 0L);
     }
 
-    /** What broke the terms: no answer, a failure, a close that no figure explains, a refusal in calm. */
+    /**
+     * Returns the violations: missing answers, failures, closes that no metric counts, and unserved calls
+     * after the load.
+     */
     List<String> faults() {
         List<String> faults = new ArrayList<>();
         if (load.unanswered() > 0) {
--- a/src/main/java/cranedeal/lab/slope/SlopeCommand.java
+++ b/src/main/java/cranedeal/lab/slope/SlopeCommand.java
@@ -6,11 +6,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The studies of what a fleet costs by its size; each is a subcommand. */
+/** The studies of how a fleet's costs grow with its size, each a subcommand. */
 @Command(name = "slope", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "STUDY",
         subcommands = {DataPathConnections.class, DataPathStudy.class, DepthStudy.class, DrainCommand.class,
             GoodputStudy.class, MembershipStudy.class, OverloadCommand.class, UpstreamsStudy.class},
-        description = "Measures what grows with the size of a fleet, and draws a line through it.")
+        description = "Measures how costs grow with the size of a fleet, and fits lines to them.")
 public final class SlopeCommand implements Callable<Integer> {
 
     @Spec
--- a/src/main/java/cranedeal/lab/slope/SlopeReport.java
+++ b/src/main/java/cranedeal/lab/slope/SlopeReport.java
@@ -18,8 +18,8 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * What one study measured: a file in JSON whose keys pages refer to, a plot, and a table for a terminal.
- * Holds the series in the order in which they were added.
+ * The results of one study, as a JSON file whose keys the documentation refers to, a plot, and a text table.
+ * Series keep the order in which they were added.
  */
 public final class SlopeReport {
 
@@ -34,25 +34,25 @@
     private final Map<String, Object> setup = new LinkedHashMap<>();
     private final Map<String, Series> series = new LinkedHashMap<>();
 
-    /** One slope: what is measured, in which unit, and how. */
+    /** A series: its unit, how it was obtained, its points and the fit. */
     private record Series(String unit, Basis basis, List<Point> points, Line.Fit fit) { }
 
-    /** On what a figure rests. */
+    /** How a value was obtained. */
     public enum Basis {
-        /** Clock, processor or sockets of a real machine. */
+        /** Measured on a real machine: time, processor or sockets. */
         MEASURED,
-        /** The program's own code in virtual time: counts are exact for the seeds that were played. */
+        /** Production code run in virtual time: counts are exact for the seeds used. */
         SIMULATED,
-        /** Worked out from other figures. */
+        /** Calculated from other values. */
         RECKONED
     }
 
     /**
-     * A report without series.
+     * Creates a report without series.
      *
-     * @param study its name, as the command has it
-     * @param command what to type after the program to have it measured again
-     * @param size what the sizes count, such as {@code members}
+     * @param study the study's name, as in its command
+     * @param command the arguments that repeat the measurement
+     * @param size the unit of the sizes, such as {@code members}
      */
     public SlopeReport(String study, String command, String size) {
         this.study = study;
@@ -61,30 +61,30 @@
         machine = Machine.current();
     }
 
-    /** Tells something of how it was measured: a number, a text or a list of numbers. */
+    /** Records a parameter of the measurement: a number, a text or a list of numbers. */
     public SlopeReport with(String name, Object value) {
         setup.put(name, value);
         return this;
     }
 
     /**
-     * Adds a series. Names are of letters, digits and hyphens. Throws {@link IllegalArgumentException} for
-     * another name, for one that is there, and for points through which no line can be drawn.
+     * Adds a series. Names consist of lower-case letters, digits, dots and hyphens. Throws
+     * {@link IllegalArgumentException} for another or a duplicate name, or if no line fits the points.
      */
     public SlopeReport add(String name, String unit, Basis basis, List<Point> points) {
         if (!name.matches("[a-z0-9.-]+") || series.containsKey(name)) {
-            throw new IllegalArgumentException("no name for a series, or there already: " + name);
+            throw new IllegalArgumentException("invalid or duplicate series name: " + name);
         }
         series.put(name, new Series(unit, basis, List.copyOf(points), Line.fit(points)));
         return this;
     }
 
-    /** The line of a series. */
+    /** Returns the fit of a series. */
     public Line.Fit fit(String name) {
         return series.get(name).fit();
     }
 
-    /** All of it. */
+    /** Returns the report as JSON. */
     public ObjectNode json() {
         ObjectNode root = JSON.createObjectNode().put("study", study).put("command", command)
                 .put("size", size);
@@ -127,12 +127,12 @@
         return size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size);
     }
 
-    /** Writes the file in JSON. */
+    /** Writes the report as a JSON file. */
     public void writeJson(Path file) throws IOException {
         Files.writeString(file, JSON.writerWithDefaultPrettyPrinter().writeValueAsString(json()) + "\n");
     }
 
-    /** Draws all series over the size, with the medians as marks and the lines between; PNG. */
+    /** Writes a PNG plot of all series over the size: medians as marks, fits as lines. */
     public void writePlot(Path file) throws IOException {
         XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(study).xAxisTitle(size)
                 .yAxisTitle(String.join(", ", series.values().stream().map(Series::unit).distinct().toList()))
@@ -154,7 +154,7 @@
         Files.write(file, BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
-    /** A table of it, for a terminal. */
+    /** Returns the report as a text table. */
     public String text() {
         List<String> lines = new ArrayList<>();
         series.forEach((name, one) -> {
--- a/src/main/java/cranedeal/lab/slope/Study.java
+++ b/src/main/java/cranedeal/lab/slope/Study.java
@@ -12,27 +12,27 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** A study as a command: it measures, prints a table, and writes what was asked for. */
+/** Base class of the study commands: measures, prints a table, and writes the requested files. */
 public abstract class Study implements Callable<Integer> {
 
     private static final List<String> OUTPUT = List.of("--json", "--plot");
 
     @Spec
     private CommandSpec spec;
-    @Option(names = "--json", paramLabel = "FILE", description = "Where the report goes, in JSON.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Writes the report to this file as JSON.")
     private Path json;
-    @Option(names = "--plot", paramLabel = "FILE", description = "Where the plot goes, in PNG.")
+    @Option(names = "--plot", paramLabel = "FILE", description = "Writes the plot to this file as PNG.")
     private Path plot;
 
-    /** Measures; throws {@link CommandException} if asked for in a wrong way, or if it failed. */
+    /** Measures; throws {@link CommandException} on invalid options or if measuring failed. */
     protected abstract SlopeReport measure() throws CommandException, IOException, InterruptedException;
 
-    /** A report of this study that has nothing in it yet. */
+    /** Creates an empty report of this study. */
     protected final SlopeReport report(String size) {
         return new SlopeReport(spec.name(), command(), size);
     }
 
-    /** What measures it again: all options that say what is measured, not where that is written. */
+    /** Returns the arguments that repeat the measurement, without the output options. */
     private String command() {
         StringBuilder command = new StringBuilder("lab slope ").append(spec.name());
         for (ArgSpec arg : spec.commandLine().getParseResult().matchedArgs()) {
@@ -46,8 +46,8 @@
         return command.toString();
     }
 
-    /** Says that the command was given something that it can't use. */
-    protected static CommandException wrong(String what) {
+    /** Returns the exception for invalid options. */
+    protected static CommandException usageError(String what) {
         return new CommandException(Program.USAGE_ERROR, what);
     }
 
--- a/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
+++ b/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
@@ -21,18 +21,18 @@
 import picocli.CommandLine.Option;
 
 /**
- * What a balancer needs by the number of upstreams, with the same traffic: while calls go on, half of the
- * upstreams are drained in waves and come back, each started anew and cold.
+ * Measures a balancer's resource use by the number of upstreams, under the same traffic. While calls run,
+ * half of the upstreams are drained in waves and come back restarted and cold.
  */
 @Command(name = "upstreams", mixinStandardHelpOptions = true,
-        description = "What a balancer needs by the number of upstreams, while half of them are replaced.")
+        description = "Resource use of a balancer by the number of upstreams, while half are replaced.")
 final class UpstreamsStudy extends Study {
 
     private static final double US_PER_S = 1e6;
     private static final double WARM_UP_S = 3;
     private static final long WAVE_MS = 200;
-    /** Waves after which those of a wave are back. */
-    private static final int AWAY = 5;
+    /** Number of waves after which a drained wave is back. */
+    private static final int WAVES_AWAY = 5;
     private static final int WAVES = 40;
     private static final long SAMPLE_MS = 50;
 
@@ -40,10 +40,10 @@
             description = "How many upstreams there are; default ${DEFAULT-VALUE}.")
     private List<Integer> lists;
     @Option(names = "--rate", defaultValue = "60", paramLabel = "N",
-            description = "Calls a second; default ${DEFAULT-VALUE}.")
+            description = "Calls per second; default ${DEFAULT-VALUE}.")
     private double rate;
     @Option(names = "--seconds", defaultValue = "20",
-            description = "How long calls go on; default ${DEFAULT-VALUE}.")
+            description = "How long calls are sent; default ${DEFAULT-VALUE}.")
     private double seconds;
     @Option(names = "--sockets", defaultValue = "1024", paramLabel = "N",
             description = "Descriptors that the balancer may hold; default ${DEFAULT-VALUE}.")
@@ -54,40 +54,41 @@
     @Mixin
     private ProgramUnderTest program;
 
-    /** What one balancer has needed. */
-    private record Seen(DataPathClient.Results block, double cpuS, double peakMb, double descriptors,
+    /** The results for one balancer. */
+    private record Results(DataPathClient.Results block, double cpuS, double peakMb, double descriptors,
             double connects, double listKb) { }
 
     @Override
     protected SlopeReport measure() throws CommandException, IOException, InterruptedException {
         if (lists.size() < Line.MIN_SIZES || lists.stream().anyMatch(list -> list < 2 * WAVES)
                 || !(rate > 0) || !(seconds > 0) || sockets < 1 || repeat < 1) {
-            throw wrong("four lists of " + 2 * WAVES + " or more, and numbers above 0, are wanted");
+            throw usageError("at least four lists of " + 2 * WAVES
+                    + " or more, and numbers above 0, are needed");
         }
-        Map<Integer, List<Seen>> seen = new TreeMap<>();
+        Map<Integer, List<Results>> seen = new TreeMap<>();
         for (int i = 1; i <= repeat; i++) {
             for (int list : lists) {
-                seen.computeIfAbsent(list, size -> new ArrayList<>()).add(play(list, i));
+                seen.computeIfAbsent(list, size -> new ArrayList<>()).add(run(list, i));
             }
         }
         return report(seen);
     }
 
-    private Seen play(int list, long seed) throws CommandException, IOException, InterruptedException {
+    private Results run(int list, long seed) throws CommandException, IOException, InterruptedException {
         ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
         try (DataPathBench stage = new DataPathBench(program.command(), list, 0, sockets,
                 Integer.MAX_VALUE, Processor.ANY)) {
             List<InetSocketAddress> balancer = List.of(stage.listen());
             stage.client().run(balancer, rate, WARM_UP_S, 0);
             Waves waves = new Waves(stage, list);
-            clock.scheduleAtFixedRate(waves::next, WAVE_MS, WAVE_MS, TimeUnit.MILLISECONDS);
+            clock.scheduleAtFixedRate(waves::advance, WAVE_MS, WAVE_MS, TimeUnit.MILLISECONDS);
             int[] most = new int[1];
             clock.scheduleAtFixedRate(() -> most[0] = Math.max(most[0], descriptors(stage)), SAMPLE_MS,
                     SAMPLE_MS, TimeUnit.MILLISECONDS);
             DataPathClient.Results block = stage.client().run(balancer, rate, seconds, seed);
             clock.shutdownNow();
             clock.awaitTermination(1, TimeUnit.MINUTES);
-            return new Seen(block, stage.cpuUs() / US_PER_S, stage.peakKb() / 1024.0, most[0],
+            return new Results(block, stage.cpuUs() / US_PER_S, stage.peakKb() / 1024.0, most[0],
                     stage.metric("connects"), stage.discovery().listBytes() / 1024.0);
         } finally {
             clock.shutdownNow();
@@ -102,7 +103,7 @@
         }
     }
 
-    /** Half of the upstreams, in waves: each is drained, and is back some waves later, started anew. */
+    /** Drains half of the upstreams in waves and brings each wave back restarted some waves later. */
     private static final class Waves {
 
         private final DataPathBench stage;
@@ -114,12 +115,12 @@
             size = list / 2 / WAVES;
         }
 
-        void next() {
+        void advance() {
             if (wave < WAVES) {
                 each(wave, id -> stage.discovery().state(id, "draining"));
             }
-            if (wave >= AWAY && wave < WAVES + AWAY) {
-                each(wave - AWAY, id -> stage.discovery().started(id, System.currentTimeMillis()));
+            if (wave >= WAVES_AWAY && wave < WAVES + WAVES_AWAY) {
+                each(wave - WAVES_AWAY, id -> stage.discovery().started(id, System.currentTimeMillis()));
             }
             wave++;
         }
@@ -131,23 +132,23 @@
         }
     }
 
-    private SlopeReport report(Map<Integer, List<Seen>> seen) {
+    private SlopeReport report(Map<Integer, List<Results>> seen) {
         SlopeReport report = report("upstream").with("rate_per_s", rate).with("seconds", seconds)
                 .with("sockets", sockets).with("repeat", repeat);
         Map<String, Object> counts = new LinkedHashMap<>();
         seen.forEach((list, all) -> counts.put("calls-at-" + list,
                 all.stream().map(one -> DataPathStudy.countsOf(one.block())).toList()));
-        add(report, "cpu", "s", seen, Seen::cpuS);
-        add(report, "peak", "MB", seen, Seen::peakMb);
-        add(report, "descriptors", "descriptors", seen, Seen::descriptors);
-        add(report, "connects", "connections", seen, Seen::connects);
-        add(report, "lists", "KB", seen, Seen::listKb);
+        add(report, "cpu", "s", seen, Results::cpuS);
+        add(report, "peak", "MB", seen, Results::peakMb);
+        add(report, "descriptors", "descriptors", seen, Results::descriptors);
+        add(report, "connects", "connections", seen, Results::connects);
+        add(report, "lists", "KB", seen, Results::listKb);
         add(report, "served", "share", seen, one -> (double) one.block().served() / one.block().calls());
         return report.with("counts", counts);
     }
 
-    private static void add(SlopeReport report, String name, String unit, Map<Integer, List<Seen>> seen,
-            ToDoubleFunction<Seen> what) {
+    private static void add(SlopeReport report, String name, String unit, Map<Integer, List<Results>> seen,
+            ToDoubleFunction<Results> what) {
         report.add(name, unit, Basis.MEASURED, seen.entrySet().stream().map(entry -> new Point(
                 entry.getKey(), entry.getValue().stream().map(what::applyAsDouble).toList())).toList());
     }
--- a/src/test/java/cranedeal/lab/slope/ChainTest.java
+++ b/src/test/java/cranedeal/lab/slope/ChainTest.java
@@ -13,11 +13,11 @@
 class ChainTest {
 
     private static final int WIDTH = 3;
-    /** What the module saves for repeats, and what each request earns. */
-    private static final double SAVED = 3;
-    private static final double EARNED = 0.1;
+    /** The retry budget's capacity, and the share of a retry that each request adds. */
+    private static final double RETRY_CAPACITY = 3;
+    private static final double RETRY_SHARE = 0.1;
 
-    private static Stats play(int tiers, Leaf leaf, long seed) {
+    private static Stats simulate(int tiers, Leaf leaf, long seed) {
         return Chain.simulate(new Chain.Shape(tiers, WIDTH, 100, 2, 4, 100, 0.1, 50, 4_000, 2_000), leaf,
                 seed);
     }
@@ -25,7 +25,7 @@
     @ParameterizedTest
     @EnumSource(Leaf.class)
     void everyRequestHasOneEndAndEveryCallItsCause(Leaf leaf) {
-        Stats seen = play(3, leaf, 1);
+        Stats seen = simulate(3, leaf, 1);
         assertEquals(seen.requests(), seen.served() + seen.refused() + seen.failed() + seen.unanswered());
         assertTrue(seen.requests() > WIDTH * 100, "two seconds' worth of requests: " + seen.requests());
         assertEquals(seen.requests(), seen.calls()[0]);
@@ -39,18 +39,18 @@
     }
 
     @Test
-    void theSameSeedPlaysTheSame() {
-        Stats first = play(3, Leaf.SLOW, 7);
-        Stats second = play(3, Leaf.SLOW, 7);
+    void theSameSeedGivesTheSameResults() {
+        Stats first = simulate(3, Leaf.SLOW, 7);
+        Stats second = simulate(3, Leaf.SLOW, 7);
         assertArrayEquals(first.attempts(), second.attempts());
         assertArrayEquals(first.workMs(), second.workMs());
         assertEquals(first.refused(), second.refused());
-        assertTrue(play(3, Leaf.SLOW, 8).attempts()[2] != first.attempts()[2]);
+        assertTrue(simulate(3, Leaf.SLOW, 8).attempts()[2] != first.attempts()[2]);
     }
 
     @Test
     void aHealthyChainMakesOneAttemptATier() {
-        Stats seen = play(4, Leaf.HEALTHY, 1);
+        Stats seen = simulate(4, Leaf.HEALTHY, 1);
         assertEquals(seen.requests(), seen.served());
         for (int tier = 0; tier < 4; tier++) {
             assertEquals(seen.requests(), seen.attempts()[tier]);
@@ -61,10 +61,11 @@
 
     @Test
     void repeatsOfAFailingLeafKeepToTheAllowanceOfEachTier() {
-        Stats seen = play(4, Leaf.FAILING, 1);
+        Stats seen = simulate(4, Leaf.FAILING, 1);
         for (int tier = 0; tier < 4; tier++) {
             assertTrue(seen.attempts()[tier] > seen.calls()[tier], "there is an allowance");
-            assertTrue(seen.attempts()[tier] <= (1 + EARNED) * seen.calls()[tier] + SAVED * WIDTH,
+            assertTrue(seen.attempts()[tier] <= (1 + RETRY_SHARE) * seen.calls()[tier]
+                    + RETRY_CAPACITY * WIDTH,
                     seen.attempts()[tier] + " attempts for " + seen.calls()[tier] + " calls");
         }
         assertTrue(seen.attempts()[3] > seen.attempts()[0], "each tier multiplies the one above");
@@ -73,18 +74,18 @@
 
     @Test
     void hardlyAnythingComesToALeafThatIsGone() {
-        Stats gone = play(2, Leaf.GONE, 1);
+        Stats gone = simulate(2, Leaf.GONE, 1);
         assertTrue(gone.arrived() < gone.requests() / 20);
         assertTrue(gone.served() <= gone.arrived());
         assertTrue(gone.attempts()[1] > 0);
-        Stats refusing = play(2, Leaf.REFUSING, 1);
+        Stats refusing = simulate(2, Leaf.REFUSING, 1);
         assertTrue(refusing.arrived() < refusing.requests() / 20);
         assertTrue(refusing.attempts()[1] > refusing.requests());
     }
 
     @Test
     void aSlowLeafWorksForCallersWhoHaveGone() {
-        Stats seen = play(2, Leaf.SLOW, 1);
+        Stats seen = simulate(2, Leaf.SLOW, 1);
         assertTrue(seen.wastedMs()[1] > 0);
         assertTrue(seen.served() < seen.requests());
     }
--- a/src/test/java/cranedeal/lab/slope/DataPathTest.java
+++ b/src/test/java/cranedeal/lab/slope/DataPathTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the bench of the data path counts; how fast anything is, is not asserted. */
+/** Tests what the data path's bench counts; it asserts no speeds. */
 @Timeout(300)
 class DataPathTest {
 
@@ -48,7 +48,7 @@
             assertEquals(block.calls(), block.served() + block.refused() + block.failed());
             assertEquals(block.served(), block.latency().getTotalCount());
             assertEquals(block.calls(), block.lateness().getTotalCount());
-            // The same seed plays the same calls again.
+            // The same seed gives the same calls again.
             assertEquals(block.calls(), client.run(List.of(server.address()), 400, 0.5, 7).calls());
         } finally {
             loops.shutdownGracefully().syncUninterruptibly();
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void whatGivesNoLineIsRefused() {
+    void rejectsOptionsThatGiveNoLine() {
         for (String[] wrong : new String[][] {{"data-path", "--rates", "1,2,3"},
             {"data-path", "--along", "lists"}, {"data-path", "--along", "zones"},
             {"data-path", "--rates", "0,1,2,3"}, {"data-path", "--lists", "0"}, {"data-path", "--pairs", "0"},
@@ -133,7 +133,7 @@
         }
     }
 
-    /** A server whose answers take turns, whatever connection they are on. */
+    /** A server that cycles through its answers across all connections. */
     private static final class Answers implements AutoCloseable {
 
         private final ServerSocket server = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
--- a/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
+++ b/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A real balancer for which socket and accept fail for a while, and then work again. */
+/** Guards against a balancer that leaves calls unanswered, or does not recover, after its file descriptors
+ * run out and socket() and accept() fail for a while. */
 @Timeout(120)
 class DescriptorShortageTest {
 
@@ -21,7 +22,7 @@
     private static final double SECONDS = 2;
 
     @Test
-    void socketsThatFailForAWhileAreAnsweredForAndForgotten() throws Exception {
+    void recoversFromATemporaryShortageOfDescriptors() throws Exception {
         try (DataPathBench stage = new DataPathBench(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
                 SOCKETS / 3, Processor.ANY)) {
             List<InetSocketAddress> balancer = List.of(stage.listen());
--- a/src/test/java/cranedeal/lab/slope/LineTest.java
+++ b/src/test/java/cranedeal/lab/slope/LineTest.java
@@ -33,7 +33,7 @@
         assertEquals(List.of(fit.whole()), fit.pieces());
     }
 
-    /** The textbook's figures: x 1, 2, 3, 4 and y 6, 5, 7, 10 give 3.5 + 1.4 x, squares 4.2 in all. */
+    /** A textbook example: x 1, 2, 3, 4 and y 6, 5, 7, 10 give 3.5 + 1.4 x, sum of squared errors 4.2. */
     @Test
     void goesByLeastSquares() {
         Line line = Line.fit(List.of(Point.of(1, 6), Point.of(2, 5), Point.of(3, 7), Point.of(4, 10)))
@@ -51,7 +51,7 @@
         assertEquals(10, line.slope(), EPS);
         assertEquals(1, line.intercept(), EPS);
         assertEquals(1, line.residual(), EPS);
-        assertEquals(0, line.worst(), EPS, "the medians lie on it");
+        assertEquals(0, line.worst(), EPS, "the medians lie on the line");
     }
 
     @Test
@@ -70,14 +70,14 @@
     }
 
     @Test
-    void saysSoWhereNoCutMakesItStraight() {
+    void reportsThatNoSplitIsStraight() {
         Line.Fit fit = Line.fit(points(size -> Math.pow(size, 4), 1, 2, 4, 8, 16, 32, 64));
         assertFalse(fit.isStraight());
         assertFalse(fit.isCutStraight());
     }
 
     @Test
-    void nothingAtAllIsStraight() {
+    void allZeroValuesAreStraight() {
         assertTrue(Line.fit(points(size -> 0, 1, 2, 3, 4)).isStraight());
     }
 
@@ -89,13 +89,13 @@
     }
 
     @Test
-    void threeSizesAreNoSlope() {
+    void rejectsFewerThanFourSizes() {
         assertThrows(IllegalArgumentException.class, () -> Line.fit(points(size -> size, 1, 2, 3)));
         assertThrows(IllegalArgumentException.class, () -> Line.fit(points(size -> size, 1, 2, 3, 3)));
     }
 
     @Test
-    void whatIsNoNumberIsNoPoint() {
+    void rejectsPointsWithoutFiniteValues() {
         assertThrows(IllegalArgumentException.class, () -> Point.of(1));
         assertThrows(IllegalArgumentException.class, () -> Point.of(1, Double.NaN));
         assertThrows(IllegalArgumentException.class, () -> Point.of(Double.POSITIVE_INFINITY, 1));
--- a/src/test/java/cranedeal/lab/slope/OverloadScenarioTest.java
+++ b/src/test/java/cranedeal/lab/slope/OverloadScenarioTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One overload of those that {@code lab slope overload} draws; {@code -Doverload.seed=N} plays another. */
+/** Runs one drawn overload of {@code lab slope overload}; {@code -Doverload.seed=N} selects another. */
 @Timeout(180)
 class OverloadScenarioTest {
 
-    /** A pause, three busy processes beside the balancer, and as many connections as the clients need. */
+    /** Draws a pause, three competing busy processes, and no limit on client connections. */
     private static final String USUAL_SEED = "3";
     private static final int SOCKETS = 1_024;
-    private static final OverloadPlay.Calm CALM = new OverloadPlay.Calm(50, 2);
+    private static final OverloadRun.LowLoad CALM = new OverloadRun.LowLoad(50, 2);
 
     @Test
     void theBalancerComesThroughADrawnOverload() throws Exception {
         OverloadScenario scenario = OverloadScenario.of(Long.parseLong(System.getProperty("overload.seed",
                 USUAL_SEED)));
         System.out.println("plays " + scenario);
-        OverloadPlay seen = OverloadPlay.play(new ProgramUnderTest().command(), scenario, 0, SOCKETS, CALM);
+        OverloadRun seen = OverloadRun.run(new ProgramUnderTest().command(), scenario, 0, SOCKETS, CALM);
         assertEquals(List.of(), seen.faults(), () -> scenario + ": " + DataPathStudy.countsOf(seen.load())
                 + ", " + DataPathStudy.countsOf(seen.after()) + ", " + seen.causes());
     }
@@ -38,7 +38,7 @@
         assertEquals(600, load.rateAt(7), 1e-9);
         assertEquals(900, LoadProfile.constant(900, 8).rateAt(0), 1e-9);
         int calls = load.arrivals(new SplittableRandom(1)).size();
-        // 900 a second for 4 s, and 600 in the mean for 4 s.
+        // 900 per second for 4 s, and 600 on average for 4 s.
         assertTrue(calls > 5_700 && calls < 6_300, () -> calls + " calls");
         assertEquals(load.arrivals(new SplittableRandom(1)), load.arrivals(new SplittableRandom(1)));
     }
--- a/src/test/java/cranedeal/lab/slope/SlopeReportTest.java
+++ b/src/test/java/cranedeal/lab/slope/SlopeReportTest.java
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theTableSaysWhatIsNotStraight() {
+    void theTableMarksSeriesThatAreNotStraight() {
         String text = report().text();
         assertTrue(text.contains("even, bytes/s (simulated)"), text);
         assertTrue(text.contains("not straight; piece from 3 to 4"), text);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void wrongUseIsSaid() {
+    void invalidArgumentsAreUsageErrors() {
         assertEquals(Program.USAGE_ERROR, Program.run(Map.of(), "lab", "slope"));
         assertEquals(Program.USAGE_ERROR, Program.run(Map.of(), "lab", "slope", "membership", "--members",
                 "4"));
