--- a/src/main/java/cranedeal/lab/slope/Chain.java
+++ b/src/main/java/cranedeal/lab/slope/Chain.java
@@ -147,20 +147,20 @@
             scheduleNextClient(front, end);
         }
         // All requests sent during the fault end within a client's deadline.
-        double over = end + 2 * ChainSettings.DEADLINE_MS;
-        while (!events.isEmpty() && events.peek().at() <= over) {
+        double simulationEnd = end + 2 * ChainSettings.DEADLINE_MS;
+        while (!events.isEmpty() && events.peek().at() <= simulationEnd) {
             Event event = events.poll();
             now = event.at();
             event.task().run();
         }
-        int most = 0;
+        int peakAttempts = 0;
         for (int slot : slots) {
-            most = Math.max(most, slot);
+            peakAttempts = Math.max(peakAttempts, slot);
         }
-        double usual = shape.width() * shape.ratePerS() * SLOT_MS / MS_PER_S;
+        double meanRequests = shape.width() * shape.ratePerS() * SLOT_MS / MS_PER_S;
         return new Stats(requests, admitted, ends[End.SERVED.ordinal()], ends[End.REFUSED.ordinal()],
                 ends[End.FAILED.ordinal()], ends[End.UNANSWERED.ordinal()], calls, attempts, arrived,
-                most / usual, workMs, wastedMs, goneCalls);
+                peakAttempts / meanRequests, workMs, wastedMs, goneCalls);
     }
 
     private void schedule(double at, Runnable task) {
@@ -285,13 +285,13 @@
             request.attempts.add(attempt);
             count(request.root);
             schedule(attempt.expiresAt, () -> finish(attempt, Result.TIMEOUT));
-            boolean fresh = idle[to] == 0;
-            idle[to] -= fresh ? 0 : 1;
+            boolean newConnection = idle[to] == 0;
+            idle[to] -= newConnection ? 0 : 1;
             if (hasFault(tier, Leaf.REFUSING)) {
                 schedule(now + 2 * shape.hopMs(), () -> finish(attempt, Result.CONNECT_FAILED));
             } else if (!hasFault(tier, Leaf.GONE)) {
                 schedule(now + shape.hopMs(), () -> machines[tier][to].arrive(this, attempt));
-            } else if (fresh) {
+            } else if (newConnection) {
                 schedule(now + ChainSettings.CONNECT_TIMEOUT_MS,
                         () -> finish(attempt, Result.CONNECT_FAILED));
             }
@@ -314,8 +314,8 @@
                 return;
             }
             attempt.done = true;
-            boolean kept = result == Result.OK || result == Result.ERROR || result == Result.FULL;
-            idle[attempt.upstream] += kept ? 1 : 0;
+            boolean reusable = result == Result.OK || result == Result.ERROR || result == Result.FULL;
+            idle[attempt.upstream] += reusable ? 1 : 0;
             if (result == Result.OK) {
                 end(attempt.request, End.SERVED);
             }
--- a/src/main/java/cranedeal/lab/slope/DepthStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DepthStudy.java
@@ -41,7 +41,8 @@
 
     @Override
     protected SlopeReport measure() throws CommandException {
-        if (tiers.size() < Line.MIN_SIZES || tiers.stream().anyMatch(one -> one < 1 || one > 100)
+        if (tiers.size() < Line.MIN_SIZES
+                || tiers.stream().anyMatch(tierCount -> tierCount < 1 || tierCount > 100)
                 || width < 1 || width > 1_000 || !(rate > 0) || !(workMs > 0) || !(slowTimes >= 1)
                 || !(troubleS > 0) || repeat < 1) {
             throw usageError("at least four numbers of tiers from 1 to 100, a width from 1 to 1000, and a"
--- a/src/main/java/cranedeal/lab/slope/GoodputStudy.java
+++ b/src/main/java/cranedeal/lab/slope/GoodputStudy.java
@@ -87,22 +87,22 @@
         SlopeReport report = report("call a second").with("upstreams", upstreams).with("seconds", seconds)
                 .with("busy", busy).with("sockets", sockets).with("connections", connections);
         Map<String, Object> counts = new LinkedHashMap<>();
-        seen.forEach((rate, one) -> {
-            counts.put("load-at-" + rate.longValue(), DataPathStudy.countsOf(one.load()));
-            counts.put("causes-at-" + rate.longValue(), one.causes());
-            counts.put("after-" + rate.longValue(), DataPathStudy.countsOf(one.after()));
+        seen.forEach((rate, run) -> {
+            counts.put("load-at-" + rate.longValue(), DataPathStudy.countsOf(run.load()));
+            counts.put("causes-at-" + rate.longValue(), run.causes());
+            counts.put("after-" + rate.longValue(), DataPathStudy.countsOf(run.after()));
         });
-        add(report, "goodput", "calls/s", seen, one -> one.load().served() / seconds);
-        add(report, "refused", "share", seen, one -> share(one.load().refused(), one.load()));
-        add(report, "failed", "share", seen, one -> share(one.load().failed(), one.load()));
-        add(report, "unanswered", "share", seen, one -> share(one.load().unanswered(), one.load()));
-        add(report, "unsent", "share", seen, one -> share(one.load().unsent(), one.load()));
-        add(report, "p50", "ms", seen, one -> one.load().latency().getValueAtPercentile(50) / NANOS_PER_MS);
-        add(report, "p99", "ms", seen, one -> one.load().latency().getValueAtPercentile(99) / NANOS_PER_MS);
-        add(report, "after-served", "share", seen, one -> share(one.after().served(), one.after()));
+        add(report, "goodput", "calls/s", seen, run -> run.load().served() / seconds);
+        add(report, "refused", "share", seen, run -> share(run.load().refused(), run.load()));
+        add(report, "failed", "share", seen, run -> share(run.load().failed(), run.load()));
+        add(report, "unanswered", "share", seen, run -> share(run.load().unanswered(), run.load()));
+        add(report, "unsent", "share", seen, run -> share(run.load().unsent(), run.load()));
+        add(report, "p50", "ms", seen, run -> run.load().latency().getValueAtPercentile(50) / NANOS_PER_MS);
+        add(report, "p99", "ms", seen, run -> run.load().latency().getValueAtPercentile(99) / NANOS_PER_MS);
+        add(report, "after-served", "share", seen, run -> share(run.after().served(), run.after()));
         add(report, "after-p99", "ms", seen,
-                one -> one.after().latency().getValueAtPercentile(99) / NANOS_PER_MS);
-        add(report, "cpu", "s", seen, one -> one.cpuUs() / US_PER_S);
+                run -> run.after().latency().getValueAtPercentile(99) / NANOS_PER_MS);
+        add(report, "cpu", "s", seen, run -> run.cpuUs() / US_PER_S);
         return report.with("counts", counts);
     }
 
@@ -113,7 +113,7 @@
     private static void add(SlopeReport report, String name, String unit, Map<Double, OverloadRun> seen,
             ToDoubleFunction<OverloadRun> what) {
         List<Point> points = new ArrayList<>();
-        seen.forEach((rate, one) -> points.add(Point.of(rate, what.applyAsDouble(one))));
+        seen.forEach((rate, run) -> points.add(Point.of(rate, what.applyAsDouble(run))));
         report.add(name, unit, Basis.MEASURED, points);
     }
 }
--- a/src/main/java/cranedeal/lab/slope/Line.java
+++ b/src/main/java/cranedeal/lab/slope/Line.java
@@ -92,14 +92,16 @@
         List<double[]> samples = new ArrayList<>();
         points.forEach(point -> point.values()
                 .forEach(value -> samples.add(new double[] {point.size(), value})));
-        double meanX = samples.stream().mapToDouble(one -> one[0]).average().orElseThrow();
-        double meanY = samples.stream().mapToDouble(one -> one[1]).average().orElseThrow();
-        double sumXY = samples.stream().mapToDouble(one -> (one[0] - meanX) * (one[1] - meanY)).sum();
-        double sumXX = samples.stream().mapToDouble(one -> (one[0] - meanX) * (one[0] - meanX)).sum();
+        double meanX = samples.stream().mapToDouble(sample -> sample[0]).average().orElseThrow();
+        double meanY = samples.stream().mapToDouble(sample -> sample[1]).average().orElseThrow();
+        double sumXY = samples.stream()
+                .mapToDouble(sample -> (sample[0] - meanX) * (sample[1] - meanY)).sum();
+        double sumXX = samples.stream()
+                .mapToDouble(sample -> (sample[0] - meanX) * (sample[0] - meanX)).sum();
         double slope = sumXY / sumXX;
         double intercept = meanY - slope * meanX;
         double residual = Math.sqrt(samples.stream().mapToDouble(
-                one -> Math.pow(one[1] - intercept - slope * one[0], 2)).average().orElseThrow());
+                sample -> Math.pow(sample[1] - intercept - slope * sample[0], 2)).average().orElseThrow());
         double worst = points.stream().mapToDouble(point -> deviation(point.median(), intercept
                 + slope * point.size())).max().orElseThrow();
         return new Line(slope, intercept, residual, worst, points.get(0).size(),
--- a/src/main/java/cranedeal/lab/slope/MembershipStudy.java
+++ b/src/main/java/cranedeal/lab/slope/MembershipStudy.java
@@ -44,7 +44,7 @@
 
     @Override
     protected SlopeReport measure() throws CommandException {
-        if (members.stream().anyMatch(one -> one < 2) || members.size() < Line.MIN_SIZES || seconds < 1
+        if (members.stream().anyMatch(size -> size < 2) || members.size() < Line.MIN_SIZES || seconds < 1
                 || repeat < 1 || losses.stream().anyMatch(loss -> !(loss >= 0 && loss < 1))) {
             throw usageError("at least four sizes of 2 or more, losses from 0 to below 1, and times and"
                     + " repeats of 1 or more are needed");
--- a/src/main/java/cranedeal/lab/slope/SlopeReport.java
+++ b/src/main/java/cranedeal/lab/slope/SlopeReport.java
@@ -88,31 +88,31 @@
     public ObjectNode json() {
         ObjectNode root = JSON.createObjectNode().put("study", study).put("command", command)
                 .put("size", size);
-        ObjectNode on = root.putObject("machine").put("processor", machine.processor())
+        ObjectNode machineNode = root.putObject("machine").put("processor", machine.processor())
                 .put("cores", machine.cores()).put("memory_mb", machine.memoryMb())
                 .put("system", machine.system()).put("java", machine.java()).put("load", machine.load());
-        on.set("flags", JSON.valueToTree(machine.flags()));
+        machineNode.set("flags", JSON.valueToTree(machine.flags()));
         root.set("setup", JSON.valueToTree(setup));
         ObjectNode all = root.putObject("series");
-        series.forEach((name, one) -> write(one, all.putObject(name)));
+        series.forEach((name, entry) -> write(entry, all.putObject(name)));
         return root;
     }
 
-    private void write(Series one, ObjectNode to) {
-        to.put("unit", one.unit()).put("basis", one.basis().name().toLowerCase(Locale.ROOT));
+    private void write(Series entry, ObjectNode to) {
+        to.put("unit", entry.unit()).put("basis", entry.basis().name().toLowerCase(Locale.ROOT));
         ObjectNode points = to.putObject("points");
-        for (Point point : one.points()) {
+        for (Point point : entry.points()) {
             ObjectNode at = points.putObject(plain(point.size())).put("median", point.median())
                     .put("least", point.min()).put("most", point.max());
             ArrayNode values = at.putArray("values");
             point.values().forEach(values::add);
         }
-        write(one.fit().whole(), one.unit(), to.putObject("fit"));
-        to.put("straight", one.fit().isStraight());
-        if (!one.fit().isStraight()) {
-            to.put("cut_straight", one.fit().isCutStraight());
+        write(entry.fit().whole(), entry.unit(), to.putObject("fit"));
+        to.put("straight", entry.fit().isStraight());
+        if (!entry.fit().isStraight()) {
+            to.put("cut_straight", entry.fit().isCutStraight());
             ArrayNode pieces = to.putArray("pieces");
-            one.fit().pieces().forEach(piece -> write(piece, one.unit(), pieces.addObject()));
+            entry.fit().pieces().forEach(piece -> write(piece, entry.unit(), pieces.addObject()));
         }
     }
 
@@ -139,12 +139,12 @@
                 .build();
         chart.getStyler().setChartBackgroundColor(Color.WHITE);
         chart.getStyler().setXAxisMin(0.0);
-        series.forEach((name, one) -> {
-            chart.addSeries(name, one.points().stream().map(Point::size).toList(),
-                    one.points().stream().map(Point::median).toList()).setLineStyle(
+        series.forEach((name, entry) -> {
+            chart.addSeries(name, entry.points().stream().map(Point::size).toList(),
+                    entry.points().stream().map(Point::median).toList()).setLineStyle(
                             org.knowm.xchart.style.lines.SeriesLines.NONE);
             int number = 0;
-            for (Line piece : one.fit().pieces()) {
+            for (Line piece : entry.fit().pieces()) {
                 chart.addSeries(name + (number == 0 ? ", fit" : ", fit " + number),
                         List.of(piece.from(), piece.to()), List.of(piece.at(piece.from()),
                                 piece.at(piece.to()))).setMarker(SeriesMarkers.NONE).setShowInLegend(false);
@@ -157,15 +157,15 @@
     /** Returns the report as a text table. */
     public String text() {
         List<String> lines = new ArrayList<>();
-        series.forEach((name, one) -> {
-            lines.add(String.format(Locale.ROOT, "%s, %s (%s)", name, one.unit(),
-                    one.basis().name().toLowerCase(Locale.ROOT)));
-            one.points().forEach(point -> lines.add(String.format(Locale.ROOT,
+        series.forEach((name, entry) -> {
+            lines.add(String.format(Locale.ROOT, "%s, %s (%s)", name, entry.unit(),
+                    entry.basis().name().toLowerCase(Locale.ROOT)));
+            entry.points().forEach(point -> lines.add(String.format(Locale.ROOT,
                     "  %10s %-8s %12.6g  (%.6g to %.6g, %d runs)", plain(point.size()), size, point.median(),
                     point.min(), point.max(), point.values().size())));
-            for (Line piece : one.fit().pieces()) {
+            for (Line piece : entry.fit().pieces()) {
                 lines.add(String.format(Locale.ROOT, "  %s from %s to %s: %.4g + %.4g each; residual %.3g,"
-                        + " worst %.1f%%", one.fit().isStraight() ? "line" : "not straight; piece",
+                        + " worst %.1f%%", entry.fit().isStraight() ? "line" : "not straight; piece",
                         plain(piece.from()), plain(piece.to()), piece.intercept(), piece.slope(),
                         piece.residual(), 100 * piece.worst()));
             }
--- a/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
+++ b/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
@@ -82,13 +82,13 @@
             stage.client().run(balancer, rate, WARM_UP_S, 0);
             Waves waves = new Waves(stage, list);
             clock.scheduleAtFixedRate(waves::advance, WAVE_MS, WAVE_MS, TimeUnit.MILLISECONDS);
-            int[] most = new int[1];
-            clock.scheduleAtFixedRate(() -> most[0] = Math.max(most[0], descriptors(stage)), SAMPLE_MS,
-                    SAMPLE_MS, TimeUnit.MILLISECONDS);
+            int[] maxDescriptors = new int[1];
+            clock.scheduleAtFixedRate(() -> maxDescriptors[0] = Math.max(maxDescriptors[0],
+                    descriptors(stage)), SAMPLE_MS, SAMPLE_MS, TimeUnit.MILLISECONDS);
             DataPathClient.Results block = stage.client().run(balancer, rate, seconds, seed);
             clock.shutdownNow();
             clock.awaitTermination(1, TimeUnit.MINUTES);
-            return new Results(block, stage.cpuUs() / US_PER_S, stage.peakKb() / 1024.0, most[0],
+            return new Results(block, stage.cpuUs() / US_PER_S, stage.peakKb() / 1024.0, maxDescriptors[0],
                     stage.metric("connects"), stage.discovery().listBytes() / 1024.0);
         } finally {
             clock.shutdownNow();
@@ -125,8 +125,8 @@
             wave++;
         }
 
-        private void each(int of, Consumer<String> change) {
-            for (int i = of * size; i < (of + 1) * size; i++) {
+        private void each(int waveIndex, Consumer<String> change) {
+            for (int i = waveIndex * size; i < (waveIndex + 1) * size; i++) {
                 change.accept(DataPathConfig.id(i));
             }
         }
@@ -137,13 +137,14 @@
                 .with("sockets", sockets).with("repeat", repeat);
         Map<String, Object> counts = new LinkedHashMap<>();
         seen.forEach((list, all) -> counts.put("calls-at-" + list,
-                all.stream().map(one -> DataPathStudy.countsOf(one.block())).toList()));
+                all.stream().map(results -> DataPathStudy.countsOf(results.block())).toList()));
         add(report, "cpu", "s", seen, Results::cpuS);
         add(report, "peak", "MB", seen, Results::peakMb);
         add(report, "descriptors", "descriptors", seen, Results::descriptors);
         add(report, "connects", "connections", seen, Results::connects);
         add(report, "lists", "KB", seen, Results::listKb);
-        add(report, "served", "share", seen, one -> (double) one.block().served() / one.block().calls());
+        add(report, "served", "share", seen, results -> (double) results.block().served()
+                / results.block().calls());
         return report.with("counts", counts);
     }
 
--- a/src/test/java/cranedeal/lab/slope/OverloadScenarioTest.java
+++ b/src/test/java/cranedeal/lab/slope/OverloadScenarioTest.java
@@ -22,7 +22,7 @@
     void theBalancerComesThroughADrawnOverload() throws Exception {
         OverloadScenario scenario = OverloadScenario.of(Long.parseLong(System.getProperty("overload.seed",
                 USUAL_SEED)));
-        System.out.println("plays " + scenario);
+        System.out.println("runs " + scenario);
         OverloadRun seen = OverloadRun.run(new ProgramUnderTest().command(), scenario, 0, SOCKETS, CALM);
         assertEquals(List.of(), seen.faults(), () -> scenario + ": " + DataPathStudy.countsOf(seen.load())
                 + ", " + DataPathStudy.countsOf(seen.after()) + ", " + seen.causes());
