--- a/src/main/java/cranedeal/lab/slope/DataPathConnections.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathConnections.java
@@ -43,16 +43,16 @@
         }
         Map<Integer, List<Double>> rss = new LinkedHashMap<>();
         for (int i = 0; i < repeat; i++) {
-            try (DataPathBench stage = new DataPathBench(program.command(), upstreams, 0)) {
-                stage.client().run(List.of(stage.listen()), WARM_UP_RATE, warmUp, i);
-                stage.client().close();
+            try (DataPathBench bench = new DataPathBench(program.command(), upstreams, 0)) {
+                bench.client().run(List.of(bench.listen()), WARM_UP_RATE, warmUp, i);
+                bench.client().close();
                 int open = 0;
                 for (int size : sorted) {
-                    if (stage.client().open(stage.listen(), size - open) < size) {
+                    if (bench.client().open(bench.listen(), size - open) < size) {
                         throw new IOException("the balancer did not keep " + size + " connections");
                     }
                     open = size;
-                    rss.computeIfAbsent(size, absent -> new ArrayList<>()).add((double) stage.rssKb());
+                    rss.computeIfAbsent(size, absent -> new ArrayList<>()).add((double) bench.rssKb());
                 }
             }
         }
--- a/src/main/java/cranedeal/lab/slope/DataPathStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathStudy.java
@@ -89,15 +89,15 @@
         Map<String, Object> warmUps = new LinkedHashMap<>();
         Map<String, Object> memory = new LinkedHashMap<>();
         for (int list : lists) {
-            try (DataPathBench stage = new DataPathBench(program.command(), list, workUs)) {
-                warmUps.put(Integer.toString(list), warmUp(stage));
+            try (DataPathBench bench = new DataPathBench(program.command(), list, workUs)) {
+                warmUps.put(Integer.toString(list), warmUp(bench));
                 for (int pair = 1; pair <= pairs; pair++) {
                     for (double rate : rates) {
                         seen.computeIfAbsent(new GridPoint(rate, list), place -> new ArrayList<>())
-                                .add(pair(stage, rate, pair));
+                                .add(pair(bench, rate, pair));
                     }
                 }
-                memory.put(Integer.toString(list), stage.rssKb());
+                memory.put(Integer.toString(list), bench.rssKb());
             }
         }
         return report(seen, byRate).with("seconds", seconds).with("pairs", pairs).with("work_us", workUs)
@@ -106,28 +106,28 @@
     }
 
     /** Sends calls directly and through the balancer until code is compiled and connections are open. */
-    private Map<String, Object> warmUp(DataPathBench stage) throws InterruptedException {
+    private Map<String, Object> warmUp(DataPathBench bench) throws InterruptedException {
         double maxRate = rates.stream().mapToDouble(Double::doubleValue).max().orElseThrow();
-        stage.client().run(stage.upstreams(), maxRate, warmUp, WARM_UP);
-        return countsOf(stage.client().run(List.of(stage.listen()), maxRate, warmUp, WARM_UP));
+        bench.client().run(bench.upstreams(), maxRate, warmUp, WARM_UP);
+        return countsOf(bench.client().run(List.of(bench.listen()), maxRate, warmUp, WARM_UP));
     }
 
-    private Pair pair(DataPathBench stage, double rate, int number) throws IOException,
+    private Pair pair(DataPathBench bench, double rate, int number) throws IOException,
             InterruptedException {
         // The order alternates between pairs, so that a drift of the machine's speed favours neither half.
         boolean directFirst = number % 2 == 1;
-        DataPathClient.Results direct = directFirst ? direct(stage, rate, number) : null;
-        double before = stage.cpuUs();
-        long mark = stage.logPosition();
-        DataPathClient.Results through = stage.client().run(List.of(stage.listen()), rate, seconds, number);
-        double cpu = (stage.cpuUs() - before) / Math.max(1, through.calls());
-        double bytes = stage.allocatedPerS(mark) * seconds / Math.max(1, through.calls());
-        return new Pair(directFirst ? direct : direct(stage, rate, number), through, cpu, bytes);
+        DataPathClient.Results direct = directFirst ? direct(bench, rate, number) : null;
+        double before = bench.cpuUs();
+        long mark = bench.logPosition();
+        DataPathClient.Results through = bench.client().run(List.of(bench.listen()), rate, seconds, number);
+        double cpu = (bench.cpuUs() - before) / Math.max(1, through.calls());
+        double bytes = bench.allocatedPerS(mark) * seconds / Math.max(1, through.calls());
+        return new Pair(directFirst ? direct : direct(bench, rate, number), through, cpu, bytes);
     }
 
-    private DataPathClient.Results direct(DataPathBench stage, double rate, int number)
+    private DataPathClient.Results direct(DataPathBench bench, double rate, int number)
             throws InterruptedException {
-        return stage.client().run(stage.upstreams(), rate, seconds, number);
+        return bench.client().run(bench.upstreams(), rate, seconds, number);
     }
 
     static Map<String, Object> countsOf(DataPathClient.Results block) {
--- a/src/main/java/cranedeal/lab/slope/OverloadRun.java
+++ b/src/main/java/cranedeal/lab/slope/OverloadRun.java
@@ -37,33 +37,33 @@
     /** Runs a scenario on a new balancer, with the given low load around it. */
     static OverloadRun run(List<String> program, OverloadScenario scenario, int processor, int sockets,
             LowLoad calm) throws IOException, InterruptedException {
-        try (DataPathBench stage = new DataPathBench(program, scenario.upstreams(),
+        try (DataPathBench bench = new DataPathBench(program, scenario.upstreams(),
                 TimeUnit.MILLISECONDS.toMicros(scenario.workMs()), sockets, scenario.connections(),
                 new Processor(processor, scenario.competitors()))) {
-            List<InetSocketAddress> balancer = List.of(stage.listen());
-            DataPathClient client = stage.client();
+            List<InetSocketAddress> balancer = List.of(bench.listen());
+            DataPathClient client = bench.client();
             long seed = scenario.seed();
             client.run(balancer, LoadProfile.constant(calm.perS(), calm.seconds()), seed);
-            Map<String, Long> before = stage.allMetrics();
-            double cpuBefore = stage.cpuUs();
-            DataPathClient.Results load = runWithPause(stage, balancer, scenario);
-            double cpuUs = stage.cpuUs() - cpuBefore;
+            Map<String, Long> before = bench.allMetrics();
+            double cpuBefore = bench.cpuUs();
+            DataPathClient.Results load = runWithPause(bench, balancer, scenario);
+            double cpuUs = bench.cpuUs() - cpuBefore;
             client.run(balancer, LoadProfile.constant(calm.perS(), RECOVERY_S), seed + 2);
             DataPathClient.Results after = client.run(balancer,
                     LoadProfile.constant(calm.perS(), calm.seconds()), seed + 3);
-            return new OverloadRun(load, after, cpuUs, before, stage.allMetrics());
+            return new OverloadRun(load, after, cpuUs, before, bench.allMetrics());
         }
     }
 
-    private static DataPathClient.Results runWithPause(DataPathBench stage, List<InetSocketAddress> balancer,
+    private static DataPathClient.Results runWithPause(DataPathBench bench, List<InetSocketAddress> balancer,
             OverloadScenario scenario) throws IOException, InterruptedException {
         ExecutorService pauses = Executors.newSingleThreadExecutor();
         try {
             Future<Void> paused = pauses.submit(() -> {
-                pause(stage, scenario);
+                pause(bench, scenario);
                 return null;
             });
-            DataPathClient.Results load = stage.client().run(balancer, scenario.load(), scenario.seed() + 1);
+            DataPathClient.Results load = bench.client().run(balancer, scenario.load(), scenario.seed() + 1);
             paused.get();
             return load;
         } catch (ExecutionException e) {
@@ -73,13 +73,13 @@
         }
     }
 
-    private static void pause(DataPathBench stage, OverloadScenario scenario)
+    private static void pause(DataPathBench bench, OverloadScenario scenario)
             throws IOException, InterruptedException {
         if (scenario.pauseMs() > 0) {
             TimeUnit.MILLISECONDS.sleep((long) (scenario.load().seconds() * MS_PER_S / 2));
-            stage.balancer().signal("STOP");
+            bench.balancer().signal("STOP");
             TimeUnit.MILLISECONDS.sleep(scenario.pauseMs());
-            stage.balancer().signal("CONT");
+            bench.balancer().signal("CONT");
         }
     }
 
--- a/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
+++ b/src/main/java/cranedeal/lab/slope/UpstreamsStudy.java
@@ -76,28 +76,28 @@
 
     private Results run(int list, long seed) throws CommandException, IOException, InterruptedException {
         ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
-        try (DataPathBench stage = new DataPathBench(program.command(), list, 0, sockets,
+        try (DataPathBench bench = new DataPathBench(program.command(), list, 0, sockets,
                 Integer.MAX_VALUE, Processor.ANY)) {
-            List<InetSocketAddress> balancer = List.of(stage.listen());
-            stage.client().run(balancer, rate, WARM_UP_S, 0);
-            Waves waves = new Waves(stage, list);
+            List<InetSocketAddress> balancer = List.of(bench.listen());
+            bench.client().run(balancer, rate, WARM_UP_S, 0);
+            Waves waves = new Waves(bench, list);
             clock.scheduleAtFixedRate(waves::advance, WAVE_MS, WAVE_MS, TimeUnit.MILLISECONDS);
             int[] maxDescriptors = new int[1];
             clock.scheduleAtFixedRate(() -> maxDescriptors[0] = Math.max(maxDescriptors[0],
-                    descriptors(stage)), SAMPLE_MS, SAMPLE_MS, TimeUnit.MILLISECONDS);
-            DataPathClient.Results block = stage.client().run(balancer, rate, seconds, seed);
+                    descriptors(bench)), SAMPLE_MS, SAMPLE_MS, TimeUnit.MILLISECONDS);
+            DataPathClient.Results block = bench.client().run(balancer, rate, seconds, seed);
             clock.shutdownNow();
             clock.awaitTermination(1, TimeUnit.MINUTES);
-            return new Results(block, stage.cpuUs() / US_PER_S, stage.peakKb() / 1024.0, maxDescriptors[0],
-                    stage.metric("connects"), stage.discovery().listBytes() / 1024.0);
+            return new Results(block, bench.cpuUs() / US_PER_S, bench.peakKb() / 1024.0, maxDescriptors[0],
+                    bench.metric("connects"), bench.discovery().listBytes() / 1024.0);
         } finally {
             clock.shutdownNow();
         }
     }
 
-    private static int descriptors(DataPathBench stage) {
+    private static int descriptors(DataPathBench bench) {
         try {
-            return stage.descriptors();
+            return bench.descriptors();
         } catch (IOException e) {
             return 0;
         }
@@ -106,21 +106,21 @@
     /** Drains half of the upstreams in waves and brings each wave back restarted some waves later. */
     private static final class Waves {
 
-        private final DataPathBench stage;
+        private final DataPathBench bench;
         private final int size;
         private int wave;
 
-        Waves(DataPathBench stage, int list) {
-            this.stage = stage;
+        Waves(DataPathBench bench, int list) {
+            this.bench = bench;
             size = list / 2 / WAVES;
         }
 
         void advance() {
             if (wave < WAVES) {
-                each(wave, id -> stage.discovery().state(id, "draining"));
+                each(wave, id -> bench.discovery().state(id, "draining"));
             }
             if (wave >= WAVES_AWAY && wave < WAVES + WAVES_AWAY) {
-                each(wave - WAVES_AWAY, id -> stage.discovery().started(id, System.currentTimeMillis()));
+                each(wave - WAVES_AWAY, id -> bench.discovery().started(id, System.currentTimeMillis()));
             }
             wave++;
         }
--- a/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
+++ b/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
@@ -23,18 +23,18 @@
 
     @Test
     void recoversFromATemporaryShortageOfDescriptors() throws Exception {
-        try (DataPathBench stage = new DataPathBench(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
+        try (DataPathBench bench = new DataPathBench(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
                 SOCKETS / 3, Processor.ANY)) {
-            List<InetSocketAddress> balancer = List.of(stage.listen());
-            stage.client().run(balancer, RATE, SECONDS, 1);
-            stage.balancer().limitDescriptors(stage.descriptors());
-            DataPathClient.Results shortOfSockets = stage.client().run(balancer, RATE, SECONDS, 2);
-            stage.balancer().limitDescriptors(USUAL);
-            stage.client().run(balancer, RATE, SECONDS, 3);
-            DataPathClient.Results after = stage.client().run(balancer, RATE, SECONDS, 4);
+            List<InetSocketAddress> balancer = List.of(bench.listen());
+            bench.client().run(balancer, RATE, SECONDS, 1);
+            bench.balancer().limitDescriptors(bench.descriptors());
+            DataPathClient.Results shortOfSockets = bench.client().run(balancer, RATE, SECONDS, 2);
+            bench.balancer().limitDescriptors(USUAL);
+            bench.client().run(balancer, RATE, SECONDS, 3);
+            DataPathClient.Results after = bench.client().run(balancer, RATE, SECONDS, 4);
             assertEquals(0, shortOfSockets.unanswered(),
                     () -> DataPathStudy.countsOf(shortOfSockets).toString());
-            assertTrue(stage.balancer().isAlive());
+            assertTrue(bench.balancer().isAlive());
             assertEquals(after.calls(), after.served(), () -> "after it: " + DataPathStudy.countsOf(after));
         }
     }
--- a/src/test/java/cranedeal/lab/slope/OverloadTest.java
+++ b/src/test/java/cranedeal/lab/slope/OverloadTest.java
@@ -30,16 +30,16 @@
             long closed) { }
 
     private static Results run() throws Exception {
-        try (DataPathBench stage = new DataPathBench(new ProgramUnderTest().command(), 25, 0, SOCKETS,
+        try (DataPathBench bench = new DataPathBench(new ProgramUnderTest().command(), 25, 0, SOCKETS,
                 Integer.MAX_VALUE, new Processor(0, 1))) {
-            List<InetSocketAddress> balancer = List.of(stage.listen());
-            stage.client().run(balancer, CALM_RATE, RECOVERY_S, 1);
-            DataPathClient.Results load = stage.client().run(balancer, OVERLOAD_RATE, OVERLOAD_S, 2);
-            long closed = stage.metric("closed_caller_not_taken") + stage.metric("closed_caller_for_room")
-                    + stage.metric("closed_silent_caller_for_room");
-            stage.client().run(balancer, CALM_RATE, RECOVERY_S, 3);
-            DataPathClient.Results after = stage.client().run(balancer, CALM_RATE, AFTER_S, 4);
-            return new Results(load, after, stage.metricsText(), closed);
+            List<InetSocketAddress> balancer = List.of(bench.listen());
+            bench.client().run(balancer, CALM_RATE, RECOVERY_S, 1);
+            DataPathClient.Results load = bench.client().run(balancer, OVERLOAD_RATE, OVERLOAD_S, 2);
+            long closed = bench.metric("closed_caller_not_taken") + bench.metric("closed_caller_for_room")
+                    + bench.metric("closed_silent_caller_for_room");
+            bench.client().run(balancer, CALM_RATE, RECOVERY_S, 3);
+            DataPathClient.Results after = bench.client().run(balancer, CALM_RATE, AFTER_S, 4);
+            return new Results(load, after, bench.metricsText(), closed);
         }
     }
 
