--- a/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
+++ b/src/test/java/cranedeal/lab/slope/DescriptorShortageTest.java
@@ -4,13 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.lab.LabCommand.ProgramUnderTest;
-import cranedeal.lab.slope.DataPathStage.Processor;
+import cranedeal.lab.slope.DataPathBench.Processor;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A real balancer for which socket and accept fail for a while, and then work again. */
+/** Guards against a balancer that leaves calls unanswered, or does not recover, after its file descriptors
+ * run out and socket() and accept() fail for a while. */
 @Timeout(120)
 class DescriptorShortageTest {
 
@@ -21,19 +22,20 @@
     private static final double SECONDS = 2;
 
     @Test
-    void socketsThatFailForAWhileAreAnsweredForAndForgotten() throws Exception {
-        try (DataPathStage stage = new DataPathStage(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
+    void recoversFromATemporaryShortageOfDescriptors() throws Exception {
+        try (DataPathBench bench = new DataPathBench(new ProgramUnderTest().command(), UPSTREAMS, 0, SOCKETS,
                 SOCKETS / 3, Processor.ANY)) {
-            List<InetSocketAddress> balancer = List.of(stage.listen());
-            stage.client().play(balancer, RATE, SECONDS, 1);
-            stage.balancer().limitDescriptors(stage.descriptors());
-            DataPathClient.Block shortOfSockets = stage.client().play(balancer, RATE, SECONDS, 2);
-            stage.balancer().limitDescriptors(USUAL);
-            stage.client().play(balancer, RATE, SECONDS, 3);
-            DataPathClient.Block after = stage.client().play(balancer, RATE, SECONDS, 4);
-            assertEquals(0, shortOfSockets.unanswered(), () -> DataPathStudy.told(shortOfSockets).toString());
-            assertTrue(stage.balancer().isAlive());
-            assertEquals(after.calls(), after.served(), () -> "after it: " + DataPathStudy.told(after));
+            List<InetSocketAddress> balancer = List.of(bench.listen());
+            bench.client().run(balancer, RATE, SECONDS, 1);
+            bench.balancer().limitDescriptors(bench.descriptors());
+            DataPathClient.Results shortOfSockets = bench.client().run(balancer, RATE, SECONDS, 2);
+            bench.balancer().limitDescriptors(USUAL);
+            bench.client().run(balancer, RATE, SECONDS, 3);
+            DataPathClient.Results after = bench.client().run(balancer, RATE, SECONDS, 4);
+            assertEquals(0, shortOfSockets.unanswered(),
+                    () -> DataPathStudy.countsOf(shortOfSockets).toString());
+            assertTrue(bench.balancer().isAlive());
+            assertEquals(after.calls(), after.served(), () -> "after it: " + DataPathStudy.countsOf(after));
         }
     }
 }
