--- a/src/main/java/cranedeal/lab/slope/DataPathStudy.java
+++ b/src/main/java/cranedeal/lab/slope/DataPathStudy.java
@@ -102,7 +102,7 @@
         }
         return report(seen, byRate).with("seconds", seconds).with("pairs", pairs).with("work_us", workUs)
                 .with("warm_up_s", warmUp).with("warm_up", warmUps).with("rss_kb", memory)
-                .with("latency", "from writing a call to its complete answer; generator lateness apart");
+                .with("latency", "from a call's writing to its whole answer; the generator's lateness apart");
     }
 
     /** Sends calls directly and through the balancer until code is compiled and connections are open. */
@@ -172,7 +172,7 @@
                     .allMatch(Double::isFinite)) {
                 add(report, "allocated" + name, "bytes", line, Pair::bytes);
             } else {
-                missing.add("allocated" + name + ": a run with fewer than two garbage collections");
+                missing.add("allocated" + name + ": a half with fewer than two collections");
                 line.forEach((at, all) -> all.stream().mapToDouble(Pair::bytes).filter(Double::isFinite)
                         .average().ifPresent(mean -> counts.put("allocated_bytes" + name + "-at-" + plain(at),
                                 Math.round(mean))));
