--- a/src/main/java/cranedeal/lab/history/Checker.java
+++ b/src/main/java/cranedeal/lab/history/Checker.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** Reads a history and says where it breaks one promise. */
+/** Reads a history and reports every violation of one rule. */
 public abstract class Checker implements Consumer<Event> {
 
-    private static final int MOST_SHOWN = 20;
+    private static final int MAX_SHOWN = 20;
 
     private final String rule;
     private final List<String> shown = new ArrayList<>();
@@ -18,7 +18,7 @@
         this.rule = rule;
     }
 
-    /** What a checker has found: how often the rule was broken, and the first few times. */
+    /** The result of a checker: the number of violations, and descriptions of the first few. */
     public record Finding(String rule, long count, List<String> shown) {
 
         public boolean holds() {
@@ -26,20 +26,20 @@
         }
     }
 
-    /** The finding; asked once, after the last event. */
+    /** Returns the result. Call it once, after the last event. */
     public final Finding finish() {
         end();
         return new Finding(rule, count, List.copyOf(shown));
     }
 
-    /** Judges what could only be judged at the end. */
+    /** Called after the last event, for checks that need the whole history. */
     void end() {
-        // Most rules are judged as the events come.
+        // Most rules are checked event by event.
     }
 
     final void broken(double at, String format, Object... values) {
         count++;
-        if (shown.size() < MOST_SHOWN) {
+        if (shown.size() < MAX_SHOWN) {
             shown.add(String.format(Locale.ROOT, "at %.0f ms: ", at)
                     + String.format(Locale.ROOT, format, values));
         }
--- a/src/main/java/cranedeal/lab/history/Effect.java
+++ b/src/main/java/cranedeal/lab/history/Effect.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** What repeating a request does, by the platform's words. */
+/** How safe it is to repeat a request, in the platform's terms. */
 public enum Effect {
-    /** It may be repeated as often as one likes. */
+    /** The request may be repeated any number of times. */
     IDEMPOTENT,
-    /** Upstreams of one cell throw repeats away, for a while. */
+    /** Upstreams of the same cell discard repeats, for a limited time. */
     DEDUPLICATED,
-    /** It must not run twice. */
+    /** The request must not run twice. */
     AT_MOST_ONCE;
 
-    /** The word of the settings. */
+    /** Returns the name used in the settings. */
     @JsonValue
     public String word() {
         return name().toLowerCase(Locale.ROOT);
--- a/src/main/java/cranedeal/lab/history/Event.java
+++ b/src/main/java/cranedeal/lab/history/Event.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Something that one of the parties saw. Times are milliseconds since the experiment's start, on the lab's
- * own clock, which never goes back.
+ * An event that one party of an experiment observed. Times are milliseconds since the experiment's start, on
+ * the lab's own monotonic clock.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "event")
 @JsonSubTypes({@JsonSubTypes.Type(value = Event.Sent.class, name = "sent"),
@@ -24,113 +24,116 @@
     @JsonSubTypes.Type(value = Event.Host.class, name = "host")})
 public sealed interface Event {
 
-    /** How a try ended, as its client saw it. */
+    /** How a try (one transmission of a request by its client) ended, as the client saw it. */
     enum End {
-        /** A 200 with its body. */
+        /** Status 200 with its complete body. */
         SERVED,
-        /** 429 or 503. */
+        /** Status 429 or 503. */
         REFUSED,
         /** Any other answer. */
         FAILED,
-        /** The connection ended without a whole answer. */
+        /** The connection ended before a complete answer. */
         BROKEN,
-        /** No connection came up, or it ended before the request was written. */
+        /** No connection could be opened, or it ended before the request was written. */
         UNREACHABLE,
-        /** No answer came, not even half a second after its time. */
+        /** No answer came until half a second after the deadline. */
         SILENT
     }
 
-    /** What happens to a process. */
+    /** State changes of a process. */
     enum Life { STARTED, READY, STOPPING, KILLED, PAUSED, RESUMED, EXITED }
 
-    /** When it was seen. */
+    /** Time of the observation. */
     double at();
 
-    /** A client has sent a try, with an id of its own, of a request that was due at {@code due}. */
+    /** A client has sent a try, which has its own id, of a request that was due at {@code due}. */
     record Sent(double at, String id, long request, String balancer, String serviceClass, double due,
             double deadline) implements Event { }
 
-    /** A try has its end. */
+    /** A try has ended. */
     record Answered(double at, String id, long request, String balancer, End end, int status)
             implements Event { }
 
-    /** A request has its final answer: that of its last try; the latency counts from when it was due. */
+    /** A request has its final answer, that of its last try. The latency counts from its due time. */
     record Ended(double at, long request, String serviceClass, End end, int tries, double latency)
             implements Event { }
 
     /**
-     * An attempt has come whole to an upstream, and was taken in or turned away.
+     * An attempt has arrived completely at an upstream, which accepted or rejected it.
      *
-     * @param begun when its first byte came
-     * @param work how long it occupies one core of nominal speed, in milliseconds
+     * @param begun when its first byte arrived
+     * @param work the time for which it occupies one core of nominal speed, in milliseconds
+     * @param taken whether the upstream accepted it
      * @param failing whether the upstream will answer it with 500
      */
     record Arrived(double at, String id, String balancer, String upstream, String serviceClass, double begun,
             double work, boolean taken, boolean failing) implements Event { }
 
-    /** Discovery has written an upstream's state to a balancer. */
+    /** Discovery has sent an upstream's state to a balancer. */
     record Told(double at, String balancer, String upstream, String state) implements Event { }
 
     /**
-     * An upstream serves from now on; cold at first, if {@code warmMs} is above 0.
+     * An upstream has started serving. It starts cold if {@code warmMs} is above 0.
      *
-     * @param capacity the cores' work in milliseconds that it does in a millisecond when warm
-     * @param coldShare the share of it that it has at first
+     * @param capacity the core milliseconds of work that it does per millisecond when warm
+     * @param coldShare the share of the capacity that it has at its start
      */
     record Began(double at, String upstream, double capacity, double coldShare, double warmMs)
             implements Event { }
 
-    /** The load begins, or its last request has ended. */
+    /** The load has begun, or its last request has ended. */
     record Loaded(double at, boolean begins) implements Event { }
 
-    /** A fault begins or ends; {@code touched} are processes, or links such as {@code n0>u3}. */
+    /** A fault begins or ends; {@code touched} lists the affected processes, or links such as {@code n0>u3}. */
     record Faulted(double at, int fault, String kind, List<String> touched, boolean begins)
             implements Event { }
 
-    /** Something has happened to a process; {@code code} is its exit code where it has one. */
+    /** A process has changed its state; {@code code} is its exit code if it has one. */
     record Lived(double at, String process, Life life, int code) implements Event { }
 
-    /** What a process has used: CPU time since its start, and memory. */
+    /** CPU time that a process has used since its start, and its memory. */
     record Used(double at, String process, double cpuMs, long rssKb) implements Event { }
 
     /**
-     * What the members of a region see of the fleet.
+     * How the members of a region see the fleet's membership.
      *
-     * @param running how many of them run
-     * @param reachable how many members run that they can reach, themselves among them
-     * @param least the fewest that one of them sees present; likewise {@code most}
+     * @param running the number of members of the region that run
+     * @param reachable the number of running members that they can reach, themselves included
+     * @param least the smallest number of members that one of them sees present
+     * @param most the largest such number
      */
     record Viewed(double at, String region, int running, int reachable, long least, long most)
             implements Event {
 
-        /** Whether each of them sees as many as there are. */
+        /** Returns true if every member sees exactly the reachable members. */
         public boolean settled() {
             return running == 0 || least == reachable && most == reachable;
         }
     }
 
     /**
-     * What control cost some balancers in about a second; bytes are those of datagrams and of full exchanges.
+     * The cost of control traffic for some balancers over about a second. Bytes are those of datagrams and of
+     * full exchanges.
      *
-     * @param who whose: all real balancers, or one process of hollow ones
-     * @param hollow whether those
-     * @param balancerSeconds the sum of the seconds, over those that ran
-     * @param peakBytes the most that one of them sent and received in a second
-     * @param controlMs the CPU time of the threads of membership
-     * @param processMs the CPU time of the processes, whatever they did
-     * @param rssKb their resident memory together
-     * @param lateMs the most that a loop was late which hollow balancers share
+     * @param who all real balancers, or one process that runs hollow balancers
+     * @param hollow whether the balancers are hollow
+     * @param balancerSeconds the seconds of the period, summed over the balancers that ran
+     * @param peakBytes the largest number of bytes that one balancer sent and received in a second
+     * @param controlMs the CPU time of the membership threads
+     * @param processMs the total CPU time of the processes
+     * @param rssKb their total resident memory
+     * @param lateMs the largest delay of an event loop that hollow balancers share
      */
     record Spent(double at, String who, boolean hollow, long balancerSeconds, long datagrams, long bytes,
             long syncs, long peakBytes, double controlMs, double processMs, long rssKb, double lateMs)
             implements Event { }
 
     /**
-     * What the machine did in about a second.
+     * The load of the machine over about a second.
      *
-     * @param busy the share of its cores' time that was used, by whomever
-     * @param lateMs how much later than it should the lab looked
-     * @param labMs the CPU time of the lab itself, its stand-ins and links
+     * @param busy the share of its cores' time that was used, by all processes
+     * @param lateMs how late the lab's sample was taken
+     * @param labMs the CPU time of the lab itself, including its simulated upstreams and links
      * @param labRssKb the lab's resident memory
      */
     record Host(double at, double busy, double lateMs, double labMs, long labRssKb) implements Event { }
--- a/src/main/java/cranedeal/lab/history/History.java
+++ b/src/main/java/cranedeal/lab/history/History.java
@@ -17,9 +17,9 @@
 import java.util.function.Consumer;
 
 /**
- * The record of an experiment: JSON, a line for each event, in the order in which they were told. Those who
- * tell never wait: what finds the queue full is lost and counted, and an experiment that lost any has no
- * verdict.
+ * The record of an experiment: a JSON file with a line for each event, in the order in which the events were
+ * added. Adding an event never blocks: if the queue is full, the event is dropped and counted, and an
+ * experiment that dropped any event has no verdict.
  */
 public final class History implements Consumer<Event>, AutoCloseable {
 
@@ -27,17 +27,17 @@
             .disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET).build();
     private static final ObjectWriter WRITER = JSON.writerFor(Event.class);
     private static final ObjectReader READER = JSON.readerFor(Event.class);
-    private static final int QUEUE = 1 << 17;
-    /** Told last, so that the writer ends. */
-    private static final Event LAST = new Event.Faulted(0, 0, "", List.of(), false);
+    private static final int QUEUE_CAPACITY = 1 << 17;
+    /** Sentinel that ends the writer thread. */
+    private static final Event END_OF_QUEUE = new Event.Faulted(0, 0, "", List.of(), false);
 
-    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE);
+    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final AtomicLong lost = new AtomicLong();
     private final Path file;
     private final Thread writer;
     private volatile IOException failure;
 
-    /** Begins a file. */
+    /** Creates the file and starts the writer thread. */
     public History(Path file) throws IOException {
         this.file = file;
         BufferedWriter out = Files.newBufferedWriter(file);
@@ -53,14 +53,14 @@
         }
     }
 
-    /** How many events were lost. */
+    /** Returns the number of dropped events. */
     public long lost() {
         return lost.get();
     }
 
     private void write(BufferedWriter out) {
         try (out) {
-            for (Event event = queue.take(); event != LAST; event = queue.take()) {
+            for (Event event = queue.take(); event != END_OF_QUEUE; event = queue.take()) {
                 WRITER.writeValue(out, event);
                 out.write('\n');
             }
@@ -71,12 +71,12 @@
         }
     }
 
-    /** Writes what is left; throws {@link IOException} if the file is not whole. */
+    /** Writes the remaining events; throws {@link IOException} if the file is incomplete. */
     @Override
     public void close() throws IOException {
         try {
-            // A writer that has failed takes nothing more.
-            while (writer.isAlive() && !queue.offer(LAST, 1, TimeUnit.SECONDS)) {
+            // A writer that failed no longer empties the queue.
+            while (writer.isAlive() && !queue.offer(END_OF_QUEUE, 1, TimeUnit.SECONDS)) {
                 continue;
             }
             writer.join();
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Shows a recorded experiment event by event; throws {@link IOException} for what is no history. */
+    /** Passes a recorded history on event by event; throws {@link IOException} if the file is not one. */
     public static void replay(Path file, Consumer<Event> to) throws IOException {
         try (MappingIterator<Event> events = READER.readValues(file.toFile())) {
             while (events.hasNextValue()) {
--- a/src/main/java/cranedeal/lab/history/NoUnsafeRepeat.java
+++ b/src/main/java/cranedeal/lab/history/NoUnsafeRepeat.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * No try runs twice where that has an effect: once one attempt was taken in by an upstream, there is no
- * second of a class that must run at most once, and of a deduplicated class only in the same cell.
+ * Checks that no try runs twice where a repeat has an effect. After an upstream has accepted an attempt, an
+ * at-most-once class allows no second attempt, and a deduplicated class allows one only in the same cell.
  */
 public final class NoUnsafeRepeat extends Checker {
 
     private final Map<String, Effect> effects;
     private final Map<String, Integer> cells;
-    private final Map<String, Event.Arrived> first = new HashMap<>();
+    private final Map<String, Event.Arrived> firstArrivals = new HashMap<>();
 
-    /** With the effect of each class and the cell of each upstream. */
+    /** Creates a checker from the effect of each class and the cell of each upstream. */
     public NoUnsafeRepeat(Map<String, Effect> effects, Map<String, Integer> cells) {
         super("no-unsafe-repeat");
         this.effects = Map.copyOf(effects);
@@ -29,8 +29,8 @@
         if (effect == Effect.IDEMPOTENT) {
             return;
         }
-        // Where a connection ended under it, its client may have sent it once more, through another balancer.
-        Event.Arrived earlier = first.putIfAbsent(arrived.id() + ' ' + arrived.balancer(), arrived);
+        // After a broken connection the client may have sent the try again through another balancer.
+        Event.Arrived earlier = firstArrivals.putIfAbsent(arrived.id() + ' ' + arrived.balancer(), arrived);
         if (earlier != null && (effect == Effect.AT_MOST_ONCE
                 || !cells.get(earlier.upstream()).equals(cells.get(arrived.upstream())))) {
             broken(arrived.at(), "%s of %s runs at %s and at %s", arrived.id(), arrived.serviceClass(),
--- a/src/main/java/cranedeal/lab/history/OneAnswer.java
+++ b/src/main/java/cranedeal/lab/history/OneAnswer.java
@@ -3,13 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Each try has exactly one end, and each request one final answer: that of its last try. */
+/** Checks that each try ends exactly once and each request has one final answer, that of its last try. */
 public final class OneAnswer extends Checker {
 
     private final Map<String, Event.Sent> open = new HashMap<>();
     private final Map<Long, Integer> openTries = new HashMap<>();
 
-    /** A checker at the beginning of a history. */
+    /** Creates a checker for a history that is read from its beginning. */
     public OneAnswer() {
         super("one-answer");
     }
--- a/src/main/java/cranedeal/lab/history/Promptness.java
+++ b/src/main/java/cranedeal/lab/history/Promptness.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 
 /**
- * A request that is given up is answered at once: none that no upstream ever saw is refused or failed after
- * more than half of its time.
+ * Checks that a balancer gives up a request early: a request that reached no upstream must not be refused or
+ * failed after more than half of the time until its deadline.
  */
 public final class Promptness extends Checker {
 
-    private static final double HALF = 0.5;
+    private static final double MAX_DEADLINE_SHARE = 0.5;
     private final double slackMs;
-    private final Troubles troubles = new Troubles();
+    private final FaultWindows faultWindows = new FaultWindows();
     private final Map<String, Event.Sent> open = new HashMap<>();
     private final Set<String> attempted = new HashSet<>();
-    /** In the warm-up the lab itself is slow, so no time of it tells anything. */
-    private boolean loaded;
+    /** False during the warm-up: the lab itself is slow then, so its timings are not checked. */
+    private boolean loadStarted;
 
-    /** With how much later than that an answer may be, in milliseconds. */
+    /** Creates a checker; the slack is added to the allowed time, in milliseconds. */
     public Promptness(double slackMs) {
         super("prompt-refusal");
         this.slackMs = slackMs;
@@ -27,12 +27,12 @@
 
     @Override
     public void accept(Event event) {
-        troubles.accept(event);
-        loaded |= event instanceof Event.Loaded;
-        if (event instanceof Event.Sent sent && loaded) {
+        faultWindows.accept(event);
+        loadStarted |= event instanceof Event.Loaded;
+        if (event instanceof Event.Sent sent && loadStarted) {
             open.put(sent.id(), sent);
         } else if (event instanceof Event.Arrived arrived) {
-            // What arrives after the answer is of no interest, and would never be forgotten.
+            // Attempts that arrive after the answer are ignored: their entries would never be removed.
             if (open.containsKey(arrived.id())) {
                 attempted.add(arrived.id());
             }
@@ -41,17 +41,17 @@
             boolean seen = attempted.remove(answered.id());
             boolean givenUp = answered.end() == Event.End.REFUSED || answered.end() == Event.End.FAILED;
             if (sent != null && !seen && givenUp) {
-                judge(sent, answered);
+                checkDelay(sent, answered);
             }
         }
     }
 
-    private void judge(Event.Sent sent, Event.Answered answered) {
+    private void checkDelay(Event.Sent sent, Event.Answered answered) {
         double took = answered.at() - sent.at();
-        double most = HALF * (sent.deadline() - sent.at()) + slackMs;
-        // What was sent on may wait in a link that is cut, and a paused balancer answers nobody.
-        if (took > most && !troubles.touched(answered.balancer(), sent.at(), answered.at())
-                && !troubles.touchedLinkOf(answered.balancer(), sent.at(), answered.at())) {
+        double most = MAX_DEADLINE_SHARE * (sent.deadline() - sent.at()) + slackMs;
+        // An attempt may be held up in a cut link, and a paused balancer cannot answer.
+        if (took > most && !faultWindows.affected(answered.balancer(), sent.at(), answered.at())
+                && !faultWindows.anyLinkAffected(answered.balancer(), sent.at(), answered.at())) {
             broken(answered.at(), "%s gives %s up after %.0f of %.0f ms, and no upstream has seen it",
                     answered.balancer(), answered.id(), took, sent.deadline() - sent.at());
         }
--- a/src/main/java/cranedeal/lab/history/Unanswered.java
+++ b/src/main/java/cranedeal/lab/history/Unanswered.java
@@ -6,48 +6,49 @@
 import java.util.Map;
 
 /**
- * No try is left by a living balancer without an answer: by an end of its connection, or by silence until
- * half a second after its time. A try whose balancer was killed, paused or cut off meanwhile may be.
+ * Checks that a running balancer leaves no try without an answer, either by closing its connection or by
+ * silence until half a second after the deadline. Tries whose balancer was killed, paused or cut off in the
+ * meantime are excused.
  */
 public final class Unanswered extends Checker {
 
-    /** How much later the news of a process's end may come than that of its connections. */
-    private static final double NEWS_MS = 2_000;
+    /** How much later than the end of its connections the end of a process may be recorded. */
+    private static final double PROCESS_EVENT_DELAY_MS = 2_000;
 
-    private final Event.End left;
-    private final Troubles troubles = new Troubles();
+    private final Event.End unansweredEnd;
+    private final FaultWindows faultWindows = new FaultWindows();
     private final Map<String, Event.Sent> open = new HashMap<>();
-    /** Tries that were left, and how long ago they were sent. */
+    /** The sending time of each unanswered try. */
     private final Map<Event.Answered, Double> sentAt = new HashMap<>();
-    private final List<Event.Answered> found = new ArrayList<>();
-    /** In the warm-up the lab itself is slow, so that it may not see in time what is there. */
-    private boolean loaded;
+    private final List<Event.Answered> unanswered = new ArrayList<>();
+    /** False during the warm-up: the lab itself is slow then and may see an answer too late. */
+    private boolean loadStarted;
 
     private Unanswered(String rule, Event.End left) {
         super(rule);
-        this.left = left;
+        this.unansweredEnd = left;
     }
 
-    /** Finds tries whose connections a balancer ended. */
+    /** Creates a checker for tries whose connection a balancer closed. */
     public static Unanswered byClosing() {
         return new Unanswered("no-broken-connection", Event.End.BROKEN);
     }
 
-    /** Finds tries that a balancer left open; what is late by the lab's own fault looks the same. */
+    /** Creates a checker for tries left open; a delay within the lab itself looks the same. */
     public static Unanswered bySilence() {
         return new Unanswered("answered-in-time", Event.End.SILENT);
     }
 
     @Override
     public void accept(Event event) {
-        troubles.accept(event);
-        loaded |= event instanceof Event.Loaded;
+        faultWindows.accept(event);
+        loadStarted |= event instanceof Event.Loaded;
         if (event instanceof Event.Sent sent) {
             open.put(sent.id(), sent);
         } else if (event instanceof Event.Answered answered) {
             Event.Sent sent = open.remove(answered.id());
-            if (sent != null && answered.end() == left && loaded) {
-                found.add(answered);
+            if (sent != null && answered.end() == unansweredEnd && loadStarted) {
+                unanswered.add(answered);
                 sentAt.put(answered, sent.at());
             }
         }
@@ -55,11 +56,12 @@
 
     @Override
     void end() {
-        for (Event.Answered answered : found) {
+        for (Event.Answered answered : unanswered) {
             double sent = sentAt.get(answered);
-            double until = answered.at() + NEWS_MS;
-            if (!troubles.touched(answered.balancer(), sent, until)
-                    && !troubles.touched(Troubles.link("clients", answered.balancer()), sent, until)) {
+            double until = answered.at() + PROCESS_EVENT_DELAY_MS;
+            if (!faultWindows.affected(answered.balancer(), sent, until)
+                    && !faultWindows.affected(FaultWindows.link("clients", answered.balancer()), sent,
+                            until)) {
                 broken(answered.at(), "%s took %s, sent %.0f ms before, and left it without an answer",
                         answered.balancer(), answered.id(), answered.at() - sent);
             }
