--- a/src/main/java/cranedeal/lab/BalancerConfig.java
+++ b/src/main/java/cranedeal/lab/BalancerConfig.java
@@ -11,20 +11,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the platform tells a balancer, as the deployment page has it. */
+/** Builds the configuration file that the platform gives a balancer. */
 final class BalancerConfig {
 
     static final double DRAIN_GRACE_MS = 2_000;
     static final double FALL_MULTIPLE = 3;
     static final double TIP_AFTER_MS = 1_500;
-    /** Members of a lab are on one machine, and their experiments short. */
+    /** Probe period of lab members, which share one machine and run short experiments. */
     static final int MEMBER_PERIOD_MS = 500;
     private static final JsonMapper JSON = new JsonMapper();
 
     private BalancerConfig() {
     }
 
-    /** The whole file of one balancer; {@code seed} is new with each start. */
+    /** Returns the whole configuration of one balancer; {@code seed} changes with each start. */
     static ObjectNode of(Experiment experiment, int number, InetSocketAddress listen,
             InetSocketAddress discovery, long seed, ObjectNode known, List<InetSocketAddress> seeds) {
         String name = experiment.balancerNames().get(number);
@@ -34,7 +34,7 @@
                 .put("sockets", experiment.sockets());
         root.set("known", known);
         if (experiment.members()) {
-            // Those that are seeds are named in the files of all, their own too.
+            // The seeds are named in every member's file, their own included.
             ObjectNode fleet = root.putObject("fleet").put("name", experiment.name())
                     .put("listen", text(member(listen, AddressBlock.MEMBER_PORT)))
                     .put("advertise", text(member(listen, AddressBlock.MEMBER_LINK_PORT)))
@@ -98,7 +98,7 @@
         return settings;
     }
 
-    /** How long upstreams throw repeats of a keyed request away. */
+    /** How long upstreams discard repeats of a keyed request. */
     static double memoryMs(ServiceClass of) {
         return 2 * of.deadlineMs();
     }
--- a/src/main/java/cranedeal/lab/BalancerProcess.java
+++ b/src/main/java/cranedeal/lab/BalancerProcess.java
@@ -22,27 +22,27 @@
 import java.util.function.Consumer;
 
 /**
- * One balancer over all processes that it has in an experiment. Clients reach it through a link that refuses
- * while no process serves. Its methods wait for what they bring about, and are called by one thread at a
- * time.
+ * One balancer, across all processes that it has in an experiment. Clients reach it through a link that
+ * refuses connections while no process serves. Methods block until their effect is complete, and must be
+ * called by one thread at a time.
  */
 final class BalancerProcess {
 
-    private static final long LOOK_EVERY_MS = 10;
-    private static final long LONGEST_START_MS = 60_000;
-    private static final long LONGEST_STOP_MS = 30_000;
-    /** How long the front still deals out connections after SIGTERM, as the protocol has it. */
-    private static final long FRONT_LATE_MS = 300;
-    private static final int LOG_SHOWN = 5;
+    private static final long POLL_INTERVAL_MS = 10;
+    private static final long START_TIMEOUT_MS = 60_000;
+    private static final long STOP_TIMEOUT_MS = 30_000;
+    /** How long the front still assigns connections to a balancer after SIGTERM, by the protocol. */
+    private static final long FRONT_DELAY_MS = 300;
+    private static final int MAX_LOG_LINES_SHOWN = 5;
 
     private final String name;
     private final int party;
     private final AddressBlock addresses;
     private final ObjectNode config;
-    private final boolean door;
+    private final boolean adminEnabled;
     private final Path folder;
     private final List<String> program;
-    private final ProcessSupervisor warden;
+    private final ProcessSupervisor supervisor;
     private final HttpClient http;
     private final StreamLink fromClients;
     private final Front front;
@@ -61,10 +61,10 @@
         this.party = party;
         this.addresses = addresses;
         this.config = config;
-        this.door = door;
+        this.adminEnabled = door;
         this.folder = folder;
         this.program = program;
-        this.warden = warden;
+        this.supervisor = warden;
         this.http = http;
         this.fromClients = fromClients;
         this.front = front;
@@ -76,23 +76,23 @@
         return name;
     }
 
-    /** The process that serves, or is to; null before the first start. */
+    /** Returns the process that serves or is starting; null before the first start. */
     ChildProcess current() {
         return current;
     }
 
-    /** What it is told, as it stands for its next start. */
+    /** Returns the configuration for its next start. */
     ObjectNode config() {
         return config;
     }
 
-    /** Where operators call the process that serves. */
-    InetSocketAddress door() {
-        return doorOf(starts);
+    /** Returns the admin address of the current process. */
+    InetSocketAddress adminAddress() {
+        return adminAddressOf(starts);
     }
 
-    /** Whether a process of it has said a text so far. */
-    boolean hasSaid(String text) throws IOException {
+    /** Returns true if the current process's log contains a text. */
+    boolean logContains(String text) throws IOException {
         ChildProcess child = current;
         return child != null && child.logContains(text);
     }
@@ -101,60 +101,60 @@
         return folder.resolve("tmp");
     }
 
-    /** Starts it from nothing, and returns when it serves. */
+    /** Starts it with an empty disk, and returns when it serves. */
     void start() throws IOException, InterruptedException {
         Folders.delete(disk());
-        startOnWhatIsThere();
+        startKeepingDisk();
     }
 
-    /** Starts it on what its folder holds, and returns when it serves. */
-    void startOnWhatIsThere() throws IOException, InterruptedException {
+    /** Starts it with the present content of its disk, and returns when it serves. */
+    void startKeepingDisk() throws IOException, InterruptedException {
         current = launch();
         awaitReady(current, addresses.listenAddress(party), "/_health");
         await(fromClients.setTargetUp(true));
     }
 
-    /** Starts a second process beside the first, and ends the first once the second serves. */
+    /** Starts a second process beside the first, and stops the first once the second serves. */
     void upgrade() throws IOException, InterruptedException {
         ChildProcess old = current;
         ChildProcess fresh = launch();
-        InetSocketAddress its = doorOf(starts);
+        InetSocketAddress its = adminAddressOf(starts);
         awaitReady(fresh, its, "/ops/readiness");
         current = fresh;
-        lived(old, Life.STOPPING, 0);
+        recordLife(old, Life.STOPPING, 0);
         old.terminate();
         awaitEnd(old);
     }
 
-    /** Ends it by SIGTERM and starts it again. */
+    /** Stops it by SIGTERM and starts it again. */
     void restart() throws IOException, InterruptedException {
         ChildProcess old = current;
-        lived(old, Life.STOPPING, 0);
+        recordLife(old, Life.STOPPING, 0);
         old.terminate();
-        TimeUnit.MILLISECONDS.sleep(FRONT_LATE_MS);
+        TimeUnit.MILLISECONDS.sleep(FRONT_DELAY_MS);
         front.take(name, false);
         awaitEnd(old);
         start();
     }
 
-    /** SIGKILL, and returns when it is dead. */
+    /** Sends SIGKILL, and returns when the process has exited. */
     void kill() throws IOException, InterruptedException {
-        lived(current, Life.KILLED, 0);
+        recordLife(current, Life.KILLED, 0);
         current.kill();
         awaitEnd(current);
     }
 
     void pause() throws IOException, InterruptedException {
         current.signal("STOP");
-        lived(current, Life.PAUSED, 0);
+        recordLife(current, Life.PAUSED, 0);
     }
 
     void resume() throws IOException, InterruptedException {
-        lived(current, Life.RESUMED, 0);
+        recordLife(current, Life.RESUMED, 0);
         current.signal("CONT");
     }
 
-    /** Whether its disk is full, for the process that it has and those to come. */
+    /** Sets if its disk is full, for the current process and later ones. */
     void diskFull(boolean full) throws IOException, InterruptedException {
         diskFull = full;
         current.setDiskFull(full);
@@ -164,13 +164,13 @@
         current.signal("HUP");
     }
 
-    private InetSocketAddress doorOf(int start) {
+    private InetSocketAddress adminAddressOf(int start) {
         return new InetSocketAddress(addresses.ip(party), AddressBlock.ADMIN_PORT + start % 2);
     }
 
     private ChildProcess launch() throws IOException, InterruptedException {
         starts++;
-        // A new start has a new seed; the same experiment has the same ones.
+        // Each start has a new seed; repeated runs of an experiment use the same sequence.
         config.put("seed", String.format("%016x", Long.parseUnsignedLong(config.get("seed").asText(), 16)
                 + 1));
         Files.createDirectories(disk());
@@ -180,14 +180,14 @@
         command.add("serve");
         Map<String, String> environment = new java.util.HashMap<>(Map.of("PROXY_CONFIG", file.toString(),
                 "TMPDIR", disk().toString(), "PROXY_NAME", name));
-        if (door) {
-            environment.put("PROXY_ADMIN_ADDR", BalancerConfig.text(doorOf(starts)));
+        if (adminEnabled) {
+            environment.put("PROXY_ADMIN_ADDR", BalancerConfig.text(adminAddressOf(starts)));
         }
-        ChildProcess child = warden.start(name, command, environment, folder.resolve("log.txt"));
+        ChildProcess child = supervisor.start(name, command, environment, folder.resolve("log.txt"));
         child.setDiskFull(diskFull);
-        lived(child, Life.STARTED, 0);
+        recordLife(child, Life.STARTED, 0);
         child.onExit().thenAccept(code -> {
-            lived(child, Life.EXITED, code);
+            recordLife(child, Life.EXITED, code);
             if (child == current) {
                 fromClients.setTargetUp(false);
             }
@@ -198,35 +198,36 @@
     private void awaitReady(ChildProcess child, InetSocketAddress at, String path)
             throws IOException, InterruptedException {
         String uri = "http:/" + at + path;
-        for (long waited = 0; Front.status(http, uri).join() != 200; waited += LOOK_EVERY_MS) {
+        for (long waited = 0; Front.status(http, uri).join() != 200; waited += POLL_INTERVAL_MS) {
             if (!child.isAlive()) {
                 throw new IOException(name + " ended as it started, with " + child.onExit().join()
-                        + lastSaid());
+                        + lastLogLines());
             }
-            if (waited > LONGEST_START_MS) {
-                throw new IOException(name + " does not serve after " + LONGEST_START_MS + " ms"
-                        + lastSaid());
+            if (waited > START_TIMEOUT_MS) {
+                throw new IOException(name + " does not serve after " + START_TIMEOUT_MS + " ms"
+                        + lastLogLines());
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
-        lived(child, Life.READY, 0);
+        recordLife(child, Life.READY, 0);
     }
 
-    private String lastSaid() throws IOException {
+    private String lastLogLines() throws IOException {
         List<String> lines = Files.readAllLines(folder.resolve("log.txt"));
-        return ": " + String.join(" | ", lines.subList(Math.max(0, lines.size() - LOG_SHOWN), lines.size()));
+        return ": " + String.join(" | ", lines.subList(Math.max(0, lines.size() - MAX_LOG_LINES_SHOWN),
+                lines.size()));
     }
 
     private void awaitEnd(ChildProcess child) throws IOException, InterruptedException {
         try {
-            child.onExit().get(LONGEST_STOP_MS, TimeUnit.MILLISECONDS);
+            child.onExit().get(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (java.util.concurrent.TimeoutException | java.util.concurrent.ExecutionException e) {
-            throw new IOException(name + " has not ended after " + LONGEST_STOP_MS + " ms");
+            throw new IOException(name + " has not ended after " + STOP_TIMEOUT_MS + " ms");
         }
     }
 
-    private void lived(ChildProcess child, Life life, int code) {
-        // The old process of an upgrade ends; the balancer does not.
+    private void recordLife(ChildProcess child, Life life, int code) {
+        // In an upgrade, only the old process exits; the balancer goes on.
         String who = child == current || life == Life.STARTED || life == Life.READY ? name : name + "-old";
         history.accept(new Event.Lived(clock.now(), who, life, code));
     }
--- a/src/main/java/cranedeal/lab/ControlAnalysis.java
+++ b/src/main/java/cranedeal/lab/ControlAnalysis.java
@@ -10,22 +10,22 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Reads a history once and says what control cost the balancers, real and hollow, how long views took to be
- * right after each fault, and what the run itself took of the machine. Figures are of the load; what joining
- * cost before that stands apart.
+ * Computes from one pass over a history the cost of control traffic for the real and hollow balancers, the
+ * time until membership views were correct after each fault, and the resources that the run itself used.
+ * Figures cover the load; the cost of joining before it is kept apart.
  */
 final class ControlAnalysis implements Consumer<Event> {
 
-    /** A second in which more of the cores' time is used is one in which the machine is what is slow. */
-    private static final double FULL = 0.9;
-    /** A run with a larger share of such seconds shows nothing. */
-    private static final double MOST_FULL = 0.1;
-    /** Who looks later than this, as the 99th percentile, is kept waiting by the machine. */
-    private static final double MOST_LATE_MS = 250;
-    /** Half of the memory of the machine that experiments are made for. */
-    private static final double MOST_MEMORY_MB = 12 * 1_024;
-    /** Within this time of a fault's begin or end its first trace must show, or it has left none. */
-    private static final double TRACE_MS = 3_000;
+    /** In a second with a larger share of the cores' time used, the machine is the bottleneck. */
+    private static final double SATURATED_SHARE = 0.9;
+    /** A run with a larger share of such seconds is void. */
+    private static final double MAX_SATURATED_SHARE = 0.1;
+    /** A larger 99th percentile of the delay of samples or loops means that the machine is overloaded. */
+    private static final double MAX_LATE_MS = 250;
+    /** Half of the memory of the machine that experiments are designed for. */
+    private static final double MAX_MEMORY_MB = 12 * 1_024;
+    /** A fault that changes no view within this time of its begin or end counts as without effect. */
+    private static final double EFFECT_WITHIN_MS = 3_000;
     private static final double MS = 1_000;
     private static final double KB_PER_MB = 1_024;
 
@@ -40,43 +40,44 @@
     private final List<Double> loopsLate = new ArrayList<>();
     private final List<Event.Viewed> views = new ArrayList<>();
     private final List<Event.Faulted> faults = new ArrayList<>();
-    private double begun = Double.NaN;
+    private double loadBegan = Double.NaN;
 
     /**
-     * What control cost a balancer; shares are of one core.
+     * The mean cost of control traffic per balancer; shares are of one core.
      *
-     * @param balancerSeconds over how much this is the mean
-     * @param coreShare of the threads of membership
-     * @param processShare of the whole process, whatever it did
-     * @param peakBytesPerS the most bytes of one balancer in one second, and whose process it is of
-     * @param memoryMb its share of the most resident memory
+     * @param balancerSeconds the balancer seconds over which the means are taken
+     * @param coreShare the share that the membership threads used
+     * @param processShare the share that the whole process used
+     * @param peakBytesPerS the most bytes of one balancer in one second
+     * @param peakOf the balancers or the process with that peak
+     * @param memoryMb its share of the peak resident memory
      */
     record Cost(long balancerSeconds, double datagramsPerS, double bytesPerS, double exchangesPerS,
             double coreShare, double processShare, long peakBytesPerS, String peakOf, double memoryMb) { }
 
     /**
-     * How long after a fault began or ended all members saw what is there.
+     * The time from the begin or end of a fault until the views of all members were correct.
      *
-     * @param atMs since the load began
-     * @param settledMs from then on; NaN if they never did
+     * @param atMs the time of the begin or end, since the load began
+     * @param settledMs the time from then until all views were correct; NaN if they never were
      */
     record Settling(String title, boolean begins, double atMs, double settledMs) { }
 
     /**
-     * What the run itself took: medians and the most, over its seconds.
+     * The resources that the run itself used: medians and maxima over its seconds.
      *
-     * @param loopsLateP99Ms the 99th percentile, over the seconds, of the most that a loop was late which
-     *     hollow balancers share: an answer that comes 250 ms late they take for a lost one
+     * @param loopsLateP99Ms the 99th percentile, over the seconds, of the largest delay of an event loop that
+     *     hollow balancers share; they take an answer that is 250 ms late for a lost one
      */
     record Machine(double busy, double mostBusy, int fullSeconds, int seconds, double lateP99Ms,
             double loopsLateP99Ms, double labCores, double mostLabMb, double mostMemoryMb) { }
 
     /**
-     * All of it.
+     * All results.
      *
-     * @param joinedMs when all members first saw one another, since the lab began to look
-     * @param alike by which share what a hollow balancer sends differs from what a real one sends, while
-     *     nothing is wrong: datagrams, bytes, CPU of membership
+     * @param joinedMs the time from the first sample until all members saw one another
+     * @param alike the relative differences between hollow and real balancers before the first fault, in
+     *     datagrams, bytes and CPU of membership
      */
     record Control(long real, long hollow, double joinedMs, Cost joiningReal, Cost joiningHollow,
             Cost calmReal, Cost calmHollow, Cost allReal, Cost allHollow, List<Double> alike,
@@ -128,9 +129,9 @@
     @Override
     public void accept(Event event) {
         if (event instanceof Event.Loaded loaded) {
-            begun = loaded.begins() ? loaded.at() : begun;
+            loadBegan = loaded.begins() ? loaded.at() : loadBegan;
         } else if (event instanceof Event.Spent spent) {
-            if (Double.isNaN(begun)) {
+            if (Double.isNaN(loadBegan)) {
                 (spent.hollow() ? joiningHollow : joiningReal).add(spent);
                 return;
             }
@@ -141,7 +142,7 @@
             if (faults.isEmpty()) {
                 (spent.hollow() ? calmHollow : calmReal).add(spent);
             }
-        } else if (event instanceof Event.Host host && !Double.isNaN(begun)) {
+        } else if (event instanceof Event.Host host && !Double.isNaN(loadBegan)) {
             hosts.add(host);
         } else if (event instanceof Event.Viewed viewed) {
             views.add(viewed);
@@ -150,18 +151,19 @@
         }
     }
 
-    /** The figures; asked once, after the last event. */
+    /** Returns the results. Call it once, after the last event. */
     Control finish() {
         long hollow = scale.hollow();
         long real = allReal.balancerSeconds == 0 ? 0
                 : allReal.mostRunning.values().stream().mapToLong(Long::longValue).max().orElse(0);
         List<Settling> settlings = faults.stream().map(fault -> new Settling(fault.kind(), fault.begins(),
-                fault.at() - begun, settledMs(fault.at()))).toList();
+                fault.at() - loadBegan, settledMs(fault.at()))).toList();
         double lookedAt = views.isEmpty() ? 0 : views.get(0).at();
         Cost its = calmHollow.cost(hollow);
         Cost theirs = calmReal.cost(real);
-        List<Double> alike = List.of(apart(its.datagramsPerS, theirs.datagramsPerS),
-                apart(its.bytesPerS, theirs.bytesPerS), apart(its.coreShare, theirs.coreShare));
+        List<Double> alike = List.of(relativeDifference(its.datagramsPerS, theirs.datagramsPerS),
+                relativeDifference(its.bytesPerS, theirs.bytesPerS),
+                relativeDifference(its.coreShare, theirs.coreShare));
         Machine machine = machine();
         Cost all = allHollow.cost(hollow);
         Cost allOfReal = allReal.cost(real);
@@ -170,18 +172,18 @@
                 settlings, machine, voids(machine), broken(all, allOfReal, alike, settlings));
     }
 
-    private static double apart(double one, double other) {
+    private static double relativeDifference(double one, double other) {
         return Math.abs(one / other - 1);
     }
 
-    /** How long after a time views were right again; 0 if that time has left no trace in them. */
+    /** Time from a fault event until all views were correct; 0 if it did not change any view. */
     private double settledMs(double at) {
-        double trace = views.stream().filter(view -> view.at() >= at && view.at() <= at + TRACE_MS
+        double trace = views.stream().filter(view -> view.at() >= at && view.at() <= at + EFFECT_WITHIN_MS
                 && !view.settled()).mapToDouble(Event.Viewed::at).min().orElse(Double.NaN);
         return Double.isNaN(trace) ? 0 : settledAfter(trace) - at;
     }
 
-    /** When the first look at or after a time began in which all regions saw what is there; NaN if none. */
+    /** Time of the first sample at or after a time in which all views were correct; NaN if there is none. */
     private double settledAfter(double time) {
         for (int i = 0; i + scale.regions() <= views.size(); i += scale.regions()) {
             List<Event.Viewed> look = views.subList(i, i + scale.regions());
@@ -194,7 +196,7 @@
 
     private Machine machine() {
         return new Machine(spread(Event.Host::busy, 0.5), spread(Event.Host::busy, 1),
-                (int) hosts.stream().filter(host -> host.busy() > FULL).count(), hosts.size(),
+                (int) hosts.stream().filter(host -> host.busy() > SATURATED_SHARE).count(), hosts.size(),
                 spread(Event.Host::lateMs, 0.99), quantile(loopsLate, 0.99),
                 spread(Event.Host::labMs, 0.5) / MS,
                 spread(Event.Host::labRssKb, 1) / KB_PER_MB,
@@ -214,23 +216,24 @@
     private static List<String> voids(Machine machine) {
         List<String> voids = new ArrayList<>();
         if (machine.seconds == 0) {
-            voids.add("nothing was noted of the machine");
+            voids.add("no load of the machine was recorded");
         }
-        if (machine.fullSeconds > MOST_FULL * machine.seconds) {
+        if (machine.fullSeconds > MAX_SATURATED_SHARE * machine.seconds) {
             voids.add(String.format(Locale.ROOT, "the machine was the bottleneck: its cores were over %.0f%%"
-                    + " busy in %d of %d seconds", 100 * FULL, machine.fullSeconds, machine.seconds));
+                    + " busy in %d of %d seconds", 100 * SATURATED_SHARE, machine.fullSeconds,
+                    machine.seconds));
         }
-        if (machine.lateP99Ms > MOST_LATE_MS) {
+        if (machine.lateP99Ms > MAX_LATE_MS) {
             voids.add(String.format(Locale.ROOT, "the machine was the bottleneck: the lab looked %.0f ms late"
                     + " (p99)", machine.lateP99Ms));
         }
-        if (machine.loopsLateP99Ms > MOST_LATE_MS) {
+        if (machine.loopsLateP99Ms > MAX_LATE_MS) {
             voids.add(String.format(Locale.ROOT, "the machine was the bottleneck: loops of hollow balancers"
                     + " were %.0f ms late (p99)", machine.loopsLateP99Ms));
         }
-        if (machine.mostMemoryMb > MOST_MEMORY_MB) {
+        if (machine.mostMemoryMb > MAX_MEMORY_MB) {
             voids.add(String.format(Locale.ROOT, "the run took %.0f MB, over %.0f", machine.mostMemoryMb,
-                    MOST_MEMORY_MB));
+                    MAX_MEMORY_MB));
         }
         return voids;
     }
@@ -240,25 +243,28 @@
         List<String> broken = new ArrayList<>();
         for (Cost cost : List.of(hollow, real)) {
             String whose = cost == hollow ? "a hollow balancer" : "a real balancer";
-            over(broken, whose + "'s share of a core for membership", cost.coreShare, must.coreShare());
-            over(broken, whose + "'s bytes a second for membership", cost.bytesPerS, must.bytesPerS());
-            over(broken, whose + "'s bytes in its peak second", cost.peakBytesPerS, must.peakBytesPerS());
+            requireAtMost(broken, whose + "'s share of a core for membership", cost.coreShare,
+                    must.coreShare());
+            requireAtMost(broken, whose + "'s bytes a second for membership", cost.bytesPerS,
+                    must.bytesPerS());
+            requireAtMost(broken, whose + "'s bytes in its peak second", cost.peakBytesPerS,
+                    must.peakBytesPerS());
         }
-        over(broken, "a hollow balancer's memory in MB", hollow.memoryMb, must.memoryMb());
+        requireAtMost(broken, "a hollow balancer's memory in MB", hollow.memoryMb, must.memoryMb());
         List<String> what = List.of("datagrams", "bytes", "CPU");
         for (int i = 0; i < what.size(); i++) {
-            over(broken, "by how much the " + what.get(i) + " of hollow and real balancers differ",
+            requireAtMost(broken, "by how much the " + what.get(i) + " of hollow and real balancers differ",
                     alike.get(i), must.alike());
         }
         for (Settling settling : settlings) {
-            over(broken, "ms until views were right after " + settling.title
+            requireAtMost(broken, "ms until views were right after " + settling.title
                     + (settling.begins ? " began" : " ended"), settling.settledMs, must.viewsMs());
         }
         return broken;
     }
 
-    /** Notes a figure that is over its bound; one that is none is. */
-    private static void over(List<String> broken, String what, double value, double bound) {
+    /** Records a violation if the value is over its bound; NaN is a violation. */
+    private static void requireAtMost(List<String> broken, String what, double value, double bound) {
         if (bound < Double.POSITIVE_INFINITY && !(value <= bound)) {
             broken.add(String.format(Locale.ROOT, "%s: %.4g is over %.4g", what, value, bound));
         }
--- a/src/main/java/cranedeal/lab/Experiment.java
+++ b/src/main/java/cranedeal/lab/Experiment.java
@@ -11,20 +11,20 @@
 import java.util.Map;
 
 /**
- * An experiment: who takes part, what is asked of them, what goes wrong, and what must hold.
+ * An experiment: its parties, their load, the faults, and the bounds to keep.
  *
- * @param seed of whatever is drawn
- * @param balancers how many there are, {@code n0} and so on
- * @param door whether balancers have an operators' door, as an upgrade needs
- * @param members whether balancers are members of a fleet
- * @param state whether balancers have a folder that outlasts them
- * @param sockets how many descriptors a balancer may hold
- * @param memoryMb how much memory a balancer is told it may use
- * @param listLateMs how late discovery tells of a change
- * @param callMs how long discovery works on a call
- * @param frontEveryMs how often the front asks balancers for their health
- * @param settings what of the balancers' settings is to be otherwise than usual
- * @param scale what a fleet has that is larger than the machine; {@link Scale#NONE} for one that is not
+ * @param seed the seed of all random draws
+ * @param balancers the number of balancers, named {@code n0} and so on
+ * @param door true if balancers have an admin endpoint, which an upgrade needs
+ * @param members true if balancers are members of a fleet
+ * @param state true if balancers have a state folder that is kept over restarts
+ * @param sockets the number of descriptors that a balancer may hold
+ * @param memoryMb the memory limit in the configuration of a balancer
+ * @param listLateMs the delay with which discovery announces a change
+ * @param callMs the time that discovery takes for a call
+ * @param frontEveryMs the interval of the front's health checks
+ * @param settings overrides of the balancers' default settings
+ * @param scale the hollow balancers and regions of a large fleet; {@link Scale#NONE} if there are none
  */
 record Experiment(String name, long seed, int balancers, boolean door, boolean members, boolean state,
         int sockets, int memoryMb, List<UpstreamKind> kinds, List<String> zones, double listLateMs,
@@ -34,40 +34,37 @@
     static final String CLIENTS = "clients";
     static final String DISCOVERY = "discovery";
 
-    /** With other faults; for campaigns. */
+    /** Returns a copy with other faults. */
     Experiment with(List<Fault> others) {
         return new Experiment(name, seed, balancers, door, members, state, sockets, memoryMb, kinds,
                 zones, listLateMs, callMs, frontEveryMs, load, settings, others, must, scale);
     }
 
-    /** The names of the balancers. */
     List<String> balancerNames() {
         return names("n", balancers);
     }
 
-    /** The names of the hollow balancers. */
     List<String> hollowNames() {
         return names("h", scale.hollow());
     }
 
-    /** The names of all that are members of the fleet: real and hollow. */
+    /** Returns the names of all members of the fleet, real and hollow. */
     List<String> memberNames() {
         List<String> all = new ArrayList<>(balancerNames());
         all.addAll(hollowNames());
         return all;
     }
 
-    /** The region of a member's zone; the zones are dealt out in turn. */
+    /** Returns the region of a member's zone; zones are assigned to regions in turn. */
     int region(String name) {
         return zones.indexOf(zone(name)) % scale.regions();
     }
 
-    /** Whether a pattern names a member: by its name, or by its zone. */
+    /** Returns true if a pattern matches a member by its name or its zone. */
     boolean names(String pattern, String member) {
         return Fault.matches(pattern, member) || pattern.equals(zone(member));
     }
 
-    /** The names of the upstreams. */
     List<String> upstreamNames() {
         return names("u", kinds.stream().mapToInt(UpstreamKind::count).sum());
     }
@@ -80,7 +77,7 @@
         return names;
     }
 
-    /** The kind of each upstream, in the order of their names. */
+    /** Returns the kind of each upstream, in the order of {@link #upstreamNames}. */
     List<UpstreamKind> upstreamKinds() {
         List<UpstreamKind> all = new ArrayList<>();
         kinds.forEach(kind -> {
@@ -91,26 +88,26 @@
         return all;
     }
 
-    /** The effect of each class. */
+    /** Returns the effect of each class, by its name. */
     Map<String, Effect> effects() {
         Map<String, Effect> effects = new LinkedHashMap<>();
         load.classes().forEach(one -> effects.put(one.name(), one.effect()));
         return effects;
     }
 
-    /** The cell of each upstream: two neighbours share one. */
+    /** Returns the cell of each upstream; two successive upstreams share a cell. */
     Map<String, Integer> cells() {
         Map<String, Integer> cells = new LinkedHashMap<>();
         upstreamNames().forEach(name -> cells.put(name, cells.size() / 2));
         return cells;
     }
 
-    /** How long a cell remembers the keys that it has seen. */
+    /** Returns how long a cell remembers the keys that it has seen. */
     double longestMemoryMs() {
         return load.classes().stream().mapToDouble(BalancerConfig::memoryMs).max().orElse(0);
     }
 
-    /** The zone of a balancer or an upstream, dealt out in turn. */
+    /** Returns the zone of a balancer or an upstream; zones are assigned in turn. */
     String zone(String name) {
         return zones.get(Integer.parseInt(name.substring(1)) % zones.size());
     }
--- a/src/main/java/cranedeal/lab/FaultDraw.java
+++ b/src/main/java/cranedeal/lab/FaultDraw.java
@@ -11,7 +11,7 @@
 final class FaultDraw {
 
     private static final int MOST = 5;
-    /** The parts of the load within which faults begin, and by which they are over. */
+    /** Faults begin between these fractions of the load. */
     private static final double FIRST = 0.1;
     private static final double LAST = 0.6;
     private static final double LONGEST = 0.25;
@@ -44,7 +44,7 @@
         }
         Fault.Kind kind = pick(kinds, random);
         double duration = of.load().durationMs() / MS_PER_S;
-        ObjectNode fault = JSON.createObjectNode().put("kind", Table.word(kind))
+        ObjectNode fault = JSON.createObjectNode().put("kind", TomlTable.word(kind))
                 .put("at_s", rounded(duration * random.nextDouble(FIRST, LAST)));
         if (kind.lasts()) {
             fault.put("for_s", rounded(SHORTEST_S + duration * LONGEST * random.nextDouble()));
--- a/src/main/java/cranedeal/lab/Director.java
+++ b/src/main/java/cranedeal/lab/FaultInjector.java
@@ -21,17 +21,17 @@
 import java.util.function.Consumer;
 
 /**
- * Plays the faults of an experiment, each on a thread of its own: waits for its time or its event, does it,
- * waits, and undoes it.
+ * Injects the faults of an experiment, each on its own thread: waits for the fault's time or event, begins
+ * the fault, waits for its duration, and ends it.
  */
-final class Director implements AutoCloseable {
+final class FaultInjector implements AutoCloseable {
 
-    private static final long LOOK_EVERY_MS = 10;
-    /** Behind a process's name: its disk. */
-    private static final String DISK = "-disk";
+    private static final long POLL_INTERVAL_MS = 10;
+    /** Suffix of a process's name that denotes its disk. */
+    private static final String DISK_SUFFIX = "-disk";
 
     private final Experiment experiment;
-    private final World world;
+    private final Testbed testbed;
     private final LabClock clock;
     private final Consumer<Event> history;
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
@@ -40,22 +40,22 @@
         return thread;
     });
     private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
-    private final Map<String, Semaphore> free = new ConcurrentHashMap<>();
+    private final Map<String, Semaphore> locks = new ConcurrentHashMap<>();
     private double begunAt;
 
-    Director(Experiment experiment, World world, LabClock clock, Consumer<Event> history) {
+    FaultInjector(Experiment experiment, Testbed world, LabClock clock, Consumer<Event> history) {
         this.experiment = experiment;
-        this.world = world;
+        this.testbed = world;
         this.clock = clock;
         this.history = history;
     }
 
-    /** Counts the faults' times from a time on, on the lab's clock. */
+    /** Starts the fault threads; fault times count from the given time on the lab's clock. */
     void start(double begins) {
         begunAt = begins;
         experiment.faults().forEach(fault -> threads.execute(() -> {
             try {
-                play(fault);
+                inject(fault);
             } catch (InterruptedException e) {
                 // The experiment is over.
             } catch (IOException | RuntimeException e) {
@@ -64,49 +64,51 @@
         }));
     }
 
-    /** Faults that could not be played; an experiment with any has no verdict. */
+    /** Returns the faults that could not be injected; a run with any is void. */
     List<String> failures() {
         return List.copyOf(failures);
     }
 
-    private void play(Fault fault) throws IOException, InterruptedException {
+    private void inject(Fault fault) throws IOException, InterruptedException {
         await(fault.when());
-        List<World.Hit> hits = fault.kind().ofLinks() ? World.links(experiment, fault.from(), fault.to())
+        List<Testbed.AffectedLink> hits = fault.kind().ofLinks()
+                ? Testbed.links(experiment, fault.from(), fault.to())
                 : List.of();
         List<String> targets = targets(fault);
         List<String> touched = new ArrayList<>(fault.kind().ofDisk()
-                ? targets.stream().map(target -> target + DISK).toList() : targets);
+                ? targets.stream().map(target -> target + DISK_SUFFIX).toList() : targets);
         hits.forEach(hit -> touched.add(hit.link().toString()));
         if (fault.kind() == Fault.Kind.VANISH) {
-            targets.forEach(target -> world.linksOf(target).forEach(hit ->
+            targets.forEach(target -> testbed.linksOf(target).forEach(hit ->
                     touched.add(hit.link().toString())));
         }
-        // Faults that touch the same process or link wait for one another, taken in one order by all.
+        // Faults on the same process or link exclude one another; locks are taken in a fixed order.
         List<Semaphore> held = new ArrayList<>();
         for (String name : new TreeSet<>(touched)) {
-            Semaphore one = free.computeIfAbsent(name, absent -> new Semaphore(1));
+            Semaphore one = locks.computeIfAbsent(name, absent -> new Semaphore(1));
             one.acquire();
             held.add(one);
         }
         try {
-            play(fault, hits, targets, touched);
+            inject(fault, hits, targets, touched);
         } finally {
             held.forEach(Semaphore::release);
         }
     }
 
-    private void play(Fault fault, List<World.Hit> hits, List<String> targets, List<String> touched)
+    private void inject(Fault fault, List<Testbed.AffectedLink> hits, List<String> targets,
+            List<String> touched)
             throws IOException, InterruptedException {
-        tell(fault, touched, true);
+        record(fault, touched, true);
         switch (fault.kind()) {
-            case CUT, IMPAIR -> world.impair(hits, fault.impairment(),
+            case CUT, IMPAIR -> testbed.impair(hits, fault.impairment(),
                     fault.oneWay() ? Impairment.NONE : fault.impairment());
-            case RESET -> world.reset(hits);
-            case PART -> world.part(true, List.of(fault.from(), fault.to()));
+            case RESET -> testbed.reset(hits);
+            case PART -> testbed.setRegionsPartitioned(true, List.of(fault.from(), fault.to()));
             default -> {
                 List<String> hollow = targets.stream().filter(experiment.hollowNames()::contains).toList();
                 if (!hollow.isEmpty()) {
-                    world.hollow().end(hollow, fault.kind() == Fault.Kind.RESTART);
+                    testbed.hollow().end(hollow, fault.kind() == Fault.Kind.RESTART);
                 }
                 for (String target : targets) {
                     if (!hollow.contains(target)) {
@@ -114,21 +116,21 @@
                     }
                 }
                 if (!hollow.isEmpty() && fault.kind() == Fault.Kind.RESTART) {
-                    world.hollow().start(hollow);
+                    testbed.hollow().start(hollow);
                 }
             }
         }
         if (fault.forMs() > 0) {
             TimeUnit.MICROSECONDS.sleep((long) (fault.forMs() * 1_000));
             if (!hits.isEmpty()) {
-                world.impair(hits, Impairment.NONE, Impairment.NONE);
+                testbed.impair(hits, Impairment.NONE, Impairment.NONE);
             }
             if (fault.kind() == Fault.Kind.PART) {
-                world.part(false, List.of(fault.from(), fault.to()));
+                testbed.setRegionsPartitioned(false, List.of(fault.from(), fault.to()));
             }
             List<String> hollow = targets.stream().filter(experiment.hollowNames()::contains).toList();
             if (!hollow.isEmpty()) {
-                world.hollow().start(hollow);
+                testbed.hollow().start(hollow);
             }
             for (String target : targets) {
                 if (!hollow.contains(target)) {
@@ -137,15 +139,15 @@
             }
         }
         if (fault.forMs() > 0 || !fault.kind().lasts()) {
-            tell(fault, touched, false);
+            record(fault, touched, false);
         }
     }
 
     private void await(Fault.When when) throws IOException, InterruptedException {
         double from = begunAt;
         if (when.process() != null) {
-            while (!world.balancers().get(when.process()).hasSaid(when.says())) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            while (!testbed.balancers().get(when.process()).logContains(when.says())) {
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
             }
             from = clock.now();
         }
@@ -163,13 +165,13 @@
         if (fault.target() != null && !fault.kind().ofBalancersOnly()) {
             all.addAll(experiment.upstreamNames());
         }
-        // A zone's name stands for its balancers.
+        // A zone's name selects its balancers.
         return all.stream().filter(name -> experiment.upstreamNames().contains(name)
                 ? Fault.matches(fault.target(), name) : experiment.names(fault.target(), name)).toList();
     }
 
-    private void tell(Fault fault, List<String> touched, boolean begins) {
-        // An upgrade or a planned restart is no excuse for what is lost.
+    private void record(Fault fault, List<String> touched, boolean begins) {
+        // Upgrades, planned restarts and reloads do not excuse losses.
         boolean excuses = fault.kind() != Fault.Kind.UPGRADE && fault.kind() != Fault.Kind.RESTART
                 && fault.kind() != Fault.Kind.HANGUP;
         history.accept(new Event.Faulted(clock.now(), fault.number(), fault.title(),
@@ -177,14 +179,14 @@
     }
 
     private void begin(Fault fault, String target) throws IOException, InterruptedException {
-        BalancerProcess balancer = world.balancers().get(target);
+        BalancerProcess balancer = testbed.balancers().get(target);
         switch (fault.kind()) {
             case KILL -> {
                 if (balancer == null) {
-                    world.stopUpstream(target);
+                    testbed.stopUpstream(target);
                 } else {
                     balancer.kill();
-                    damage(fault, balancer);
+                    damageDisk(fault, balancer);
                 }
             }
             case RESTART -> balancer.restart();
@@ -192,35 +194,35 @@
             case PAUSE -> balancer.pause();
             case HANGUP -> balancer.hangUp();
             case VANISH -> {
-                world.impair(world.linksOf(target), Impairment.BLOCKED, Impairment.BLOCKED);
+                testbed.impair(testbed.linksOf(target), Impairment.BLOCKED, Impairment.BLOCKED);
                 balancer.kill();
             }
             case READ_ONLY -> DiskFault.setReadOnly(balancer.disk(), true);
             case DISK_FULL -> balancer.diskFull(true);
-            case SLOW -> World.await(world.upstream(target).slow(fault.amount()));
-            case FAIL -> World.await(world.upstream(target).fail(fault.amount()));
+            case SLOW -> Testbed.await(testbed.upstream(target).slow(fault.amount()));
+            case FAIL -> Testbed.await(testbed.upstream(target).fail(fault.amount()));
             case REPLACE -> {
-                World.await(world.upstream(target).drain());
-                world.list(target, "draining");
+                Testbed.await(testbed.upstream(target).drain());
+                testbed.setListedState(target, "draining");
             }
             default -> throw new IllegalStateException(fault.title());
         }
     }
 
-    private void damage(Fault fault, BalancerProcess balancer) throws IOException {
+    private void damageDisk(Fault fault, BalancerProcess balancer) throws IOException {
         if (fault.damage() != null) {
             fault.damage().apply(balancer.disk(), new SplittableRandom(experiment.seed() + fault.number()));
         }
     }
 
     private void end(Fault fault, String target) throws IOException, InterruptedException {
-        BalancerProcess balancer = world.balancers().get(target);
+        BalancerProcess balancer = testbed.balancers().get(target);
         switch (fault.kind()) {
             case KILL -> {
                 if (balancer == null) {
-                    world.startUpstream(target);
+                    testbed.startUpstream(target);
                 } else if (fault.keepDisk()) {
-                    balancer.startOnWhatIsThere();
+                    balancer.startKeepingDisk();
                 } else {
                     balancer.start();
                 }
@@ -229,22 +231,22 @@
             case READ_ONLY -> DiskFault.setReadOnly(balancer.disk(), false);
             case DISK_FULL -> balancer.diskFull(false);
             case VANISH -> {
-                world.reset(world.linksOf(target));
-                world.impair(world.linksOf(target), Impairment.NONE, Impairment.NONE);
+                testbed.reset(testbed.linksOf(target));
+                testbed.impair(testbed.linksOf(target), Impairment.NONE, Impairment.NONE);
                 balancer.start();
             }
-            case SLOW -> World.await(world.upstream(target).slow(1));
-            case FAIL -> World.await(world.upstream(target).fail(0));
+            case SLOW -> Testbed.await(testbed.upstream(target).slow(1));
+            case FAIL -> Testbed.await(testbed.upstream(target).fail(0));
             case REPLACE -> {
-                world.stopUpstream(target);
-                world.list(target, "removed");
-                world.startUpstream(target);
+                testbed.stopUpstream(target);
+                testbed.setListedState(target, "removed");
+                testbed.startUpstream(target);
             }
             default -> throw new IllegalStateException(fault.title());
         }
     }
 
-    /** Ends what is still under way. */
+    /** Interrupts the fault threads that still run. */
     @Override
     public void close() {
         threads.shutdownNow();
--- a/src/main/java/cranedeal/lab/Folders.java
+++ b/src/main/java/cranedeal/lab/Folders.java
@@ -6,13 +6,13 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** What runs leave behind. */
+/** File system utilities of the lab. */
 final class Folders {
 
     private Folders() {
     }
 
-    /** Deletes a folder and all that is in it, if it is there. */
+    /** Deletes a folder and its content, if it exists. */
     static void delete(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (Stream<Path> all = Files.walk(folder)) {
--- a/src/main/java/cranedeal/lab/HollowFleet.java
+++ b/src/main/java/cranedeal/lab/HollowFleet.java
@@ -12,20 +12,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntFunction;
 
-/** All hollow balancers of an experiment, dealt out in turn among their processes. */
+/** All hollow balancers of an experiment, assigned to their processes in turn. */
 final class HollowFleet {
 
-    private static final int LOOPS = 2;
-    /** So many start at a time: all at once, they would wait for one another on the loops that they share. */
-    private static final int WAVE = 20;
-    private static final long WAVE_MS = 250;
+    private static final int EVENT_LOOPS = 2;
+    /** Balancers are started in batches: all at once, they would delay one another on the shared loops. */
+    private static final int BATCH_SIZE = 20;
+    private static final long BATCH_INTERVAL_MS = 250;
 
     private final List<HollowGroup> groups = new ArrayList<>();
 
     /**
-     * Processes that have started, with none of their balancers running. Whoever closes the warden ends them.
+     * Starts the processes, with none of their balancers running. Closing the supervisor ends them.
      *
-     * @param controls where the lab calls each process, by its number
+     * @param controls the control address of each process, by its number
      */
     HollowFleet(Experiment experiment, List<HollowConfig.Balancer> all, List<String> seeds,
             IntFunction<String> controls, Path folder, ProcessSupervisor warden, HttpClient http)
@@ -37,7 +37,8 @@
                 its.add(all.get(j));
             }
             groups.add(HollowGroup.start("hollow-" + i, new HollowConfig(controls.apply(i),
-                    experiment.name(), experiment.scale().periodMs(), LOOPS, seeds, its), folder, warden,
+                    experiment.name(), experiment.scale().periodMs(), EVENT_LOOPS, seeds, its), folder,
+                    warden,
                     http));
         }
     }
@@ -46,20 +47,20 @@
         return groups;
     }
 
-    /** Starts these, one wave after the other; they join in their own time. */
+    /** Starts balancers batch by batch, without waiting for them to join. */
     void start(Collection<String> names) throws IOException, InterruptedException {
         List<String> left = List.copyOf(names);
-        for (int from = 0; from < left.size(); from += WAVE) {
+        for (int from = 0; from < left.size(); from += BATCH_SIZE) {
             if (from > 0) {
-                TimeUnit.MILLISECONDS.sleep(WAVE_MS);
+                TimeUnit.MILLISECONDS.sleep(BATCH_INTERVAL_MS);
             }
             for (HollowGroup group : groups) {
-                group.startBalancers(left.subList(from, Math.min(left.size(), from + WAVE)));
+                group.startBalancers(left.subList(from, Math.min(left.size(), from + BATCH_SIZE)));
             }
         }
     }
 
-    /** Ends these; each tells the others that it leaves, or goes without a word. */
+    /** Stops balancers; each announces that it leaves, or is killed without notice. */
     void end(Collection<String> names, boolean leave) throws IOException, InterruptedException {
         for (HollowGroup group : groups) {
             if (leave) {
--- a/src/main/java/cranedeal/lab/LabCommand.java
+++ b/src/main/java/cranedeal/lab/LabCommand.java
@@ -26,10 +26,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The lab's commands. Exit codes: 0, all held; 1, something did not, or nothing was shown; 2, wrong use. */
+/** The lab's commands. Exit codes: 0, all rules kept; 1, a rule broken or a run void; 2, usage error. */
 @Command(name = "lab", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
         subcommands = {SwarmCommand.class, SlopeCommand.class, HollowCommand.class},
-        description = "Plays experiments: several processes of the program, load, and faults between them.")
+        description = "Runs experiments: several processes of the program, load, and faults between them.")
 public final class LabCommand implements Role, Callable<Integer> {
 
     private static final Pattern SEEDS = Pattern.compile("(\\d{1,18})\\.\\.(\\d{1,18})");
@@ -43,20 +43,20 @@
         return Program.missingSubcommand(spec);
     }
 
-    /** How to start the program under test. */
+    /** Option that selects the program under test. */
     public static final class ProgramUnderTest {
 
-        /** The flags of service, as the deploy file has them. */
+        /** The JVM flags of production, as in the deploy file. */
         private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
                 "-Xshare:auto", "-Xms24m", "-Xmx64m", "-Xss512k", "-XX:MaxDirectMemorySize=40m",
                 "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m", "-XX:-UsePerfData",
                 "-Djava.net.preferIPv4Stack=true", "-Dio.netty.jfr.enabled=false");
 
         @Option(names = "--program", paramLabel = "JAR",
-                description = "The version to play with; this one if not given.")
+                description = "The version to test; this one if not given.")
         private Path jar;
 
-        /** The command that runs it, without arguments; throws {@link CommandException} for no such file. */
+        /** Returns the command without arguments; throws {@link CommandException} if the jar is missing. */
         public List<String> command() throws CommandException {
             if (jar != null && !Files.isRegularFile(jar)) {
                 throw new CommandException(Program.USAGE_ERROR, jar + ": no such file");
@@ -65,8 +65,8 @@
             List<String> command = new ArrayList<>(List.of(
                     Path.of(System.getProperty("java.home"), "bin", "java").toString()));
             command.addAll(FLAGS);
-            // Beside a jar lies the archive of its classes, if it was built here. It holds for the class path
-            // by the words with which it was made, so that is passed on as it is.
+            // A jar that was built here has a class data sharing archive beside it. The archive is valid only
+            // for the exact class path text of its creation, so that text is passed on unchanged.
             Path archive = Path.of(classes.replaceAll("\\.jar$", "") + ".jsa");
             if (Files.isRegularFile(archive)) {
                 command.add("-XX:SharedArchiveFile=" + archive);
@@ -76,22 +76,22 @@
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays an experiment.")
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs an experiment.")
     private int run(@Parameters(paramLabel = "FILE", description = "The experiment, in TOML.") Path file,
             @Option(names = "--out", required = true, paramLabel = "DIR",
-                    description = "Where history, summary and page go; a folder for each run.") Path out,
+                    description = "Folder for history, summary and report; one subfolder per run.") Path out,
             @Option(names = "--repeat", paramLabel = "N", defaultValue = "1",
-                    description = "How often to play it.") int repeat,
+                    description = "The number of runs.") int repeat,
             @Mixin ProgramUnderTest program) throws CommandException,
             InterruptedException {
         if (repeat < 1) {
-            throw new CommandException(Program.USAGE_ERROR, "--repeat: 1 or more is wanted, not " + repeat);
+            throw new CommandException(Program.USAGE_ERROR, "--repeat: expected 1 or more, not " + repeat);
         }
         Experiment experiment = read(file);
         boolean held = true;
         for (int i = 1; i <= repeat; i++) {
             Path folder = repeat == 1 ? out : out.resolve(Integer.toString(i));
-            Summary summary = play(experiment, program.command(), folder);
+            Summary summary = runExperiment(experiment, program.command(), folder);
             spec.commandLine().getOut().print(text(summary));
             spec.commandLine().getOut().println("  see " + folder.resolve(Run.REPORT));
             spec.commandLine().getOut().flush();
@@ -101,7 +101,7 @@
     }
 
     @Command(name = "compare", mixinStandardHelpOptions = true,
-            description = "Puts the runs below two folders side by side, in pairs.")
+            description = "Compares the runs below two folders in pairs.")
     private int compare(@Parameters(paramLabel = "A") Path first, @Parameters(paramLabel = "B") Path second)
             throws CommandException {
         try {
@@ -115,16 +115,16 @@
     }
 
     @Command(name = "campaign", mixinStandardHelpOptions = true,
-            description = "Plays an experiment with faults drawn from each seed, and shrinks what breaks.")
+            description = "Runs an experiment with faults drawn from each seed, and shrinks failing ones.")
     private int campaign(
             @Parameters(paramLabel = "FILE",
-            description = "The experiment; its faults are left out.") Path file, @Option(names = "--out",
+            description = "The experiment; its own faults are ignored.") Path file, @Option(names = "--out",
                     required = true, paramLabel = "DIR",
-                    description = "Where the runs that broke something go.") Path out,
+                    description = "The folder for the runs that broke something.") Path out,
             @Option(names = "--seeds", required = true, paramLabel = "A..B", description = "The seeds.")
             String seeds,
             @Option(names = "--budget", paramLabel = "TIME", defaultValue = "10m",
-                    description = "When to begin no further seed, such as 90s or 10m.") String budget,
+                    description = "Time after which no further seed is begun: 90s, 10m.") String budget,
             @Mixin ProgramUnderTest program) throws CommandException, InterruptedException {
         Matcher range = SEEDS.matcher(seeds);
         Matcher time = TIME.matcher(budget);
@@ -138,11 +138,11 @@
         long budgetMs = Long.parseLong(time.group(1)) * (time.group(2).equals("m") ? 60_000 : 1_000);
         PrintWriter to = spec.commandLine().getOut();
         try {
-            List<Campaign.Outcome> outcomes = new Campaign(Table.read(file).with("fault", List.of()),
-                    program.command(), out, progress()).play(Long.parseLong(range.group(1)),
-                            Long.parseLong(range.group(2)), budgetMs, outcome -> tell(outcome, to));
+            List<Campaign.Outcome> outcomes = new Campaign(TomlTable.read(file).with("fault", List.of()),
+                    program.command(), out, progress()).run(Long.parseLong(range.group(1)),
+                            Long.parseLong(range.group(2)), budgetMs, outcome -> printOutcome(outcome, to));
             long broken = outcomes.stream().filter(outcome -> outcome.shrunk() != null).count();
-            to.println(outcomes.size() + " seeds played, " + broken + " broke something");
+            to.println(outcomes.size() + " seeds run, " + broken + " broke something");
             to.flush();
             return broken == 0 ? 0 : 1;
         } catch (ExperimentException e) {
@@ -152,7 +152,7 @@
         }
     }
 
-    private static void tell(Campaign.Outcome outcome, PrintWriter to) {
+    private static void printOutcome(Campaign.Outcome outcome, PrintWriter to) {
         Summary summary = outcome.summary();
         to.println("seed " + outcome.seed() + ": " + summary.verdict().name().toLowerCase(Locale.ROOT) + "; "
                 + String.join(", ", summary.faults().stream().map(Summary.Recovery::title).toList()));
@@ -160,7 +160,7 @@
             to.println("  " + summary.complaints().get(0));
         }
         if (outcome.shrunk() != null) {
-            to.println("  play it again with: lab run " + outcome.shrunk() + " --out DIR");
+            to.println("  run it again with: lab run " + outcome.shrunk() + " --out DIR");
         }
         to.flush();
     }
@@ -173,16 +173,16 @@
         }
     }
 
-    private static Summary play(Experiment experiment, List<String> program, Path folder)
+    private static Summary runExperiment(Experiment experiment, List<String> program, Path folder)
             throws CommandException, InterruptedException {
         try {
-            return new Run(experiment, program, folder, progress()).play();
+            return new Run(experiment, program, folder, progress()).run();
         } catch (IOException e) {
             throw new CommandException(1, e.getMessage());
         }
     }
 
-    /** Tells a person at a terminal; nobody else. */
+    /** Shows progress on a terminal; does nothing if there is none. */
     private static Consumer<String> progress() {
         return System.console() == null ? text -> { } : text -> {
             System.err.print("\r\033[K" + text);
@@ -197,7 +197,7 @@
                 of.requests(), 100 * of.served(), 100 * of.refused(), 100 * of.failed(), of.p50Ms(),
                 of.p99Ms(), of.attempts()));
         of.faults().forEach(fault -> text.append(String.format(Locale.ROOT,
-                "  %s from %.1f to %.1f s, well again after %.0f ms%n", fault.title(),
+                "  %s from %.1f to %.1f s, recovered after %.0f ms%n", fault.title(),
                 fault.beginMs() / 1_000, fault.endMs() / 1_000, fault.recoveryMs())));
         of.complaints().forEach(why -> text.append("  ").append(why).append('\n'));
         return text.toString();
--- a/src/main/java/cranedeal/lab/Monitor.java
+++ b/src/main/java/cranedeal/lab/Monitor.java
@@ -24,51 +24,51 @@
 import java.util.function.Consumer;
 
 /**
- * Looks twice a second at what the members see, and each second at what control costs them and what the
- * machine does, and notes it. It does nothing where no balancer is hollow.
+ * Samples the members' views twice a second, and the cost of control traffic and the load of the machine once
+ * a second, and records them in the history. It does nothing if the experiment has no hollow balancers.
  */
 final class Monitor implements AutoCloseable {
 
-    private static final long LOOK_EVERY_MS = 500;
-    private static final int LOOKS_A_SECOND = 2;
+    private static final long SAMPLE_INTERVAL_MS = 500;
+    private static final int SAMPLES_PER_SECOND = 2;
     private static final double NANOS_PER_MS = 1e6;
     private static final int PAGE_KB = 4;
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
-    private static final String PREFIX = "edge_proxy.";
-    /** Threads of membership have names that begin so, in the program as in hollow processes. */
-    private static final String MEMBER = "member-";
+    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+    private static final String METRIC_PREFIX = "edge_proxy.";
+    /** Prefix of the names of membership threads, in the program and in hollow processes. */
+    private static final String MEMBER_THREAD_PREFIX = "member-";
 
     private final Experiment experiment;
-    private final World world;
+    private final Testbed testbed;
     private final LabClock clock;
     private final Consumer<Event> history;
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(PATIENCE).build();
+            .connectTimeout(TIMEOUT).build();
     private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
     private final Thread thread = new Thread(this::run, "monitor");
     private final Map<String, Double> controlMs = new HashMap<>();
     private final Map<String, Double> processMs = new HashMap<>();
     private final Meter real = new Meter();
-    private Map<String, Map<String, Long>> doors = Map.of();
+    private Map<String, Map<String, Long>> metricsByBalancer = Map.of();
     private long[] host = new long[2];
     private double labMs;
 
-    Monitor(Experiment experiment, World world, LabClock clock, Consumer<Event> history) {
+    Monitor(Experiment experiment, Testbed world, LabClock clock, Consumer<Event> history) {
         this.experiment = experiment;
-        this.world = world;
+        this.testbed = world;
         this.clock = clock;
         this.history = history;
         thread.setDaemon(true);
     }
 
-    /** Begins; all parties have started. */
+    /** Starts sampling. All parties must have started. */
     void start() {
         if (experiment.scale().hollow() > 0) {
             thread.start();
         }
     }
 
-    /** What kept it from looking; a run with any shows nothing. */
+    /** Returns the errors that ended sampling; a run with any is void. */
     List<String> failures() {
         return List.copyOf(failures);
     }
@@ -78,46 +78,48 @@
             double due = clock.now();
             for (int i = 0;; i++) {
                 double late = Math.max(0, clock.now() - due);
-                doors = doors();
-                views();
-                if (i % LOOKS_A_SECOND == 0) {
-                    host(late);
-                    spent();
+                metricsByBalancer = fetchMetrics();
+                recordViews();
+                if (i % SAMPLES_PER_SECOND == 0) {
+                    recordHost(late);
+                    recordCosts();
                 }
-                due = Math.max(due + LOOK_EVERY_MS, clock.now());
+                due = Math.max(due + SAMPLE_INTERVAL_MS, clock.now());
                 TimeUnit.MICROSECONDS.sleep((long) ((due - clock.now()) * 1_000));
             }
         } catch (InterruptedException e) {
             // The experiment is over.
         } catch (IOException | RuntimeException e) {
-            failures.add("the lab could not look at the members: " + e);
+            failures.add("the lab could not sample the members: " + e);
         }
     }
 
     // ---- Views -------------------------------------------------------------------------------------
 
-    /** The figures of the real balancers that answer, by their names. */
-    private Map<String, Map<String, Long>> doors() throws InterruptedException {
+    /** Returns the metrics of the real balancers that answer, by their names. */
+    private Map<String, Map<String, Long>> fetchMetrics() throws InterruptedException {
         Map<String, Map<String, Long>> all = new HashMap<>();
-        for (BalancerProcess balancer : world.balancers().values()) {
+        for (BalancerProcess balancer : testbed.balancers().values()) {
             try {
                 Map<String, Long> figures = new HashMap<>();
-                http.send(HttpRequest.newBuilder(URI.create("http:/" + balancer.door() + "/ops/stats"))
-                        .timeout(PATIENCE).build(), HttpResponse.BodyHandlers.ofString()).body().lines()
-                        .filter(line -> line.startsWith(PREFIX + "fleet.")).forEach(line -> figures.put(
-                                line.substring(PREFIX.length(), line.indexOf('=')),
+                http.send(HttpRequest.newBuilder(
+                        URI.create("http:/" + balancer.adminAddress() + "/ops/stats"))
+                        .timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofString()).body().lines()
+                        .filter(line -> line.startsWith(METRIC_PREFIX + "fleet."))
+                        .forEach(line -> figures.put(
+                                line.substring(METRIC_PREFIX.length(), line.indexOf('=')),
                                 Long.parseLong(line.substring(line.indexOf('=') + 1))));
                 if (!figures.isEmpty()) {
                     all.put(balancer.name(), figures);
                 }
             } catch (IOException e) {
-                // It is down, or on its way up.
+                // The balancer is down or starting.
             }
         }
         return all;
     }
 
-    private void views() throws IOException, InterruptedException {
+    private void recordViews() throws IOException, InterruptedException {
         int regions = experiment.scale().regions();
         int[] running = new int[regions];
         long[] least = new long[regions];
@@ -127,7 +129,7 @@
             least[region] = Long.MAX_VALUE;
             List<String> names = experiment.hollowNames().stream()
                     .filter(name -> experiment.region(name) == its).toList();
-            for (HollowGroup group : world.hollow().groups()) {
+            for (HollowGroup group : testbed.hollow().groups()) {
                 HollowProcess.Views views = group.views(names);
                 if (views.running() > 0) {
                     running[region] += views.running();
@@ -136,7 +138,7 @@
                 }
             }
         }
-        doors.forEach((name, figures) -> {
+        metricsByBalancer.forEach((name, figures) -> {
             int region = experiment.region(name);
             long present = figures.getOrDefault("fleet.members", 0L);
             running[region]++;
@@ -146,7 +148,7 @@
         for (int region = 0; region < regions; region++) {
             int reachable = 0;
             for (int other = 0; other < regions; other++) {
-                reachable += other == region || !world.isParted(region, other) ? running[other] : 0;
+                reachable += other == region || !testbed.isPartitioned(region, other) ? running[other] : 0;
             }
             history.accept(new Event.Viewed(clock.now(), experiment.scale().regionNames().get(region),
                     running[region], reachable, running[region] == 0 ? 0 : least[region], most[region]));
@@ -155,31 +157,31 @@
 
     // ---- Costs -------------------------------------------------------------------------------------
 
-    private void spent() throws IOException, InterruptedException {
-        for (HollowGroup group : world.hollow().groups()) {
-            note(group.child().name(), true, group.window(), List.of(group.child()));
+    private void recordCosts() throws IOException, InterruptedException {
+        for (HollowGroup group : testbed.hollow().groups()) {
+            recordCost(group.child().name(), true, group.window(), List.of(group.child()));
         }
         Map<String, Meter.Reading> readings = new HashMap<>();
-        doors.forEach((name, figures) -> readings.put(name, Meter.Reading.of(figures)));
+        metricsByBalancer.forEach((name, figures) -> readings.put(name, Meter.Reading.of(figures)));
         real.sample(readings, 0, 0);
         List<ChildProcess> children = new ArrayList<>();
-        for (BalancerProcess balancer : world.balancers().values()) {
-            if (doors.containsKey(balancer.name())) {
+        for (BalancerProcess balancer : testbed.balancers().values()) {
+            if (metricsByBalancer.containsKey(balancer.name())) {
                 children.add(balancer.current());
             }
         }
-        note("real", false, real.window(), children);
+        recordCost("real", false, real.window(), children);
     }
 
-    private void note(String who, boolean hollow, Meter.Window window, List<ChildProcess> processes) {
+    private void recordCost(String who, boolean hollow, Meter.Window window, List<ChildProcess> processes) {
         double control = 0;
         double all = 0;
         long rss = 0;
         for (ChildProcess child : processes) {
             String key = child.name() + child.pid();
-            control += since(controlMs, key, child.threadCpuMs(MEMBER));
+            control += increase(controlMs, key, child.threadCpuMs(MEMBER_THREAD_PREFIX));
             ChildProcess.Usage usage = child.usage().orElse(new ChildProcess.Usage(0, 0));
-            all += since(processMs, key, usage.cpuMs());
+            all += increase(processMs, key, usage.cpuMs());
             rss += usage.rssKb();
         }
         history.accept(new Event.Spent(clock.now(), who, hollow, window.balancerSeconds(), window.datagrams(),
@@ -187,14 +189,14 @@
                 rss, window.lateMs()));
     }
 
-    /** What has come since the last look; a process that is new, or is ending, has none. */
-    private static double since(Map<String, Double> before, String key, double now) {
+    /** Returns the increase since the last sample; 0 for a new process and for one that is exiting. */
+    private static double increase(Map<String, Double> before, String key, double now) {
         Double then = before.put(key, now);
         return then == null ? 0 : Math.max(0, now - then);
     }
 
-    /** What the cores and the lab itself did since the last look. */
-    private void host(double lateMs) throws IOException {
+    /** Records the load of the cores and of the lab itself since the last sample. */
+    private void recordHost(double lateMs) throws IOException {
         String[] fields = Files.readAllLines(Path.of("/proc/stat")).get(0).trim().split("\\s+");
         long whole = 0;
         for (int i = 1; i <= 8; i++) {
--- a/src/main/java/cranedeal/lab/Run.java
+++ b/src/main/java/cranedeal/lab/Run.java
@@ -11,7 +11,7 @@
 import cranedeal.lab.history.Promptness;
 import cranedeal.lab.history.Unanswered;
 import cranedeal.lab.report.Analysis;
-import cranedeal.lab.report.Page;
+import cranedeal.lab.report.HtmlReport;
 import cranedeal.lab.report.Summary;
 import cranedeal.lab.standin.Clients;
 import cranedeal.lab.standin.LabClock;
@@ -29,26 +29,26 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays one experiment once. Its folder then holds {@code history.jsonl}, {@code summary.json}, {@code
+ * Runs an experiment once. Its folder then holds {@code history.jsonl}, {@code summary.json}, {@code
  * report.html}, and a folder for each balancer with its configuration and log.
  */
 final class Run {
 
     static final String HISTORY = "history.jsonl";
     static final String SUMMARY = "summary.json";
-    /** What control cost the balancers; only where some are hollow. */
+    /** Cost of control traffic; written only for experiments with hollow balancers. */
     static final String CONTROL = "control.json";
     static final String REPORT = "report.html";
     static final JsonMapper JSON = JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
 
     private static final long SAMPLE_EVERY_MS = 500;
-    /** Beyond this the load generator is what is slow, and the run shows nothing. */
-    private static final double MOST_LATE_MS = 50;
+    /** If the load generator is later than this (p99), the run is void. */
+    private static final double MAX_LATE_MS = 50;
     private static final double US_PER_MS = 1_000;
-    /** Slack of the rules on time: a message's way through two processes on a busy machine. */
+    /** Slack of the timing rules, for a message to pass two processes on a busy machine. */
     private static final double SLACK_MS = 50;
-    /** How long the last requests and their retries may take once the load is over. */
-    private static final long LONGEST_END_MS = 120_000;
+    /** Time limit for the last requests and their retries after the end of the load. */
+    private static final long MAX_COMPLETION_MS = 120_000;
 
     private final Experiment experiment;
     private final List<String> program;
@@ -56,11 +56,11 @@
     private final Consumer<String> progress;
 
     /**
-     * A run that has not begun.
+     * Creates a run without starting it.
      *
      * @param program the command that starts the program, without its role
-     * @param folder where its files go; must not hold an earlier run
-     * @param progress told now and then how far it is
+     * @param folder the folder for its files; must not hold an earlier run
+     * @param progress receives progress messages
      */
     Run(Experiment experiment, List<String> program, Path folder, Consumer<String> progress) {
         this.experiment = experiment;
@@ -69,8 +69,8 @@
         this.progress = progress;
     }
 
-    /** Plays it; throws {@link IOException} where it could not be played. */
-    Summary play() throws IOException, InterruptedException {
+    /** Runs the experiment; throws {@link IOException} if that failed. */
+    Summary run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         if (Files.exists(folder.resolve(HISTORY))) {
             throw new IOException(folder + " holds an earlier run");
@@ -78,14 +78,14 @@
         List<String> voids = new ArrayList<>();
         Clients clients;
         try (History history = new History(folder.resolve(HISTORY))) {
-            clients = play(history, voids);
+            clients = run(history, voids);
             if (history.lost() > 0) {
                 voids.add(history.lost()
-                        + " events were lost, as they came faster than they could be written");
+                        + " events were lost because they came faster than they could be written");
             }
         }
         double late = clients.lateness().getValueAtPercentile(99) / US_PER_MS;
-        if (late > MOST_LATE_MS) {
+        if (late > MAX_LATE_MS) {
             voids.add("the load generator was late: its p99 is " + late + " ms");
         }
         if (clients.missed() > 0) {
@@ -94,23 +94,23 @@
         return analyse(late, voids);
     }
 
-    private Clients play(History history, List<String> voids) throws IOException, InterruptedException {
+    private Clients run(History history, List<String> voids) throws IOException, InterruptedException {
         LabClock clock = new LabClock();
         progress.accept("starting " + experiment.balancers() + " balancers");
-        try (World world = new World(experiment, program, folder, clock, history);
-                Director director = new Director(experiment, world, clock, history);
+        try (Testbed world = new Testbed(experiment, program, folder, clock, history);
+                FaultInjector director = new FaultInjector(experiment, world, clock, history);
                 Monitor monitor = new Monitor(experiment, world, clock, history)) {
             world.start();
             monitor.start();
             double begun = world.clients().start();
             director.start(begun);
-            while (!ended(world.clients().done())) {
+            while (!isDone(world.clients().done())) {
                 world.sample();
                 double now = clock.now() - begun;
                 progress.accept(String.format("%s: %.0f of %.0f s", experiment.name(), now / 1_000,
                         experiment.load().durationMs() / 1_000));
-                if (now > experiment.load().durationMs() + LONGEST_END_MS) {
-                    throw new IOException("requests do not end");
+                if (now > experiment.load().durationMs() + MAX_COMPLETION_MS) {
+                    throw new IOException("requests are still open long after the end of the load");
                 }
             }
             voids.addAll(director.failures());
@@ -119,7 +119,7 @@
         }
     }
 
-    private static boolean ended(CompletableFuture<Void> done) throws IOException, InterruptedException {
+    private static boolean isDone(CompletableFuture<Void> done) throws IOException, InterruptedException {
         try {
             done.get(SAMPLE_EVERY_MS, TimeUnit.MILLISECONDS);
             return true;
@@ -134,7 +134,7 @@
         Map<String, Double> deadlines = experiment.load().classes().stream()
                 .collect(Collectors.toMap(one -> one.name(), one -> one.deadlineMs()));
         Analysis analysis = new Analysis(deadlines, checkers());
-        Page page = new Page();
+        HtmlReport page = new HtmlReport();
         ControlAnalysis control = new ControlAnalysis(experiment.scale());
         History.replay(folder.resolve(HISTORY), analysis.andThen(page).andThen(control));
         List<String> broken = List.of();
--- a/src/main/java/cranedeal/lab/Scale.java
+++ b/src/main/java/cranedeal/lab/Scale.java
@@ -5,29 +5,29 @@
 import java.util.List;
 
 /**
- * What makes a fleet larger than the machine that it is played on: balancers without a data path, and the
- * regions that its members are in.
+ * The parts of a fleet that is larger than the machine of the experiment: hollow balancers, which have no
+ * data path, and the regions of the members.
  *
- * @param hollow how many hollow balancers there are, {@code h0} and so on
- * @param processes in how many processes they are
- * @param regions among how many regions the zones are dealt out in turn, {@code region-0} and so on
- * @param periodMs how often each member, real or hollow, probes another
- * @param delayMs how long a datagram takes from one region to another
- * @param jitterMs up to how much longer
+ * @param hollow the number of hollow balancers, named {@code h0} and so on
+ * @param processes the number of processes that run them
+ * @param regions the number of regions, {@code region-0} and so on; zones are assigned to them in turn
+ * @param periodMs the interval at which each member, real or hollow, probes another
+ * @param delayMs the delay of a datagram from one region to another
+ * @param jitterMs the maximum additional delay
  * @param loss the share of datagrams between regions that are lost
  */
 record Scale(int hollow, int processes, int regions, int periodMs, double delayMs, double jitterMs,
         double loss, Bounds must) {
 
     /**
-     * What control may cost a balancer and how long it may take, each a bound that asks nothing if it was not
-     * given.
+     * Upper bounds on the cost and the delay of control traffic. A bound that was not given is always kept.
      *
-     * @param coreShare the share of a core, on average
-     * @param bytesPerS bytes sent and received, on average; {@code peakBytesPerS} in any one second
-     * @param memoryMb its share of its process's resident memory, as a hollow one
-     * @param viewsMs how long after a fault begins or ends all views are right
-     * @param alike by which share what a hollow one sends may differ from what a real one sends
+     * @param coreShare the mean share of a core per balancer
+     * @param bytesPerS the mean bytes sent and received per second and balancer
+     * @param peakBytesPerS the bytes sent and received by a balancer in any one second
+     * @param memoryMb a hollow balancer's share of the resident memory of its process
+     * @param viewsMs the time from the begin or end of a fault until all views are correct
+     * @param alike the relative difference between the costs of hollow and real balancers
      */
     record Bounds(double coreShare, double bytesPerS, double peakBytesPerS, double memoryMb, double viewsMs,
             double alike) { }
@@ -44,7 +44,7 @@
         return names;
     }
 
-    /** What lies between two regions while nothing else is wrong. */
+    /** Returns the impairment between two regions in the absence of faults. */
     Impairment betweenRegions() {
         return new Impairment(false, delayMs, jitterMs, loss, 0, 0, 0);
     }
--- a/src/main/java/cranedeal/lab/Shrinker.java
+++ b/src/main/java/cranedeal/lab/Shrinker.java
@@ -4,25 +4,25 @@
 import java.util.List;
 
 /**
- * Finds a small part of a list that still breaks something: leaves out ever smaller pieces as long as it does
- * (ddmin; Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002).
+ * Reduces a failure-inducing list: removes ever smaller pieces as long as the rest still fails (ddmin; Zeller
+ * and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002).
  */
 final class Shrinker {
 
     private Shrinker() {
     }
 
-    /** Whether a part still breaks it. */
+    /** Predicate that is true for a list that still fails. */
     interface Breaks<T, E extends Exception> {
 
         boolean test(List<T> part) throws E;
     }
 
     /**
-     * Shrinks a list that breaks something.
+     * Reduces a list that fails.
      *
-     * @param tries how often to try at most
-     * @return a part that was seen to break it, or the whole list
+     * @param tries the maximum number of tests
+     * @return a part that failed its test, or the whole list
      */
     static <T, E extends Exception> List<T> shrink(List<T> whole, int tries, Breaks<T, E> breaks) throws E {
         List<T> smallest = whole;
--- a/src/main/java/cranedeal/lab/World.java
+++ b/src/main/java/cranedeal/lab/Testbed.java
@@ -46,40 +46,40 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** All parties of one experiment, and the links between them. Closing it ends all of them. */
-final class World implements AutoCloseable {
+/** All parties of one experiment and the links between them. Closing it stops all of them. */
+final class Testbed implements AutoCloseable {
 
     private static final int CLIENTS_PARTY = 0;
     private static final int DISCOVERY_PARTY = 1;
     private static final int FIRST_BALANCER = 2;
-    private static final int LOOPS = 4;
-    private static final int SEEDS = 2;
-    /** How many processes start side by side. */
-    private static final int STARTERS = 8;
-    /** A relay's two listening sockets, an exchange, and the link to discovery with a call. */
-    private static final int HOLLOW_DESCRIPTORS = 8;
-    /** Beyond this share of the descriptors that the lab may open, nothing it does can be trusted. */
-    private static final double MOST_DESCRIPTORS = 0.9;
+    private static final int EVENT_LOOPS = 4;
+    private static final int MAX_SEEDS = 2;
+    /** Number of processes that start in parallel. */
+    private static final int START_THREADS = 8;
+    /** Descriptors per hollow balancer: a relay's two listeners, an exchange, the discovery link, a call. */
+    private static final int DESCRIPTORS_PER_HOLLOW = 8;
+    /** Above this share of the lab's descriptor limit, its results cannot be trusted. */
+    private static final double MAX_DESCRIPTOR_SHARE = 0.9;
 
     private final Experiment experiment;
     private final LabClock clock;
     private final Consumer<Event> history;
     private final SplittableRandom random;
     private final AddressBlock addresses = AddressBlock.reserve();
-    private final ProcessSupervisor warden = new ProcessSupervisor();
-    private final EventLoopGroup relays = group("links", LOOPS);
-    private final EventLoopGroup standIns = group("stand-ins", LOOPS);
+    private final ProcessSupervisor supervisor = new ProcessSupervisor();
+    private final EventLoopGroup relays = group("links", EVENT_LOOPS);
+    private final EventLoopGroup simulatedServers = group("stand-ins", EVENT_LOOPS);
     private final EventLoopGroup client = group("clients", 1);
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(1)).build();
-    /** Between balancers that are members of a fleet. */
+    /** Links between balancers that are members of a fleet. */
     private final DatagramLinks members;
     private final Map<LinkName, StreamLink> links = new ConcurrentHashMap<>();
-    private final Set<Set<Integer>> parted = ConcurrentHashMap.newKeySet();
+    private final Set<Set<Integer>> partitionedRegions = ConcurrentHashMap.newKeySet();
     private final Map<String, Integer> parties = new LinkedHashMap<>();
     private final Map<String, UpstreamServer> upstreams = new LinkedHashMap<>();
     private final Map<String, BalancerProcess> balancers = new LinkedHashMap<>();
-    /** The balancers that have no data path; null if there are none. */
+    /** The hollow balancers, which have no data path; null if there are none. */
     private HollowFleet hollow;
     private DiscoveryServer discovery;
     private Front front;
@@ -94,11 +94,11 @@
         }
     }
 
-    /** A link that a fault hits; reversed if the fault names its ends the other way round. */
-    record Hit(LinkName link, boolean reversed) { }
+    /** A link that a fault affects; reversed if the fault names its ends in the opposite order. */
+    record AffectedLink(LinkName link, boolean reversed) { }
 
-    /** Parties that are made but not started; a failure on the way leaves nothing behind. */
-    World(Experiment experiment, List<String> program, Path folder, LabClock clock, Consumer<Event> history)
+    /** Creates the parties without starting them; after a failure everything is closed again. */
+    Testbed(Experiment experiment, List<String> program, Path folder, LabClock clock, Consumer<Event> history)
             throws IOException, InterruptedException {
         this.experiment = experiment;
         this.clock = clock;
@@ -116,8 +116,8 @@
         }
     }
 
-    /** The links that two patterns name. */
-    static List<Hit> links(Experiment of, String from, String to) {
+    /** Returns the links between the parties that match two patterns. */
+    static List<AffectedLink> links(Experiment of, String from, String to) {
         List<LinkName> all = new ArrayList<>();
         for (String balancer : of.balancerNames()) {
             all.add(new LinkName(Experiment.CLIENTS, balancer));
@@ -128,12 +128,12 @@
                         .forEach(other -> all.add(new LinkName(balancer, other)));
             }
         }
-        List<Hit> hits = new ArrayList<>();
+        List<AffectedLink> hits = new ArrayList<>();
         for (LinkName link : all) {
             if (Fault.matches(from, link.from()) && Fault.matches(to, link.to())) {
-                hits.add(new Hit(link, false));
+                hits.add(new AffectedLink(link, false));
             } else if (Fault.matches(from, link.to()) && Fault.matches(to, link.from())) {
-                hits.add(new Hit(link, true));
+                hits.add(new AffectedLink(link, true));
             }
         }
         return hits;
@@ -154,7 +154,7 @@
             byParty.put(parties.get(name), name);
             byAddress.put(addresses.ip(parties.get(name)), name);
         }
-        discovery = new DiscoveryServer(standIns.next(), clock, experiment.callMs(), askers, byParty,
+        discovery = new DiscoveryServer(simulatedServers.next(), clock, experiment.callMs(), askers, byParty,
                 addresses::linkAddress, history);
         discovery.bind(addresses.listenAddress(DISCOVERY_PARTY));
         List<UpstreamKind> kinds = experiment.upstreamKinds();
@@ -162,7 +162,8 @@
         Map<Integer, SeenKeys> seen = new HashMap<>();
         for (String name : experiment.upstreamNames()) {
             UpstreamKind kind = kinds.get(upstreams.size());
-            UpstreamServer upstream = new UpstreamServer(name, kind, standIns.next(), clock, random.split(),
+            UpstreamServer upstream = new UpstreamServer(name, kind, simulatedServers.next(), clock,
+                    random.split(),
                     byAddress::get, history, seen.computeIfAbsent(cells.get(name),
                             cell -> new SeenKeys(experiment.longestMemoryMs())));
             upstream.bind(addresses.listenAddress(parties.get(name)));
@@ -170,7 +171,7 @@
             await(discovery.list(name, parties.get(name), experiment.zone(name), kind.name(), cells.get(name),
                     1));
         }
-        for (Hit hit : links(experiment, "*", "*")) {
+        for (AffectedLink hit : links(experiment, "*", "*")) {
             if (!isBetweenMembers(hit.link())) {
                 open(hit.link());
             }
@@ -179,7 +180,7 @@
             await(members.addParty(member(name, AddressBlock.MEMBER_PORT), member(name,
                     AddressBlock.MEMBER_LINK_PORT), experiment.region(name)));
         }
-        part(false, experiment.scale().regionNames());
+        setRegionsPartitioned(false, experiment.scale().regionNames());
         EventLoop loop = client.next();
         front = new Front(loop, names.stream().map(name -> new Front.Backend(name,
                 link(Experiment.CLIENTS, name).address())).toList(), experiment.frontEveryMs());
@@ -195,8 +196,8 @@
     private HollowFleet hollow(Path folder) throws IOException, InterruptedException {
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system) {
             long wanted = system.getOpenFileDescriptorCount()
-                    + (long) HOLLOW_DESCRIPTORS * experiment.scale().hollow();
-            if (wanted > MOST_DESCRIPTORS * system.getMaxFileDescriptorCount()) {
+                    + (long) DESCRIPTORS_PER_HOLLOW * experiment.scale().hollow();
+            if (wanted > MAX_DESCRIPTOR_SHARE * system.getMaxFileDescriptorCount()) {
                 throw new IOException("the links of " + experiment.scale().hollow() + " hollow balancers may"
                         + " need " + wanted + " descriptors, of " + system.getMaxFileDescriptorCount()
                         + "; raise the limit (ulimit -n) or take fewer");
@@ -217,15 +218,15 @@
                     AddressBlock.MEMBER_PORT)),
                     BalancerConfig.text(member(name, AddressBlock.MEMBER_LINK_PORT)), file.toString()));
         }
-        List<String> seeds = experiment.balancerNames().stream().limit(SEEDS)
+        List<String> seeds = experiment.balancerNames().stream().limit(MAX_SEEDS)
                 .map(name -> BalancerConfig.text(member(name, AddressBlock.MEMBER_LINK_PORT))).toList();
         int next = parties.size();
         return new HollowFleet(experiment, all, seeds, number -> addresses.ip(next + number).getHostAddress()
-                + ":" + AddressBlock.ADMIN_PORT, folder, warden, http);
+                + ":" + AddressBlock.ADMIN_PORT, folder, supervisor, http);
     }
 
-    /** Whether two regions lose each other, or all of these are as they usually are. */
-    void part(boolean apart, List<String> regions) throws IOException, InterruptedException {
+    /** Partitions regions from one another, or restores the usual links between them. */
+    void setRegionsPartitioned(boolean apart, List<String> regions) throws IOException, InterruptedException {
         for (int i = 0; i < regions.size(); i++) {
             for (int j = i + 1; j < regions.size(); j++) {
                 int one = experiment.scale().regionNames().indexOf(regions.get(i));
@@ -233,26 +234,26 @@
                 await(members.impairGroups(one, other, apart ? Impairment.BLOCKED
                         : experiment.scale().betweenRegions()));
                 if (apart) {
-                    parted.add(Set.of(one, other));
+                    partitionedRegions.add(Set.of(one, other));
                 } else {
-                    parted.remove(Set.of(one, other));
+                    partitionedRegions.remove(Set.of(one, other));
                 }
             }
         }
     }
 
-    /** Whether nothing passes between the members of two regions. */
-    boolean isParted(int one, int other) {
-        return parted.contains(Set.of(one, other));
+    /** Returns true if two regions are partitioned. */
+    boolean isPartitioned(int one, int other) {
+        return partitionedRegions.contains(Set.of(one, other));
     }
 
-    /** The balancers without a data path; null if there are none. */
+    /** Returns the hollow balancers; null if there are none. */
     HollowFleet hollow() {
         return hollow;
     }
 
-    /** How many descriptors are open, as a share of those that may be; 0 where the system does not tell. */
-    private static double descriptors() {
+    /** Returns the share of the descriptor limit that is in use; 0 if the system does not report it. */
+    private static double openDescriptorShare() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 ? system.getOpenFileDescriptorCount() / (double) system.getMaxFileDescriptorCount() : 0;
     }
@@ -266,7 +267,7 @@
         return new InetSocketAddress(addresses.ip(parties.get(name)), port);
     }
 
-    /** Where a balancer's place among the members is asked for its view. */
+    /** Returns the address at which a balancer's membership view is queried. */
     InetSocketAddress member(String name) {
         return member(name, AddressBlock.MEMBER_PORT);
     }
@@ -287,22 +288,23 @@
         Path own = Files.createDirectories(folder.resolve(name)).toAbsolutePath();
         var config = BalancerConfig.of(experiment, experiment.balancerNames().indexOf(name),
                 addresses.listenAddress(party), link(name, Experiment.DISCOVERY).address(), random.nextLong(),
-                await(discovery.known(party)), experiment.balancerNames().stream().limit(SEEDS)
+                await(discovery.known(party)), experiment.balancerNames().stream().limit(MAX_SEEDS)
                         .map(seed -> addresses.listenAddress(parties.get(seed))).toList());
         if (experiment.members()) {
-            // Outlasts what a start empties, as the disk of a machine does.
+            // Kept over starts, which empty the disk folder, as the disk of a machine would be.
             ((ObjectNode) config.get("fleet")).put("state_dir", own.resolve("members").toString());
         }
         if (experiment.state()) {
             config.put("state_dir", own.resolve("state").toString());
         }
-        return new BalancerProcess(name, party, addresses, config, experiment.door(), own, program, warden,
+        return new BalancerProcess(name, party, addresses, config, experiment.door(), own, program,
+                supervisor,
                 http, link(Experiment.CLIENTS, name), front, clock, history);
     }
 
-    /** Starts all balancers; returns when all serve and the front deals out connections. */
+    /** Starts all balancers; returns when all serve and the front assigns connections. */
     void start() throws IOException, InterruptedException {
-        ExecutorService starters = Executors.newFixedThreadPool(STARTERS);
+        ExecutorService starters = Executors.newFixedThreadPool(START_THREADS);
         try {
             List<java.util.concurrent.Future<?>> started = new ArrayList<>();
             for (BalancerProcess balancer : balancers.values()) {
@@ -346,11 +348,11 @@
         return links.get(new LinkName(from, to));
     }
 
-    /** Changes links; what is {@code there} goes the way that the fault names. */
-    void impair(List<Hit> hits, Impairment there, Impairment andBack) throws IOException,
+    /** Impairs links; {@code there} applies to the fault's direction, {@code andBack} to the opposite. */
+    void impair(List<AffectedLink> hits, Impairment there, Impairment andBack) throws IOException,
             InterruptedException {
         List<Future<?>> changes = new ArrayList<>();
-        for (Hit hit : hits) {
+        for (AffectedLink hit : hits) {
             if (isBetweenMembers(hit.link())) {
                 InetAddress from = addresses.ip(parties.get(hit.link().from()));
                 InetAddress to = addresses.ip(parties.get(hit.link().to()));
@@ -367,33 +369,33 @@
     }
 
     /** Resets all open connections of links. */
-    void reset(List<Hit> hits) throws IOException, InterruptedException {
-        for (Hit hit : hits) {
+    void reset(List<AffectedLink> hits) throws IOException, InterruptedException {
+        for (AffectedLink hit : hits) {
             if (!isBetweenMembers(hit.link())) {
                 await(links.get(hit.link()).reset());
             }
         }
     }
 
-    /** All links of a party. */
-    List<Hit> linksOf(String party) {
+    /** Returns all links of a party. */
+    List<AffectedLink> linksOf(String party) {
         return links(experiment, party, "*");
     }
 
-    /** An upstream's process dies: its connections are reset, and new ones are refused. */
+    /** Simulates the death of an upstream: resets its connections and refuses new ones. */
     void stopUpstream(String name) throws IOException, InterruptedException {
         history.accept(new Event.Lived(clock.now(), name, Life.KILLED, 0));
-        for (Hit hit : linksOf(name)) {
+        for (AffectedLink hit : linksOf(name)) {
             await(links.get(hit.link()).setTargetUp(false));
             await(links.get(hit.link()).reset());
         }
     }
 
-    /** An upstream's process starts again, cold; discovery lists it a little later. */
+    /** Starts an upstream again, cold; discovery lists it after its usual delay. */
     void startUpstream(String name) throws IOException, InterruptedException {
         await(upstreams.get(name).restart());
         long startedAt = System.currentTimeMillis();
-        for (Hit hit : linksOf(name)) {
+        for (AffectedLink hit : linksOf(name)) {
             await(links.get(hit.link()).setTargetUp(true));
         }
         history.accept(new Event.Lived(clock.now(), name, Life.READY, 0));
@@ -401,18 +403,18 @@
         await(discovery.started(name, startedAt));
     }
 
-    /** Discovery tells another state of an upstream, a little later. */
-    void list(String name, String state) throws IOException, InterruptedException {
+    /** Changes an upstream's state in discovery, after its usual delay. */
+    void setListedState(String name, String state) throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep((long) experiment.listLateMs());
         await(discovery.state(name, state));
     }
 
     /**
-     * Notes what each process has used so far; throws {@link IOException} if the lab itself runs out of
-     * descriptors.
+     * Records the CPU time and memory of each process; throws {@link IOException} if the lab itself runs out
+     * of descriptors.
      */
     void sample() throws IOException {
-        if (descriptors() > MOST_DESCRIPTORS) {
+        if (openDescriptorShare() > MAX_DESCRIPTOR_SHARE) {
             throw new IOException("the lab has no descriptors left for so many links and connections;"
                     + " raise the limit (ulimit -n) or take fewer balancers or upstreams");
         }
@@ -439,14 +441,14 @@
 
     @Override
     public void close() throws IOException {
-        warden.close();
+        supervisor.close();
         links.values().forEach(StreamLink::close);
         members.close();
         upstreams.values().forEach(UpstreamServer::close);
         if (discovery != null) {
             discovery.close();
         }
-        for (EventLoopGroup group : List.of(client, relays, standIns)) {
+        for (EventLoopGroup group : List.of(client, relays, simulatedServers)) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
         addresses.close();
--- a/src/main/java/cranedeal/lab/Table.java
+++ b/src/main/java/cranedeal/lab/TomlTable.java
@@ -20,10 +20,10 @@
 import java.util.regex.Pattern;
 
 /**
- * A table of a TOML file, read key by key. What is missing, of another type, out of its bounds or never asked
- * for is told with file, line and key.
+ * A table of a TOML file, read key by key. Missing keys, wrong types, values out of bounds and unknown keys
+ * are reported with file, line and key.
  */
-final class Table {
+final class TomlTable {
 
     private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]\\s]+)\\s*\\]\\]?.*");
 
@@ -32,24 +32,24 @@
     private final Path file;
     private final List<String> lines;
     private final ObjectNode node;
-    /** The table's header, and how many of that name come before it; an empty name is the top. */
+    /** The table's header, empty for the top level, and the number of earlier tables with that header. */
     private final String header;
-    private final int before;
-    private final Set<String> asked = new HashSet<>();
+    private final int precedingTables;
+    private final Set<String> readKeys = new HashSet<>();
 
-    private Table(Path file, List<String> lines, ObjectNode node, String header, int before) {
+    private TomlTable(Path file, List<String> lines, ObjectNode node, String header, int before) {
         this.file = file;
         this.lines = lines;
         this.node = node;
         this.header = header;
-        this.before = before;
+        this.precedingTables = before;
     }
 
-    /** Reads a file. */
-    static Table read(Path file) throws ExperimentException {
+    /** Reads the top-level table of a file. */
+    static TomlTable read(Path file) throws ExperimentException {
         try {
             String text = Files.readString(file);
-            return new Table(file, text.lines().toList(), (ObjectNode) TOML.readTree(text), "", 0);
+            return new TomlTable(file, text.lines().toList(), (ObjectNode) TOML.readTree(text), "", 0);
         } catch (NoSuchFileException e) {
             throw new ExperimentException(file + ": no such file");
         } catch (JacksonException e) {
@@ -61,29 +61,29 @@
         }
     }
 
-    /** This table with other tables of a name. */
-    Table with(String key, List<ObjectNode> tables) {
+    /** Returns a copy in which the array of tables of the key is replaced. */
+    TomlTable with(String key, List<ObjectNode> tables) {
         ObjectNode changed = node.deepCopy();
         changed.putArray(key).addAll(tables);
-        return new Table(file, lines, changed, header, before);
+        return new TomlTable(file, lines, changed, header, precedingTables);
     }
 
-    /** Writes the table as a file of its own. */
+    /** Writes the table to a file. */
     void write(Path to) throws IOException {
         TOML.writeValue(to.toFile(), node);
     }
 
-    /** A complaint about a key of this table. */
-    ExperimentException wrong(String key, String why) {
+    /** Returns an exception for a key of this table. */
+    ExperimentException error(String key, String why) {
         String name = header.isEmpty() ? key : header + "." + key;
         return new ExperimentException(file + ":" + line(key) + ": " + name + ": " + why);
     }
 
-    /** The line of a key, else that of the table's header. */
+    /** Returns the line of a key, or of the table's header if the key is not there. */
     private int line(String key) {
         Pattern wanted = Pattern.compile("\\s*\"?" + Pattern.quote(key) + "\"?\\s*(=|\\.).*");
         boolean inside = header.isEmpty();
-        int left = before;
+        int left = precedingTables;
         int headerLine = 1;
         for (int i = 0; i < lines.size(); i++) {
             Matcher title = HEADER.matcher(lines.get(i));
@@ -102,10 +102,10 @@
     }
 
     private JsonNode value(String key) throws ExperimentException {
-        asked.add(key);
+        readKeys.add(key);
         JsonNode value = node.get(key);
         if (value == null) {
-            throw wrong(key, "is missing");
+            throw error(key, "is missing");
         }
         return value;
     }
@@ -113,47 +113,47 @@
     String text(String key) throws ExperimentException {
         JsonNode value = value(key);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw wrong(key, "text is wanted, not " + value);
+            throw error(key, "text is wanted, not " + value);
         }
         return value.textValue();
     }
 
     String text(String key, String otherwise) throws ExperimentException {
-        asked.add(key);
+        readKeys.add(key);
         return has(key) ? text(key) : otherwise;
     }
 
     double number(String key, double lowest, double highest) throws ExperimentException {
         JsonNode value = value(key);
         if (!value.isNumber() || !(value.doubleValue() >= lowest && value.doubleValue() <= highest)) {
-            throw wrong(key, String.format(Locale.ROOT, "a number from %s to %s is wanted, not %s",
+            throw error(key, String.format(Locale.ROOT, "a number from %s to %s is wanted, not %s",
                     plain(lowest), plain(highest), value));
         }
         return value.doubleValue();
     }
 
     double number(String key, double lowest, double highest, double otherwise) throws ExperimentException {
-        asked.add(key);
+        readKeys.add(key);
         return has(key) ? number(key, lowest, highest) : otherwise;
     }
 
     int whole(String key, int lowest, int highest, int otherwise) throws ExperimentException {
-        asked.add(key);
+        readKeys.add(key);
         if (has(key) && !node.get(key).isIntegralNumber()) {
-            throw wrong(key, "a whole number is wanted, not " + node.get(key));
+            throw error(key, "a whole number is wanted, not " + node.get(key));
         }
         return (int) number(key, lowest, highest, otherwise);
     }
 
     boolean flag(String key) throws ExperimentException {
-        asked.add(key);
+        readKeys.add(key);
         if (has(key) && !node.get(key).isBoolean()) {
-            throw wrong(key, "true or false is wanted, not " + node.get(key));
+            throw error(key, "true or false is wanted, not " + node.get(key));
         }
         return has(key) && node.get(key).booleanValue();
     }
 
-    /** One of an enum's values, written in lower case with hyphens. */
+    /** Reads an enum value, written in lower case with hyphens. */
     <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) throws ExperimentException {
         if (otherwise != null && !has(key)) {
             return otherwise;
@@ -164,7 +164,8 @@
                 return constant;
             }
         }
-        throw wrong(key, "one of " + String.join(", ", Arrays.stream(of.getEnumConstants()).map(Table::word)
+        throw error(key, "one of " + String.join(", ", Arrays.stream(of.getEnumConstants())
+                .map(TomlTable::word)
                 .toList()) + " is wanted, not '" + text + "'");
     }
 
@@ -172,40 +173,40 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** A table inside this one; an empty one if there is none. */
-    Table table(String key) throws ExperimentException {
-        asked.add(key);
+    /** Returns a nested table; an empty one if it is missing. */
+    TomlTable table(String key) throws ExperimentException {
+        readKeys.add(key);
         JsonNode value = node.path(key);
         if (!value.isMissingNode() && !value.isObject()) {
-            throw wrong(key, "a table is wanted");
+            throw error(key, "a table is wanted");
         }
-        return new Table(file, lines, value.isObject() ? (ObjectNode) value : node.objectNode(), key, 0);
+        return new TomlTable(file, lines, value.isObject() ? (ObjectNode) value : node.objectNode(), key, 0);
     }
 
-    /** The tables of an array of tables. */
-    List<Table> tables(String key) throws ExperimentException {
-        asked.add(key);
-        List<Table> tables = new ArrayList<>();
+    /** Returns the entries of an array of tables. */
+    List<TomlTable> tables(String key) throws ExperimentException {
+        readKeys.add(key);
+        List<TomlTable> tables = new ArrayList<>();
         for (JsonNode entry : node.path(key)) {
             if (!entry.isObject()) {
-                throw wrong(key, "tables are wanted: [[" + key + "]]");
+                throw error(key, "tables are wanted: [[" + key + "]]");
             }
-            tables.add(new Table(file, lines, (ObjectNode) entry, key, tables.size()));
+            tables.add(new TomlTable(file, lines, (ObjectNode) entry, key, tables.size()));
         }
         return tables;
     }
 
-    /** The whole table as it stands, whatever is in it. */
-    ObjectNode asItIs() {
-        node.fieldNames().forEachRemaining(asked::add);
+    /** Returns the whole table and accepts all of its keys. */
+    ObjectNode content() {
+        node.fieldNames().forEachRemaining(readKeys::add);
         return node;
     }
 
-    /** Complains of a key that nobody asked for. */
-    void end() throws ExperimentException {
+    /** Throws an exception if the table has a key that was never read. */
+    void rejectUnknownKeys() throws ExperimentException {
         for (Map.Entry<String, JsonNode> field : node.properties()) {
-            if (!asked.contains(field.getKey())) {
-                throw wrong(field.getKey(), "there is no such key");
+            if (!readKeys.contains(field.getKey())) {
+                throw error(field.getKey(), "there is no such key");
             }
         }
     }
--- a/src/main/java/cranedeal/lab/history/Event.java
+++ b/src/main/java/cranedeal/lab/history/Event.java
@@ -84,7 +84,7 @@
     /** The load has begun, or its last request has ended. */
     record Loaded(double at, boolean begins) implements Event { }
 
-    /** A fault begins or ends; {@code touched} lists the affected processes, or links such as {@code n0>u3}. */
+    /** A fault begins or ends; {@code touched} names affected processes, or links such as {@code n0>u3}. */
     record Faulted(double at, int fault, String kind, List<String> touched, boolean begins)
             implements Event { }
 
--- a/src/main/java/cranedeal/lab/report/Analysis.java
+++ b/src/main/java/cranedeal/lab/report/Analysis.java
@@ -13,23 +13,23 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
-/** Reads a history once and gives its {@link Summary}. */
+/** Computes the {@link Summary} of a history in one pass. */
 public final class Analysis implements Consumer<Event> {
 
-    /** How finely time is divided where it is asked when things are well again. */
+    /** Length of the time slots by which recovery after a fault is measured. */
     private static final double SLOT_MS = 500;
-    private static final int SLOTS_WELL = 3;
-    /** How far below the share of before a slot may be and still count as well. */
-    private static final double NEAR = 0.02;
+    private static final int MIN_RECOVERED_SLOTS = 3;
+    /** How far a slot may be below the share served before the faults and still count as recovered. */
+    private static final double RECOVERY_TOLERANCE = 0.02;
     private static final double FULL_SHARE = 0.9;
-    private static final double MET_AGAIN_MS = 10_000;
+    private static final double RETURN_WINDOW_MS = 10_000;
     private static final double MS_PER_S = 1_000;
     private static final double US_PER_MS = 1_000;
-    private static final long HIGHEST_US = 600_000_000;
+    private static final long MAX_LATENCY_US = 600_000_000;
 
-    /** Requests that were due in one slot of time. */
+    /** Counts of the requests that were due in one time slot, and of the tries sent in it. */
     private static final class Slot {
-        private final Histogram latency = new Histogram(HIGHEST_US, 2);
+        private final Histogram latency = new Histogram(MAX_LATENCY_US, 2);
         private final Map<String, Integer> sent = new LinkedHashMap<>();
         private long requests;
         private long served;
@@ -37,30 +37,30 @@
         private int tries;
     }
 
-    private static final class OfClass {
+    private static final class ClassCounts {
         private long requests;
         private long served;
     }
 
-    private static final class OneFault {
+    private static final class FaultPeriod {
         private final String title;
         private final double begin;
         private double end = Double.NaN;
 
-        OneFault(String title, double begin) {
+        FaultPeriod(String title, double begin) {
             this.title = title;
             this.begin = begin;
         }
     }
 
-    private static final class OneReturn {
+    private static final class ReturnRecord {
         private final String process;
         private final double start;
         private double ready = Double.NaN;
         private double firstServed = Double.NaN;
         private long metAgain;
 
-        OneReturn(String process, double start) {
+        ReturnRecord(String process, double start) {
             this.process = process;
             this.start = start;
         }
@@ -68,14 +68,14 @@
 
     private final Map<String, Double> deadlines;
     private final List<Checker> checkers;
-    private final Histogram latency = new Histogram(HIGHEST_US, 3);
+    private final Histogram latency = new Histogram(MAX_LATENCY_US, 3);
     private final TreeMap<Integer, Slot> slots = new TreeMap<>();
-    private final Map<String, OfClass> classes = new LinkedHashMap<>();
-    private final Map<Integer, OneFault> faults = new TreeMap<>();
-    private final List<OneReturn> returns = new ArrayList<>();
-    private final Map<String, OneReturn> returning = new LinkedHashMap<>();
+    private final Map<String, ClassCounts> classes = new LinkedHashMap<>();
+    private final Map<Integer, FaultPeriod> faults = new TreeMap<>();
+    private final List<ReturnRecord> returns = new ArrayList<>();
+    private final Map<String, ReturnRecord> returning = new LinkedHashMap<>();
     private final Map<String, Summary.Usage> usage = new TreeMap<>();
-    /** What each process used before its present start. */
+    /** CPU time that each process had used before its latest start. */
     private final Map<String, Double> cpuBefore = new LinkedHashMap<>();
     private double loadBegan = Double.NaN;
     private long requests;
@@ -84,7 +84,7 @@
     private long lost;
     private long attempts;
 
-    /** With each class's deadline in milliseconds, and the checkers to show the history to. */
+    /** Creates an analysis from each class's deadline in milliseconds and the checkers to run. */
     public Analysis(Map<String, Double> deadlines, List<Checker> checkers) {
         this.deadlines = Map.copyOf(deadlines);
         this.checkers = List.copyOf(checkers);
@@ -96,7 +96,7 @@
         if (event instanceof Event.Loaded loaded && loaded.begins()) {
             loadBegan = loaded.at();
         } else if (Double.isNaN(loadBegan)) {
-            // The warm-up, and what was before it, has no figures.
+            // The warm-up and everything before it do not count.
             return;
         } else if (event instanceof Event.Sent sent) {
             Slot slot = slot(sent.at());
@@ -127,7 +127,7 @@
         if (answered.end() == End.BROKEN || answered.end() == End.SILENT) {
             lost++;
         }
-        OneReturn back = returning.get(answered.balancer());
+        ReturnRecord back = returning.get(answered.balancer());
         if (back != null && answered.end() == End.SERVED && Double.isNaN(back.firstServed)) {
             back.firstServed = answered.at();
         }
@@ -138,12 +138,12 @@
             return;
         }
         Slot slot = slot(ended.at() - ended.latency());
-        OfClass ofClass = classes.computeIfAbsent(ended.serviceClass(), absent -> new OfClass());
+        ClassCounts ofClass = classes.computeIfAbsent(ended.serviceClass(), absent -> new ClassCounts());
         requests++;
         slot.requests++;
         ofClass.requests++;
         if (ended.end() == End.SERVED && ended.latency() <= deadlines.get(ended.serviceClass())) {
-            long micros = Math.min((long) (ended.latency() * US_PER_MS), HIGHEST_US);
+            long micros = Math.min((long) (ended.latency() * US_PER_MS), MAX_LATENCY_US);
             latency.recordValue(micros);
             slot.latency.recordValue(micros);
             slot.served++;
@@ -157,15 +157,15 @@
 
     private void arrived(Event.Arrived arrived) {
         attempts++;
-        OneReturn back = returning.get(arrived.balancer());
-        if (back != null && arrived.failing() && arrived.at() < back.ready + MET_AGAIN_MS) {
+        ReturnRecord back = returning.get(arrived.balancer());
+        if (back != null && arrived.failing() && arrived.at() < back.ready + RETURN_WINDOW_MS) {
             back.metAgain++;
         }
     }
 
     private void faulted(Event.Faulted fault) {
         if (fault.begins()) {
-            faults.put(fault.fault(), new OneFault(fault.kind(), fault.at()));
+            faults.put(fault.fault(), new FaultPeriod(fault.kind(), fault.at()));
         } else {
             faults.get(fault.fault()).end = fault.at();
         }
@@ -173,7 +173,7 @@
 
     private void lived(Event.Lived lived) {
         if (lived.life() == Life.STARTED) {
-            OneReturn back = new OneReturn(lived.process(), lived.at());
+            ReturnRecord back = new ReturnRecord(lived.process(), lived.at());
             returns.add(back);
             returning.put(lived.process(), back);
             Summary.Usage used = usage.get(lived.process());
@@ -184,14 +184,14 @@
     }
 
     /**
-     * The summary.
+     * Returns the summary.
      *
-     * @param lateMs how late the load generator was, as the 99th percentile
-     * @param voids why the run shows nothing; empty if it does
-     * @param balancers how many there are
+     * @param lateMs the 99th percentile of the load generator's lateness
+     * @param voids the reasons why the run is void; empty if it is valid
+     * @param balancers the number of balancers
      */
     public Summary finish(String experiment, double lateMs, List<String> voids, Bounds must, int balancers) {
-        double before = before();
+        double before = servedBeforeFaults();
         List<Summary.Recovery> recoveries = new ArrayList<>();
         faults.forEach((number, fault) -> recoveries.add(new Summary.Recovery(number, fault.title,
                 fault.begin - loadBegan, fault.end - loadBegan, recovery(fault, before))));
@@ -203,30 +203,31 @@
                 share(requests - served - refused, requests), share(lost, requests), share(attempts, served),
                 percentile(latency, 50), percentile(latency, 90), percentile(latency, 99),
                 percentile(latency, 100), lateMs, before, byClass, seconds(), recoveries,
-                returns.stream().map(back -> given(back, balancers)).toList(), usage, findings);
-        return judged(figures, voids, must);
+                returns.stream().map(back -> summarizeReturn(back, balancers)).toList(), usage, findings);
+        return withVerdict(figures, voids, must);
     }
 
     /**
-     * What must hold besides the rules, each with a bound that asks nothing if it was not given.
+     * The bounds that a run must keep besides the rules. A bound that was not given is always kept.
      *
-     * @param served the least share of requests that are served in their time
-     * @param p99Ms the 99th percentile of their latency
-     * @param recoveryMs how long after a fault's end the share served may take to be back
-     * @param attempts how many attempts there may be for each request that is served
+     * @param served the minimum share of requests that are served within their deadline
+     * @param p99Ms the maximum 99th percentile of their latency
+     * @param recoveryMs the maximum time from a fault's end until the share served has recovered
+     * @param attempts the maximum number of attempts per served request
      */
     public record Bounds(double served, double p99Ms, double recoveryMs, double attempts) { }
 
-    private static Summary judged(Summary of, List<String> voids, Bounds must) {
+    private static Summary withVerdict(Summary of, List<String> voids, Bounds must) {
         List<String> broken = new ArrayList<>();
         of.rules().stream().filter(rule -> !rule.holds()).forEach(rule -> broken.add("the rule " + rule.rule()
                 + " is broken, " + rule.count() + " times; first " + rule.shown().get(0)));
-        below(broken, "served", must.served(), of.served());
-        below(broken, "p99 in ms", of.p99Ms(), must.p99Ms());
-        below(broken, "attempts for each served request", of.attempts(), must.attempts());
+        requireAtMost(broken, "served", must.served(), of.served());
+        requireAtMost(broken, "p99 in ms", of.p99Ms(), must.p99Ms());
+        requireAtMost(broken, "attempts for each served request", of.attempts(), must.attempts());
         for (Summary.Recovery fault : of.faults()) {
             if (!Double.isNaN(fault.endMs())) {
-                below(broken, "recovery in ms after " + fault.title(), fault.recoveryMs(), must.recoveryMs());
+                requireAtMost(broken, "recovery in ms after " + fault.title(), fault.recoveryMs(),
+                        must.recoveryMs());
             }
         }
         Summary.Verdict verdict = !voids.isEmpty() ? Summary.Verdict.VOID
@@ -239,14 +240,14 @@
                 of.processes(), of.rules());
     }
 
-    /** Notes that a figure is not at most another; a figure that is none is not. */
-    private static void below(List<String> broken, String what, double smaller, double larger) {
+    /** Records a violation unless the smaller value is at most the larger; NaN is a violation. */
+    private static void requireAtMost(List<String> broken, String what, double smaller, double larger) {
         if (larger < Double.POSITIVE_INFINITY && !(smaller <= larger)) {
             broken.add(String.format(Locale.ROOT, "%s: %.4g is over %.4g", what, smaller, larger));
         }
     }
 
-    private double before() {
+    private double servedBeforeFaults() {
         double first = faults.values().stream().mapToDouble(fault -> fault.begin - loadBegan).min()
                 .orElse(Double.POSITIVE_INFINITY);
         long all = 0;
@@ -260,16 +261,16 @@
         return share(well, all);
     }
 
-    private double recovery(OneFault fault, double before) {
+    private double recovery(FaultPeriod fault, double before) {
         double end = fault.end - loadBegan;
         int well = 0;
         double since = Double.NaN;
         for (Map.Entry<Integer, Slot> slot : slots.tailMap((int) Math.ceil(end / SLOT_MS)).entrySet()) {
             Slot counts = slot.getValue();
-            if (counts.requests > 0 && share(counts.served, counts.requests) < before - NEAR) {
+            if (counts.requests > 0 && share(counts.served, counts.requests) < before - RECOVERY_TOLERANCE) {
                 well = 0;
                 since = Double.NaN;
-            } else if (well < SLOTS_WELL) {
+            } else if (well < MIN_RECOVERED_SLOTS) {
                 since = well == 0 ? Math.max(0, slot.getKey() * SLOT_MS - end) : since;
                 well++;
             } else {
@@ -279,7 +280,7 @@
         return since;
     }
 
-    private Summary.Return given(OneReturn back, int balancers) {
+    private Summary.Return summarizeReturn(ReturnRecord back, int balancers) {
         double full = Double.NaN;
         int from = (int) Math.floor((back.start - loadBegan) / SLOT_MS);
         for (int i = from; i < slots.lastKey() && Double.isNaN(full); i++) {
@@ -304,7 +305,7 @@
             return seconds;
         }
         for (int second = 0; second <= slots.lastKey() / perSecond; second++) {
-            Histogram merged = new Histogram(HIGHEST_US, 2);
+            Histogram merged = new Histogram(MAX_LATENCY_US, 2);
             long all = 0;
             long well = 0;
             long no = 0;
@@ -314,7 +315,7 @@
                 well += slot.served;
                 no += slot.refused;
             }
-            // Tries of requests that were due before the end may still be sent after it.
+            // Retries may still be sent after the last request was due.
             if (all > 0) {
                 seconds.add(new Summary.Second(second, all, well, no, percentile(merged, 50),
                         percentile(merged, 99)));
--- a/src/main/java/cranedeal/lab/report/Comparison.java
+++ b/src/main/java/cranedeal/lab/report/Comparison.java
@@ -15,13 +15,13 @@
 import org.apache.commons.statistics.inference.WilcoxonSignedRankTest;
 
 /**
- * Two sets of runs of one experiment side by side, paired in their order. A difference is told apart from
- * noise by Wilcoxon's signed-rank test over the pairs, which needs six pairs to say anything.
+ * Compares two sets of runs of one experiment, paired in their order. Wilcoxon's signed-rank test over the
+ * pairs decides if a difference is significant; it needs at least six pairs that differ.
  */
 public final class Comparison {
 
-    private static final int FEWEST_PAIRS = 6;
-    private static final double SURE = 0.05;
+    private static final int MIN_PAIRS = 6;
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
     private static final JsonMapper JSON = new JsonMapper();
     private static final Map<String, ToDoubleFunction<Summary>> FIGURES = figures();
 
@@ -51,7 +51,7 @@
         return figures;
     }
 
-    /** Reads the runs below a folder, in their order; throws {@link IOException} if there are none. */
+    /** Reads the summaries of the runs below a folder, by run number; throws {@link IOException} if none. */
     public static List<Summary> read(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException(folder + ": no such folder");
@@ -61,7 +61,7 @@
             files = all.sorted((one, other) -> {
                 String first = one.getParent().getFileName().toString();
                 String second = other.getParent().getFileName().toString();
-                // By number: 2 before 10.
+                // Numeric order: 2 before 10.
                 return first.length() == second.length() ? first.compareTo(second)
                         : Integer.compare(first.length(), second.length());
             }).toList();
@@ -76,7 +76,7 @@
         return runs;
     }
 
-    /** The table; throws {@link IllegalArgumentException} for what can't be paired. */
+    /** Formats the comparison; throws {@link IllegalArgumentException} if the runs cannot be paired. */
     public static String text(List<Summary> first, List<Summary> second) {
         if (first.size() != second.size()) {
             throw new IllegalArgumentException("there are " + first.size() + " runs and " + second.size()
@@ -89,7 +89,7 @@
                         + " are two experiments");
             }
             if (run.verdict() == Summary.Verdict.VOID) {
-                throw new IllegalArgumentException("a run of " + name + " shows nothing: "
+                throw new IllegalArgumentException("a run of " + name + " is void: "
                         + run.complaints());
             }
         });
@@ -107,10 +107,10 @@
             differences[i] = second[i] - first[i];
         }
         return String.format(Locale.ROOT, "%-24s %12.4g %12.4g %12.4g  %s%n", figure, median(first),
-                median(second), median(differences), judgement(differences));
+                median(second), median(differences), significance(differences));
     }
 
-    private static String judgement(double[] differences) {
+    private static String significance(double[] differences) {
         double[] nonZero = Arrays.stream(differences).filter(value -> value != 0).toArray();
         if (Arrays.stream(differences).anyMatch(Double::isNaN)) {
             return "not known in every run";
@@ -118,11 +118,12 @@
         if (nonZero.length == 0) {
             return "the same";
         }
-        if (nonZero.length < FEWEST_PAIRS) {
+        if (nonZero.length < MIN_PAIRS) {
             return "too few pairs that differ to tell from noise";
         }
         double p = WilcoxonSignedRankTest.withDefaults().test(nonZero).getPValue();
-        return String.format(Locale.ROOT, "%s (p = %.3f)", p < SURE ? "differs" : "within the noise", p);
+        return String.format(Locale.ROOT, "%s (p = %.3f)", p < SIGNIFICANCE_LEVEL
+                ? "differs" : "within the noise", p);
     }
 
     private static double median(double[] values) {
--- a/src/main/java/cranedeal/lab/report/Page.java
+++ b/src/main/java/cranedeal/lab/report/HtmlReport.java
@@ -20,20 +20,20 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One HTML page for one run: the figures and the plots over time, with the faults drawn in. It needs nothing
- * beside it. Shown the history for what only that has: lives, memory and CPU.
+ * Writes the self-contained HTML report of one run: its results, and plots over time with the faults marked.
+ * It reads the history for what the summary lacks: process states, memory and CPU over time.
  */
-public final class Page implements Consumer<Event> {
+public final class HtmlReport implements Consumer<Event> {
 
     private static final int WIDTH = 1_000;
     private static final int HEIGHT = 300;
-    private static final int HEIGHT_FOR_EACH = 14;
-    private static final int MOST_LEGENDS = 12;
+    private static final int HEIGHT_PER_PROCESS = 14;
+    private static final int MAX_LEGEND_SERIES = 12;
     private static final double MS_PER_S = 1_000;
     private static final double KB_PER_MB = 1_024;
     private static final double PERCENT = 100;
 
-    /** Filled in with the experiment, and its verdict as a style and as a word. */
+    /** Arguments: the experiment's name, the verdict as a CSS class, and the verdict as text. */
     private static final String HEAD = """
             <!DOCTYPE html>
             <html lang="en"><meta charset="utf-8">
@@ -48,7 +48,7 @@
             <h1>%1$s: <span class="%2$s">%3$s</span></h1>
             """;
 
-    /** Points of one line. */
+    /** The points of one plotted line. */
     private record Line(List<Double> x, List<Double> y) {
 
         Line() {
@@ -93,7 +93,7 @@
         return lines.computeIfAbsent(name, absent -> new Line());
     }
 
-    /** Writes the page. */
+    /** Writes the report. */
     public void write(Summary summary, Path file) throws IOException {
         StringBuilder page = new StringBuilder(HEAD.formatted(escape(summary.experiment()),
                 summary.verdict(), summary.verdict().name().toLowerCase(Locale.ROOT)));
@@ -121,14 +121,14 @@
         cells(page, of.requests(), of.served(), of.refused(), of.failed(), of.lost(), of.attempts(),
                 of.p50Ms(), of.p99Ms(), of.maxMs(), of.lateMs());
         page.append("</table>\n<h2>Faults</h2>\n");
-        header(page, "fault", "from s", "to s", "well again after ms");
+        header(page, "fault", "from s", "to s", "recovered after ms");
         for (Summary.Recovery fault : of.faults()) {
             page.append("<tr><td>").append(escape(fault.title()));
             cells(page, fault.beginMs() / MS_PER_S, fault.endMs() / MS_PER_S, fault.recoveryMs());
         }
         page.append("</table>\n<h2>Returns</h2>\n");
         header(page, "process", "started s", "ready ms", "first served ms", "full share ms",
-                "500s met in 10 s");
+                "500s received in 10 s");
         for (Summary.Return back : of.returns()) {
             page.append("<tr><td>").append(escape(back.process()));
             cells(page, back.startMs() / MS_PER_S, back.readyMs(), back.firstServedMs(), back.fullShareMs(),
@@ -179,10 +179,10 @@
         return chart;
     }
 
-    /** A line for each process, high while it serves. */
+    /** Plots a line for each process that is high while the process serves. */
     private XYChart lives(Summary of) {
         XYChart chart = chart("Processes: each line is high while its process serves", "",
-                HEIGHT + HEIGHT_FOR_EACH * lives.size());
+                HEIGHT + HEIGHT_PER_PROCESS * lives.size());
         double end = of.seconds().size();
         int row = 0;
         for (Map.Entry<String, Line> life : lives.entrySet()) {
@@ -227,7 +227,7 @@
         if (chart.getSeriesMap().isEmpty()) {
             return;
         }
-        chart.getStyler().setLegendVisible(chart.getSeriesMap().size() <= MOST_LEGENDS);
+        chart.getStyler().setLegendVisible(chart.getSeriesMap().size() <= MAX_LEGEND_SERIES);
         for (Summary.Recovery fault : of.faults()) {
             chart.addAnnotation(new AnnotationLine(fault.beginMs() / MS_PER_S, true, false));
             if (!Double.isNaN(fault.endMs()) && fault.endMs() > fault.beginMs()) {
--- a/src/main/java/cranedeal/lab/report/Summary.java
+++ b/src/main/java/cranedeal/lab/report/Summary.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * The figures of one run; the warm-up does not count. Shares are of all requests; latencies are those of
+ * The results of one run, without its warm-up. Shares are of all requests; latencies are those of
  * served requests, in milliseconds from when they were due.
  *
- * @param served the share that was served within its time
- * @param attempts how many attempts reached upstreams for each request that was served
- * @param lateMs the 99th percentile of how late the load generator sent what was due
+ * @param served the share that was served within its deadline
+ * @param attempts the number of attempts that reached upstreams per served request
+ * @param lateMs the 99th percentile of how late the load generator sent requests
  * @param before the share served before the first fault
- * @param complaints why the run has no verdict, or what did not hold; empty if all is well
+ * @param complaints the reasons why the run is void, or the violations; empty if there are none
  */
 public record Summary(String experiment, Verdict verdict, List<String> complaints, long requests,
         double served, double refused, double failed, double lost, double attempts, double p50Ms,
@@ -21,42 +21,44 @@
         Map<String, Double> servedByClass, List<Second> seconds, List<Recovery> faults, List<Return> returns,
         Map<String, Usage> processes, List<Finding> rules) {
 
-    /** What a run shows. */
+    /** The verdict on a run. */
     public enum Verdict {
-        /** All that must hold does. */
+        /** All rules and bounds were kept. */
         HELD,
-        /** Something that must hold does not. */
+        /** A rule or a bound was violated. */
         BROKEN,
-        /** The run shows nothing, as the lab itself was at fault. */
+        /** The run is void because the lab itself failed or was overloaded. */
         VOID
     }
 
-    /** The requests that were due in one second of the load; latencies NaN where none was served. */
+    /** The requests that were due in one second of the load; latencies are NaN if none was served. */
     public record Second(int second, long requests, long served, long refused, double p50Ms, double p99Ms) { }
 
     /**
      * A fault, in milliseconds since the load began.
      *
-     * @param recoveryMs from its end until the share served was back to that of before and stayed there for
-     *     1.5 s, or until the load ended; NaN if it never was
+     * @param recoveryMs the time from its end until the share served returned to its value before the faults
+     *     and stayed there for 1.5 s, or until the load ended; NaN if it never did
      */
     public record Recovery(int fault, String title, double beginMs, double endMs, double recoveryMs) { }
 
     /**
-     * A balancer's return, from the start of its process, in milliseconds.
+     * A balancer's return to service. Times count from the start of its process, in milliseconds.
      *
-     * @param readyMs until it was ready
-     * @param firstServedMs until it had served a request; NaN if it never did
-     * @param fullShareMs until it had nine tenths of its even share of the requests for a second
-     * @param metAgain how many of its attempts in the first 10 s were answered with 500
+     * @param startMs when its process started, since the load began
+     * @param readyMs the time until it was ready
+     * @param firstServedMs the time until it had served a request; NaN if it never did
+     * @param fullShareMs the time until it had received nine tenths of an even share of the requests for a
+     *     second
+     * @param metAgain the number of its attempts that were answered with 500, until 10 s after it was ready
      */
     public record Return(String process, double startMs, double readyMs, double firstServedMs,
             double fullShareMs, long metAgain) { }
 
-    /** What a process has used over the run: CPU in milliseconds, and its largest resident memory. */
+    /** The CPU time in milliseconds that a process used over the run, and its peak resident memory. */
     public record Usage(double cpuMs, long mostRssKb) { }
 
-    /** With further things that did not hold. */
+    /** Returns a copy with further violations. */
     public Summary with(List<String> broken) {
         List<String> all = new ArrayList<>(complaints);
         all.addAll(broken);
--- a/src/main/java/cranedeal/lab/report/package-info.java
+++ b/src/main/java/cranedeal/lab/report/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is made of a history: figures, a page with plots, and the comparison of runs. Reads events and writes
- * files; plays nothing.
+ * Evaluates recorded histories: results, an HTML report with plots, and the comparison of runs. It reads
+ * events and writes files, but runs no experiment.
  */
 package cranedeal.lab.report;
--- a/src/test/java/cranedeal/lab/ExperimentTest.java
+++ b/src/test/java/cranedeal/lab/ExperimentTest.java
@@ -68,8 +68,8 @@
         Experiment read = read(GOOD);
         assertEquals(List.of("u0", "u1", "u2", "u3"), read.upstreamNames());
         assertEquals(2_000, read.faults().get(0).forMs());
-        assertEquals(2, World.links(read, "n*", "u3").size());
-        assertTrue(World.links(read, "u3", "n1").get(0).reversed());
+        assertEquals(2, Testbed.links(read, "n*", "u3").size());
+        assertTrue(Testbed.links(read, "u3", "n1").get(0).reversed());
         assertEquals(2, read.load().tries());
     }
 
@@ -97,7 +97,7 @@
                 Matcher.quoteReplacement(instead));
         assertNotEquals(GOOD, changed);
         ExperimentException told = assertThrows(ExperimentException.class, () -> read(changed));
-        String kinds = String.join(", ", Stream.of(Fault.Kind.values()).map(Table::word).toList());
+        String kinds = String.join(", ", Stream.of(Fault.Kind.values()).map(TomlTable::word).toList());
         assertEquals(folder.resolve("e.toml") + ":" + said.replace("KINDS", kinds), told.getMessage());
     }
 
@@ -118,17 +118,18 @@
         Set<Fault.Kind> wanted = new HashSet<>(List.of(Fault.Kind.values()));
         wanted.remove(Fault.Kind.UPGRADE);
         wanted.remove(Fault.Kind.PART);
-        assertEquals(wanted, drawn(Table.read(folder.resolve("e.toml"))),
+        assertEquals(wanted, drawn(TomlTable.read(folder.resolve("e.toml"))),
                 "without doors nothing can be upgraded, and one region can't part");
     }
 
     @Test
     void aFleetWithDoorsAndRegionsDrawsAllKinds() throws Exception {
-        assertEquals(Set.of(Fault.Kind.values()), drawn(Table.read(Path.of("lab/experiments/size.toml"))));
+        assertEquals(Set.of(Fault.Kind.values()),
+                drawn(TomlTable.read(Path.of("lab/experiments/size.toml"))));
     }
 
     /** The kinds that many seeds draw. */
-    private Set<Fault.Kind> drawn(Table base) throws Exception {
+    private Set<Fault.Kind> drawn(TomlTable base) throws Exception {
         Experiment experiment = ExperimentReader.read(base);
         Set<Fault.Kind> kinds = new HashSet<>();
         for (long seed = 0; seed < 300; seed++) {
--- a/src/test/java/cranedeal/lab/MembersTest.java
+++ b/src/test/java/cranedeal/lab/MembersTest.java
@@ -40,7 +40,7 @@
     @TempDir
     Path folder;
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private World world;
+    private Testbed world;
 
     @BeforeEach
     void start() throws Exception {
@@ -48,7 +48,7 @@
         Files.writeString(file, Files.readString(Path.of("lab/experiments/members.toml"))
                 .replaceAll("(?s)\\[\\[fault]].*\\[must]", "[must]")
                 .replace("balancers = 30", "balancers = " + COUNT));
-        world = new World(ExperimentReader.read(file), new LabCommand.ProgramUnderTest().command(),
+        world = new Testbed(ExperimentReader.read(file), new LabCommand.ProgramUnderTest().command(),
                 folder.resolve("out"), new LabClock(), event -> { });
         world.start();
     }
@@ -107,7 +107,7 @@
     }
 
     private void cut(String from, String to, Impairment there, Impairment back) throws Exception {
-        world.impair(World.links(experiment(), from, to), there, back);
+        world.impair(Testbed.links(experiment(), from, to), there, back);
     }
 
     private Experiment experiment() throws Exception {
--- a/src/test/java/cranedeal/lab/report/AnalysisTest.java
+++ b/src/test/java/cranedeal/lab/report/AnalysisTest.java
@@ -129,7 +129,7 @@
 
     @Test
     void thePageHasTheFiguresAndThePlots(@TempDir Path folder) throws Exception {
-        Page page = new Page();
+        HtmlReport page = new HtmlReport();
         history().forEach(page);
         Path file = folder.resolve("report.html");
         page.write(summary(history(), NONE, List.of("a <b> & c")), file);
