--- a/src/main/java/cranedeal/lab/BalancerConfig.java
+++ b/src/main/java/cranedeal/lab/BalancerConfig.java
@@ -36,11 +36,11 @@
         if (experiment.members()) {
             // The seeds are named in every member's file, their own included.
             ObjectNode fleet = root.putObject("fleet").put("name", experiment.name())
-                    .put("listen", text(member(listen, AddressBlock.MEMBER_PORT)))
-                    .put("advertise", text(member(listen, AddressBlock.MEMBER_LINK_PORT)))
+                    .put("listen", text(memberAddress(listen, AddressBlock.MEMBER_PORT)))
+                    .put("advertise", text(memberAddress(listen, AddressBlock.MEMBER_LINK_PORT)))
                     .put("probe_period_ms", experiment.scale().hollow() > 0 ? experiment.scale().periodMs()
                             : MEMBER_PERIOD_MS);
-            seeds.forEach(one -> fleet.withArray("seeds").add(text(member(one,
+            seeds.forEach(one -> fleet.withArray("seeds").add(text(memberAddress(one,
                     AddressBlock.MEMBER_LINK_PORT))));
         }
         ObjectNode settings = settings(experiment, number, name);
@@ -49,7 +49,7 @@
         return root;
     }
 
-    private static InetSocketAddress member(InetSocketAddress of, int port) {
+    private static InetSocketAddress memberAddress(InetSocketAddress of, int port) {
         return new InetSocketAddress(of.getAddress(), port);
     }
 
--- a/src/main/java/cranedeal/lab/BalancerProcess.java
+++ b/src/main/java/cranedeal/lab/BalancerProcess.java
@@ -54,7 +54,7 @@
 
     BalancerProcess(String name, int party, AddressBlock addresses, ObjectNode config, boolean door,
             Path folder,
-            List<String> program, ProcessSupervisor warden, HttpClient http, StreamLink fromClients,
+            List<String> program, ProcessSupervisor supervisor, HttpClient http, StreamLink fromClients,
             Front front,
             LabClock clock, Consumer<Event> history) {
         this.name = name;
@@ -64,7 +64,7 @@
         this.adminEnabled = door;
         this.folder = folder;
         this.program = program;
-        this.supervisor = warden;
+        this.supervisor = supervisor;
         this.http = http;
         this.fromClients = fromClients;
         this.front = front;
@@ -118,8 +118,8 @@
     void upgrade() throws IOException, InterruptedException {
         ChildProcess old = current;
         ChildProcess fresh = launch();
-        InetSocketAddress its = adminAddressOf(starts);
-        awaitReady(fresh, its, "/ops/readiness");
+        InetSocketAddress readyAddress = adminAddressOf(starts);
+        awaitReady(fresh, readyAddress, "/ops/readiness");
         current = fresh;
         recordLife(old, Life.STOPPING, 0);
         old.terminate();
--- a/src/main/java/cranedeal/lab/Campaign.java
+++ b/src/main/java/cranedeal/lab/Campaign.java
@@ -37,14 +37,14 @@
     record Outcome(long seed, Summary summary, Path shrunk) { }
 
     /** Runs the seeds in turn until all have run or the time is over; reports each outcome. */
-    List<Outcome> run(long first, long last, long budgetMs, Consumer<Outcome> told)
+    List<Outcome> run(long first, long last, long budgetMs, Consumer<Outcome> listener)
             throws IOException, InterruptedException, ExperimentException {
         List<Outcome> outcomes = new ArrayList<>();
         long end = System.nanoTime() / 1_000_000 + budgetMs;
         for (long seed = first; seed <= last && System.nanoTime() / 1_000_000 < end; seed++) {
             Outcome outcome = run(seed);
             outcomes.add(outcome);
-            told.accept(outcome);
+            listener.accept(outcome);
         }
         return outcomes;
     }
@@ -52,10 +52,10 @@
     private Outcome run(long seed) throws IOException, InterruptedException, ExperimentException {
         Experiment bare = ExperimentReader.read(base);
         List<ObjectNode> drawn = FaultDraw.draw(bare, seed);
-        Path own = folder.resolve("seed-" + seed);
-        Summary summary = run(drawn, own);
+        Path seedFolder = folder.resolve("seed-" + seed);
+        Summary summary = run(drawn, seedFolder);
         if (summary.verdict() != Summary.Verdict.BROKEN) {
-            Folders.delete(own);
+            Folders.delete(seedFolder);
             return new Outcome(seed, summary, null);
         }
         Path scratch = folder.resolve("shrinking");
@@ -64,7 +64,7 @@
             Folders.delete(scratch);
             return broken;
         });
-        Path file = own.resolve("shrunk.toml");
+        Path file = seedFolder.resolve("shrunk.toml");
         base.with("fault", small).write(file);
         return new Outcome(seed, summary, file);
     }
--- a/src/main/java/cranedeal/lab/ControlAnalysis.java
+++ b/src/main/java/cranedeal/lab/ControlAnalysis.java
@@ -158,17 +158,19 @@
                 : allReal.mostRunning.values().stream().mapToLong(Long::longValue).max().orElse(0);
         List<Settling> settlings = faults.stream().map(fault -> new Settling(fault.kind(), fault.begins(),
                 fault.at() - loadBegan, settledMs(fault.at()))).toList();
-        double lookedAt = views.isEmpty() ? 0 : views.get(0).at();
-        Cost its = calmHollow.cost(hollow);
-        Cost theirs = calmReal.cost(real);
-        List<Double> alike = List.of(relativeDifference(its.datagramsPerS, theirs.datagramsPerS),
-                relativeDifference(its.bytesPerS, theirs.bytesPerS),
-                relativeDifference(its.coreShare, theirs.coreShare));
+        double firstSampleAt = views.isEmpty() ? 0 : views.get(0).at();
+        Cost calmHollowCost = calmHollow.cost(hollow);
+        Cost calmRealCost = calmReal.cost(real);
+        List<Double> alike = List.of(
+                relativeDifference(calmHollowCost.datagramsPerS, calmRealCost.datagramsPerS),
+                relativeDifference(calmHollowCost.bytesPerS, calmRealCost.bytesPerS),
+                relativeDifference(calmHollowCost.coreShare, calmRealCost.coreShare));
         Machine machine = machine();
         Cost all = allHollow.cost(hollow);
         Cost allOfReal = allReal.cost(real);
-        return new Control(real, hollow, settledAfter(lookedAt) - lookedAt,
-                joiningReal.cost(real), joiningHollow.cost(hollow), theirs, its, allOfReal, all, alike,
+        return new Control(real, hollow, settledAfter(firstSampleAt) - firstSampleAt,
+                joiningReal.cost(real), joiningHollow.cost(hollow), calmRealCost, calmHollowCost,
+                allOfReal, all, alike,
                 settlings, machine, voids(machine), broken(all, allOfReal, alike, settlings));
     }
 
@@ -178,17 +180,18 @@
 
     /** Time from a fault event until all views were correct; 0 if it did not change any view. */
     private double settledMs(double at) {
-        double trace = views.stream().filter(view -> view.at() >= at && view.at() <= at + EFFECT_WITHIN_MS
-                && !view.settled()).mapToDouble(Event.Viewed::at).min().orElse(Double.NaN);
-        return Double.isNaN(trace) ? 0 : settledAfter(trace) - at;
+        double firstEffect = views.stream().filter(view -> view.at() >= at
+                && view.at() <= at + EFFECT_WITHIN_MS && !view.settled())
+                .mapToDouble(Event.Viewed::at).min().orElse(Double.NaN);
+        return Double.isNaN(firstEffect) ? 0 : settledAfter(firstEffect) - at;
     }
 
     /** Time of the first sample at or after a time in which all views were correct; NaN if there is none. */
     private double settledAfter(double time) {
         for (int i = 0; i + scale.regions() <= views.size(); i += scale.regions()) {
-            List<Event.Viewed> look = views.subList(i, i + scale.regions());
-            if (look.get(0).at() >= time && look.stream().allMatch(Event.Viewed::settled)) {
-                return look.get(0).at();
+            List<Event.Viewed> sample = views.subList(i, i + scale.regions());
+            if (sample.get(0).at() >= time && sample.stream().allMatch(Event.Viewed::settled)) {
+                return sample.get(0).at();
             }
         }
         return Double.NaN;
--- a/src/main/java/cranedeal/lab/FaultDraw.java
+++ b/src/main/java/cranedeal/lab/FaultDraw.java
@@ -10,12 +10,12 @@
 /** Draws faults for an experiment; the same seed draws the same ones on any machine. */
 final class FaultDraw {
 
-    private static final int MOST = 5;
+    private static final int MAX_FAULTS = 5;
     /** Faults begin between these fractions of the load. */
-    private static final double FIRST = 0.1;
-    private static final double LAST = 0.6;
-    private static final double LONGEST = 0.25;
-    private static final double SHORTEST_S = 0.2;
+    private static final double EARLIEST_BEGIN = 0.1;
+    private static final double LATEST_BEGIN = 0.6;
+    private static final double MAX_DURATION_SHARE = 0.25;
+    private static final double MIN_DURATION_S = 0.2;
     private static final double MS_PER_S = 1_000;
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -26,14 +26,14 @@
     static List<ObjectNode> draw(Experiment of, long seed) {
         RandomGenerator random = new SplittableRandom(seed);
         List<ObjectNode> faults = new ArrayList<>();
-        int count = 1 + random.nextInt(MOST);
+        int count = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < count; i++) {
-            faults.add(one(of, random));
+            faults.add(drawFault(of, random));
         }
         return faults;
     }
 
-    private static ObjectNode one(Experiment of, RandomGenerator random) {
+    private static ObjectNode drawFault(Experiment of, RandomGenerator random) {
         List<Fault.Kind> kinds = new ArrayList<>(List.of(Fault.Kind.values()));
         if (!of.door()) {
             kinds.remove(Fault.Kind.UPGRADE);
@@ -42,17 +42,17 @@
         if (regions.size() < 2) {
             kinds.remove(Fault.Kind.PART);
         }
-        Fault.Kind kind = pick(kinds, random);
+        Fault.Kind kind = pickRandom(kinds, random);
         double duration = of.load().durationMs() / MS_PER_S;
         ObjectNode fault = JSON.createObjectNode().put("kind", TomlTable.word(kind))
-                .put("at_s", rounded(duration * random.nextDouble(FIRST, LAST)));
+                .put("at_s", rounded(duration * random.nextDouble(EARLIEST_BEGIN, LATEST_BEGIN)));
         if (kind.lasts()) {
-            fault.put("for_s", rounded(SHORTEST_S + duration * LONGEST * random.nextDouble()));
+            fault.put("for_s", rounded(MIN_DURATION_S + duration * MAX_DURATION_SHARE * random.nextDouble()));
         }
-        String balancer = pick(of.balancerNames(), random);
-        String upstream = pick(of.upstreamNames(), random);
+        String balancer = pickRandom(of.balancerNames(), random);
+        String upstream = pickRandom(of.upstreamNames(), random);
         if (kind.ofLinks()) {
-            ends(fault, balancer, upstream, random);
+            drawLinkEnds(fault, balancer, upstream, random);
         } else if (kind == Fault.Kind.PART) {
             int from = random.nextInt(regions.size());
             int further = 1 + random.nextInt(regions.size() - 1);
@@ -73,7 +73,8 @@
         return fault;
     }
 
-    private static void ends(ObjectNode fault, String balancer, String upstream, RandomGenerator random) {
+    private static void drawLinkEnds(ObjectNode fault, String balancer, String upstream,
+            RandomGenerator random) {
         switch (random.nextInt(4)) {
             case 0 -> fault.put("from", balancer).put("to", Experiment.DISCOVERY);
             case 1 -> fault.put("from", Experiment.CLIENTS).put("to", balancer);
@@ -82,7 +83,7 @@
         }
     }
 
-    private static <T> T pick(List<T> from, RandomGenerator random) {
+    private static <T> T pickRandom(List<T> from, RandomGenerator random) {
         return from.get(random.nextInt(from.size()));
     }
 
--- a/src/main/java/cranedeal/lab/FaultInjector.java
+++ b/src/main/java/cranedeal/lab/FaultInjector.java
@@ -83,16 +83,16 @@
                     touched.add(hit.link().toString())));
         }
         // Faults on the same process or link exclude one another; locks are taken in a fixed order.
-        List<Semaphore> held = new ArrayList<>();
+        List<Semaphore> heldLocks = new ArrayList<>();
         for (String name : new TreeSet<>(touched)) {
-            Semaphore one = locks.computeIfAbsent(name, absent -> new Semaphore(1));
-            one.acquire();
-            held.add(one);
+            Semaphore lock = locks.computeIfAbsent(name, absent -> new Semaphore(1));
+            lock.acquire();
+            heldLocks.add(lock);
         }
         try {
             inject(fault, hits, targets, touched);
         } finally {
-            held.forEach(Semaphore::release);
+            heldLocks.forEach(Semaphore::release);
         }
     }
 
@@ -151,9 +151,9 @@
             }
             from = clock.now();
         }
-        double left = from + when.atMs() - clock.now();
-        if (left > 0) {
-            TimeUnit.MICROSECONDS.sleep((long) (left * 1_000));
+        double remainingMs = from + when.atMs() - clock.now();
+        if (remainingMs > 0) {
+            TimeUnit.MICROSECONDS.sleep((long) (remainingMs * 1_000));
         }
     }
 
--- a/src/main/java/cranedeal/lab/HollowFleet.java
+++ b/src/main/java/cranedeal/lab/HollowFleet.java
@@ -28,17 +28,17 @@
      * @param controls the control address of each process, by its number
      */
     HollowFleet(Experiment experiment, List<HollowConfig.Balancer> all, List<String> seeds,
-            IntFunction<String> controls, Path folder, ProcessSupervisor warden, HttpClient http)
+            IntFunction<String> controls, Path folder, ProcessSupervisor supervisor, HttpClient http)
             throws IOException, InterruptedException {
         int processes = experiment.scale().processes();
         for (int i = 0; i < processes; i++) {
-            List<HollowConfig.Balancer> its = new ArrayList<>();
+            List<HollowConfig.Balancer> assigned = new ArrayList<>();
             for (int j = i; j < all.size(); j += processes) {
-                its.add(all.get(j));
+                assigned.add(all.get(j));
             }
             groups.add(HollowGroup.start("hollow-" + i, new HollowConfig(controls.apply(i),
-                    experiment.name(), experiment.scale().periodMs(), EVENT_LOOPS, seeds, its), folder,
-                    warden,
+                    experiment.name(), experiment.scale().periodMs(), EVENT_LOOPS, seeds, assigned), folder,
+                    supervisor,
                     http));
         }
     }
@@ -49,13 +49,13 @@
 
     /** Starts balancers batch by batch, without waiting for them to join. */
     void start(Collection<String> names) throws IOException, InterruptedException {
-        List<String> left = List.copyOf(names);
-        for (int from = 0; from < left.size(); from += BATCH_SIZE) {
+        List<String> pending = List.copyOf(names);
+        for (int from = 0; from < pending.size(); from += BATCH_SIZE) {
             if (from > 0) {
                 TimeUnit.MILLISECONDS.sleep(BATCH_INTERVAL_MS);
             }
             for (HollowGroup group : groups) {
-                group.startBalancers(left.subList(from, Math.min(left.size(), from + BATCH_SIZE)));
+                group.startBalancers(pending.subList(from, Math.min(pending.size(), from + BATCH_SIZE)));
             }
         }
     }
--- a/src/main/java/cranedeal/lab/LabCommand.java
+++ b/src/main/java/cranedeal/lab/LabCommand.java
@@ -152,17 +152,17 @@
         }
     }
 
-    private static void printOutcome(Campaign.Outcome outcome, PrintWriter to) {
+    private static void printOutcome(Campaign.Outcome outcome, PrintWriter out) {
         Summary summary = outcome.summary();
-        to.println("seed " + outcome.seed() + ": " + summary.verdict().name().toLowerCase(Locale.ROOT) + "; "
+        out.println("seed " + outcome.seed() + ": " + summary.verdict().name().toLowerCase(Locale.ROOT) + "; "
                 + String.join(", ", summary.faults().stream().map(Summary.Recovery::title).toList()));
         if (!summary.complaints().isEmpty()) {
-            to.println("  " + summary.complaints().get(0));
+            out.println("  " + summary.complaints().get(0));
         }
         if (outcome.shrunk() != null) {
-            to.println("  run it again with: lab run " + outcome.shrunk() + " --out DIR");
+            out.println("  run it again with: lab run " + outcome.shrunk() + " --out DIR");
         }
-        to.flush();
+        out.flush();
     }
 
     private static Experiment read(Path file) throws CommandException {
--- a/src/main/java/cranedeal/lab/Monitor.java
+++ b/src/main/java/cranedeal/lab/Monitor.java
@@ -125,10 +125,10 @@
         long[] least = new long[regions];
         long[] most = new long[regions];
         for (int region = 0; region < regions; region++) {
-            int its = region;
+            int viewedRegion = region;
             least[region] = Long.MAX_VALUE;
             List<String> names = experiment.hollowNames().stream()
-                    .filter(name -> experiment.region(name) == its).toList();
+                    .filter(name -> experiment.region(name) == viewedRegion).toList();
             for (HollowGroup group : testbed.hollow().groups()) {
                 HollowProcess.Views views = group.views(names);
                 if (views.running() > 0) {
--- a/src/main/java/cranedeal/lab/Shrinker.java
+++ b/src/main/java/cranedeal/lab/Shrinker.java
@@ -13,7 +13,7 @@
     }
 
     /** Predicate that is true for a list that still fails. */
-    interface Breaks<T, E extends Exception> {
+    interface FailureTest<T, E extends Exception> {
 
         boolean test(List<T> part) throws E;
     }
@@ -24,17 +24,18 @@
      * @param tries the maximum number of tests
      * @return a part that failed its test, or the whole list
      */
-    static <T, E extends Exception> List<T> shrink(List<T> whole, int tries, Breaks<T, E> breaks) throws E {
+    static <T, E extends Exception> List<T> shrink(List<T> whole, int tries, FailureTest<T, E> breaks)
+            throws E {
         List<T> smallest = whole;
         int pieces = Math.min(2, whole.size());
-        int left = tries;
-        while (smallest.size() > 1 && left > 0) {
+        int remainingTries = tries;
+        while (smallest.size() > 1 && remainingTries > 0) {
             boolean shrunk = false;
             int size = (smallest.size() + pieces - 1) / pieces;
-            for (int from = 0; from < smallest.size() && left > 0 && !shrunk; from += size) {
+            for (int from = 0; from < smallest.size() && remainingTries > 0 && !shrunk; from += size) {
                 List<T> rest = new ArrayList<>(smallest);
                 rest.subList(from, Math.min(from + size, rest.size())).clear();
-                left--;
+                remainingTries--;
                 if (breaks.test(rest)) {
                     smallest = rest;
                     shrunk = true;
--- a/src/main/java/cranedeal/lab/Testbed.java
+++ b/src/main/java/cranedeal/lab/Testbed.java
@@ -105,12 +105,12 @@
         this.history = history;
         random = new SplittableRandom(experiment.seed());
         members = new DatagramLinks(relays.next(), new SplittableRandom(experiment.seed() + 1));
-        boolean whole = false;
+        boolean complete = false;
         try {
             build(program, folder);
-            whole = true;
+            complete = true;
         } finally {
-            if (!whole) {
+            if (!complete) {
                 close();
             }
         }
@@ -285,19 +285,19 @@
     private BalancerProcess balancer(String name, List<String> program, Path folder)
             throws IOException, InterruptedException {
         int party = parties.get(name);
-        Path own = Files.createDirectories(folder.resolve(name)).toAbsolutePath();
+        Path balancerFolder = Files.createDirectories(folder.resolve(name)).toAbsolutePath();
         var config = BalancerConfig.of(experiment, experiment.balancerNames().indexOf(name),
                 addresses.listenAddress(party), link(name, Experiment.DISCOVERY).address(), random.nextLong(),
                 await(discovery.known(party)), experiment.balancerNames().stream().limit(MAX_SEEDS)
                         .map(seed -> addresses.listenAddress(parties.get(seed))).toList());
         if (experiment.members()) {
             // Kept over starts, which empty the disk folder, as the disk of a machine would be.
-            ((ObjectNode) config.get("fleet")).put("state_dir", own.resolve("members").toString());
+            ((ObjectNode) config.get("fleet")).put("state_dir", balancerFolder.resolve("members").toString());
         }
         if (experiment.state()) {
-            config.put("state_dir", own.resolve("state").toString());
+            config.put("state_dir", balancerFolder.resolve("state").toString());
         }
-        return new BalancerProcess(name, party, addresses, config, experiment.door(), own, program,
+        return new BalancerProcess(name, party, addresses, config, experiment.door(), balancerFolder, program,
                 supervisor,
                 http, link(Experiment.CLIENTS, name), front, clock, history);
     }
--- a/src/main/java/cranedeal/lab/TomlTable.java
+++ b/src/main/java/cranedeal/lab/TomlTable.java
@@ -83,12 +83,12 @@
     private int line(String key) {
         Pattern wanted = Pattern.compile("\\s*\"?" + Pattern.quote(key) + "\"?\\s*(=|\\.).*");
         boolean inside = header.isEmpty();
-        int left = precedingTables;
+        int remainingTables = precedingTables;
         int headerLine = 1;
         for (int i = 0; i < lines.size(); i++) {
             Matcher title = HEADER.matcher(lines.get(i));
             if (title.matches()) {
-                inside = title.group(2).equals(header) && left-- == 0;
+                inside = title.group(2).equals(header) && remainingTables-- == 0;
                 headerLine = inside ? i + 1 : headerLine;
             } else if (inside && wanted.matcher(lines.get(i)).matches()) {
                 return i + 1;
--- a/src/main/java/cranedeal/lab/report/Analysis.java
+++ b/src/main/java/cranedeal/lab/report/Analysis.java
@@ -284,13 +284,13 @@
         double full = Double.NaN;
         int from = (int) Math.floor((back.start - loadBegan) / SLOT_MS);
         for (int i = from; i < slots.lastKey() && Double.isNaN(full); i++) {
-            int its = 0;
+            int ownTries = 0;
             int all = 0;
             for (Slot slot : slots.subMap(i, i + 2).values()) {
-                its += slot.sent.getOrDefault(back.process, 0);
+                ownTries += slot.sent.getOrDefault(back.process, 0);
                 all += slot.tries;
             }
-            if (all > 0 && its >= FULL_SHARE * all / balancers) {
+            if (all > 0 && ownTries >= FULL_SHARE * all / balancers) {
                 full = Math.max(0, i * SLOT_MS + loadBegan - back.start);
             }
         }
--- a/src/test/java/cranedeal/lab/Appender.java
+++ b/src/test/java/cranedeal/lab/Appender.java
@@ -15,15 +15,15 @@
 import java.nio.file.Path;
 
 /**
- * A process that appends to a store from several threads until it is killed, and takes snapshots now and
- * then. Its state is the sum of all numbers that it appended; it says what it recovered and what it was told
- * is kept.
+ * A process that appends to a store from several threads until it is killed, and takes snapshots at
+ * intervals. Its state is the sum of all numbers that it appended. It prints the state that it recovered and
+ * the sequence numbers that the store acknowledged.
  */
 public final class Appender {
 
     private static final StoreLimits LIMITS = new StoreLimits(64 * 1024, 4_096, 32 * 1024);
     private static final int WRITERS = 4;
-    private static final int SNAPSHOT_EVERY = 2_000;
+    private static final int SNAPSHOT_INTERVAL = 2_000;
 
     private static final PrintStream OUT = new PrintStream(new FileOutputStream(FileDescriptor.out), false,
             StandardCharsets.US_ASCII);
@@ -34,7 +34,7 @@
     private Appender() {
     }
 
-    /** The argument is the folder. */
+    /** The argument is the store's folder. */
     public static void main(String[] args) throws Exception {
         Store store = Store.open(new FolderDisk(Path.of(args[0])), LIMITS, new ReplayHandler() {
 
@@ -51,21 +51,21 @@
                 sum += ByteBuffer.wrap(record.payload()).getLong();
             }
         });
-        say("recovered " + last + " " + sum);
+        print("recovered " + last + " " + sum);
         GroupCommit commit = new GroupCommit(store, 1_000, "store");
         for (int i = 0; i < WRITERS; i++) {
             new Thread(() -> {
                 while (true) {
-                    // Each record holds 1, so the sum tells how many there were.
+                    // Each record holds 1, so the sum is the number of records.
                     long kept = commit.append(1, ByteBuffer.allocate(8).putLong(1).array()).join();
-                    say("kept " + kept);
-                    if (kept % SNAPSHOT_EVERY == 0) {
+                    print("kept " + kept);
+                    if (kept % SNAPSHOT_INTERVAL == 0) {
                         commit.run(Appender::snapshot).join();
                     }
                 }
             }).start();
         }
-        say("ready");
+        print("ready");
     }
 
     private static Object snapshot(Store store) throws IOException {
@@ -77,8 +77,8 @@
         return null;
     }
 
-    /** One write, so that a kill leaves whole lines. */
-    private static synchronized void say(String line) {
+    /** Prints a line with a single write, so that a kill leaves only whole lines. */
+    private static synchronized void print(String line) {
         OUT.print(line + "\n");
         OUT.flush();
     }
--- a/src/test/java/cranedeal/lab/ChainSettingsTest.java
+++ b/src/test/java/cranedeal/lab/ChainSettingsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the depth study tells its balancers is what the lab writes for real ones. */
+/** Guards against differences between the settings of the depth study and those of the lab. */
 class ChainSettingsTest {
 
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 1);
@@ -27,7 +27,7 @@
     private Path folder;
 
     @Test
-    void theyAreThoseOfAnExperiment() throws Exception {
+    void chainSettingsEqualTheLabsSettings() throws Exception {
         Path file = folder.resolve("chain.toml");
         Files.writeString(file, """
                 name = "chain"
--- a/src/test/java/cranedeal/lab/ConfigProcessTest.java
+++ b/src/test/java/cranedeal/lab/ConfigProcessTest.java
@@ -34,8 +34,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The configuration of a fleet, with three coordinators and five balancers, each a process of the program,
- * and an operator's commands.
+ * Tests the configuration of a fleet through an operator's commands. Three coordinators and five balancers
+ * run as processes of the program; some are killed while changes are published.
  */
 class ConfigProcessTest {
 
@@ -47,14 +47,14 @@
     Path folder;
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final Map<String, ChildProcess> processes = new LinkedHashMap<>();
-    private ProcessSupervisor warden;
+    private ProcessSupervisor supervisor;
     private AddressBlock addresses;
-    private ObjectNode own;
-    private String said;
+    private ObjectNode balancerConfig;
+    private String output;
 
     @BeforeEach
     void start() throws Exception {
-        warden = new ProcessSupervisor();
+        supervisor = new ProcessSupervisor();
         addresses = AddressBlock.reserve();
         for (int i = 0; i < COORDINATORS; i++) {
             startCoordinator(i);
@@ -66,7 +66,7 @@
 
     @AfterEach
     void end() throws Exception {
-        warden.close();
+        supervisor.close();
         addresses.close();
     }
 
@@ -93,7 +93,7 @@
     private void launch(String name, Map<String, String> environment, String... arguments) throws Exception {
         List<String> command = new ArrayList<>(new LabCommand.ProgramUnderTest().command());
         command.addAll(List.of(arguments));
-        processes.put(name, warden.start(name, command, environment, folder.resolve(name + ".log")));
+        processes.put(name, supervisor.start(name, command, environment, folder.resolve(name + ".log")));
     }
 
     private void startCoordinator(int number) throws Exception {
@@ -114,21 +114,22 @@
         Experiment experiment = ExperimentReader.read(toml);
         ObjectNode known = JSON.createObjectNode().put("version", 1).put("full", true);
         known.putArray("servers");
-        // Nobody listens for discovery, so it serves by what it knows.
-        own = BalancerConfig.of(experiment, number, addresses.listenAddress(11 + number),
+        // Nothing listens at the discovery address, so the balancer uses its initial list.
+        balancerConfig = BalancerConfig.of(experiment, number, addresses.listenAddress(11 + number),
                 addresses.listenAddress(99), number + 1,
                 known, List.of());
-        ObjectNode fleet = own.putObject("fleet").put("name", "clinics").put("listen", balancer(number))
+        ObjectNode fleet = balancerConfig.putObject("fleet").put("name", "clinics").put("listen",
+                balancer(number))
                 .put("service", "front").put("probe_period_ms", 500)
                 .put("state_dir", folder.resolve("n" + number).toString());
         coordinators().forEach(fleet.putArray("seeds")::add);
         Path file = folder.resolve("n" + number + ".json");
-        Files.writeString(file, own.toString());
-        launch("n" + number, Map.of("PROXY_CONFIG", file.toString(), "PROXY_ADMIN_ADDR", door(number),
+        Files.writeString(file, balancerConfig.toString());
+        launch("n" + number, Map.of("PROXY_CONFIG", file.toString(), "PROXY_ADMIN_ADDR", adminAddress(number),
                 "TMPDIR", Files.createDirectories(folder.resolve("tmp" + number)).toString()), "serve");
     }
 
-    private String door(int number) {
+    private String adminAddress(int number) {
         return ip(11 + number) + ":" + AddressBlock.ADMIN_PORT;
     }
 
@@ -137,7 +138,7 @@
         processes.get(name).onExit().join();
     }
 
-    private int fleet(String... arguments) {
+    private int runCommand(String... arguments) {
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
@@ -145,20 +146,20 @@
             return Program.run(Map.of(), arguments);
         } finally {
             System.setOut(before);
-            said = out.toString(StandardCharsets.UTF_8);
+            output = out.toString(StandardCharsets.UTF_8);
         }
     }
 
     private JsonNode status(String at) throws IOException {
-        fleet("fleet", "config", "status", "--to", at, "--json");
-        return JSON.readTree(said.isEmpty() ? "{}" : said);
+        runCommand("fleet", "config", "status", "--to", at, "--json");
+        return JSON.readTree(output.isEmpty() ? "{}" : output);
     }
 
-    /** A document whose section gives a class of requests another name. */
+    /** A document that renames the first service class. */
     private Path document(String name) throws IOException {
         ObjectNode document = JSON.createObjectNode().put("form", 1);
         ObjectNode settings = document.putObject("services").putObject("front").putObject("settings");
-        ArrayNode classes = (ArrayNode) own.at("/settings/services").deepCopy();
+        ArrayNode classes = (ArrayNode) balancerConfig.at("/settings/services").deepCopy();
         ((ObjectNode) classes.get(0)).put("name", name);
         settings.set("services", classes);
         Path file = folder.resolve(name + ".json");
@@ -170,7 +171,7 @@
         List<String> arguments = new ArrayList<>(List.of("fleet", "config", "publish", file.toString(),
                 "--to", String.join(",", coordinators())));
         arguments.addAll(List.of(more));
-        return fleet(arguments.toArray(String[]::new));
+        return runCommand(arguments.toArray(String[]::new));
     }
 
     private void awaitInForce(String name, int... but) throws Exception {
@@ -188,11 +189,12 @@
 
     private boolean hasClass(int balancer, String name) throws InterruptedException {
         try {
-            return http.send(HttpRequest.newBuilder(URI.create("http://" + door(balancer) + "/ops/stats"))
+            return http.send(HttpRequest.newBuilder(
+                    URI.create("http://" + adminAddress(balancer) + "/ops/stats"))
                     .timeout(Duration.ofSeconds(20)).build(), HttpResponse.BodyHandlers.ofString()).body()
                     .contains("success." + name + "=");
         } catch (IOException e) {
-            // It does not run yet, or no longer.
+            // The balancer is not running.
             return false;
         }
     }
@@ -213,68 +215,69 @@
     }
 
     @Test
-    void changesRefusalsAndTheWayBackAreSeenByTheOperator() throws Exception {
+    void operatorSeesChangesRefusalsAndRollbacks() throws Exception {
         awaitAllSeen();
-        assertEquals(1, publish(document("a")), "nobody leads yet");
-        assertEquals(1, fleet("fleet", "config", "status", "--to", coordinator(1)));
-        assertTrue(said.contains("no coordinator leads") && said.contains("nothing was published"), said);
-        assertEquals(0, fleet("fleet", "config", "take-over", "--to", coordinator(0)));
-        // By whatever address, who leads takes it.
-        assertEquals(0, fleet("fleet", "config", "publish", document("a").toString(), "--to",
+        assertEquals(1, publish(document("a")), "there is no leader yet");
+        assertEquals(1, runCommand("fleet", "config", "status", "--to", coordinator(1)));
+        assertTrue(output.contains("no coordinator leads") && output.contains("nothing was published"),
+                output);
+        assertEquals(0, runCommand("fleet", "config", "take-over", "--to", coordinator(0)));
+        // A publication to any coordinator reaches the leader.
+        assertEquals(0, runCommand("fleet", "config", "publish", document("a").toString(), "--to",
                 coordinator(2)));
         awaitInForce("a");
-        Processes.until(() -> fleet("fleet", "config", "status", "--to", balancer(3)) == 0);
-        assertTrue(said.contains("the newest version is 1.1, in force on 5 of 5 members"), said);
+        Processes.until(() -> runCommand("fleet", "config", "status", "--to", balancer(3)) == 0);
+        assertTrue(output.contains("the newest version is 1.1, in force on 5 of 5 members"), output);
 
         Path bad = folder.resolve("bad.json");
         Files.writeString(bad, "{\"form\":1,\n\"services\":{\"front\":{\"listen\":\"127.0.0.1:1\"}}}");
         assertEquals(2, publish(bad));
         assertEquals(2, publish(folder.resolve("none.json")));
-        assertEquals(2, fleet("fleet", "config", "publish", bad.toString(), "--to", "nowhere"));
-        assertEquals(2, fleet("fleet", "config", "take-over", "--to", String.join(",", coordinators())));
-        assertEquals(1, fleet("fleet", "config", "rollback", "7", "--to", coordinator(0)));
+        assertEquals(2, runCommand("fleet", "config", "publish", bad.toString(), "--to", "nowhere"));
+        assertEquals(2, runCommand("fleet", "config", "take-over", "--to", String.join(",", coordinators())));
+        assertEquals(1, runCommand("fleet", "config", "rollback", "7", "--to", coordinator(0)));
 
-        // Whole as a document, and refused by each balancer.
+        // A well-formed document that each balancer refuses.
         Files.writeString(bad, Files.readString(document("b")).replace("\"settings\":{",
                 "\"settings\":{\"limits\":{\"attemptsCap\":0},"));
         assertEquals(0, publish(bad));
         Processes.until(() -> status(coordinator(0)).path("refused").size() == BALANCERS);
-        JsonNode refused = JSON.readTree(said).path("refused").path(0);
-        assertEquals("settings.limits.attemptsCap", refused.path("key").asText(), said);
+        JsonNode refused = JSON.readTree(output).path("refused").path(0);
+        assertEquals("settings.limits.attemptsCap", refused.path("key").asText(), output);
         assertEquals("1.1", refused.path("in_force").asText());
         assertEquals("1.2", refused.path("version").asText());
-        assertEquals(1, fleet("fleet", "config", "status", "--to", coordinator(0)));
-        assertTrue(said.contains("n0 refuses 1.2, and goes by 1.1: settings.limits.attemptsCap"), said);
+        assertEquals(1, runCommand("fleet", "config", "status", "--to", coordinator(0)));
+        assertTrue(output.contains("n0 refuses 1.2, and goes by 1.1: settings.limits.attemptsCap"), output);
         assertTrue(hasClass(0, "a") && !hasClass(0, "b"));
 
-        // Whoever starts anew comes back with the last that it took.
+        // A restarted balancer uses the last version that it accepted.
         kill("n1");
         startBalancer(1);
         awaitInForce("a");
-        assertEquals(0, fleet("fleet", "config", "rollback", "1", "--to", coordinator(0)));
-        Processes.until(() -> fleet("fleet", "config", "status", "--to", coordinator(0)) == 0);
-        assertTrue(said.contains("the newest version is 1.3") && said.contains("rollback to 1"), said);
+        assertEquals(0, runCommand("fleet", "config", "rollback", "1", "--to", coordinator(0)));
+        Processes.until(() -> runCommand("fleet", "config", "status", "--to", coordinator(0)) == 0);
+        assertTrue(output.contains("the newest version is 1.3") && output.contains("rollback to 1"), output);
     }
 
     @Test
-    void lostCoordinatorsStopNoBalancerAndNothingAnsweredIsLost() throws Exception {
+    void coordinatorFailuresLoseNoAcknowledgedChange() throws Exception {
         awaitAllSeen();
-        assertEquals(0, fleet("fleet", "config", "take-over", "--to", coordinator(0)));
+        assertEquals(0, runCommand("fleet", "config", "take-over", "--to", coordinator(0)));
         assertEquals(0, publish(document("a")));
         awaitInForce("a");
 
-        // The leader dies as it takes a change: its author may have had an answer, or not.
+        // The leader is killed while it takes a change; the author may or may not have got an answer.
         Path b = document("b");
         List<String> command = new ArrayList<>(new LabCommand.ProgramUnderTest().command());
         command.addAll(List.of("fleet", "config", "publish", b.toString(), "--to", coordinator(0),
                 "--operation", "b"));
-        ChildProcess author = warden.start("author", command, Map.of(), folder.resolve("author.log"));
+        ChildProcess author = supervisor.start("author", command, Map.of(), folder.resolve("author.log"));
         CompletableFuture<Integer> answered = author.onExit();
         Processes.until(() -> answered.isDone() || keepsOperation(0, "b"));
         kill("c0");
         answered.join();
-        assertEquals(0, fleet("fleet", "config", "take-over", "--to", coordinator(1)));
-        assertEquals(0, publish(b, "--operation", "b"), "repeated without harm");
+        assertEquals(0, runCommand("fleet", "config", "take-over", "--to", coordinator(1)));
+        assertEquals(0, publish(b, "--operation", "b"), "the operation may be repeated");
         awaitInForce("b");
         JsonNode status = status(coordinator(1));
         assertEquals(2, status.path("epoch").asInt());
@@ -285,17 +288,17 @@
                         && !version.path("note").asText().startsWith("carried over") ? 1 : 0;
             }
         }
-        assertEquals(1, times, said);
+        assertEquals(1, times, output);
 
-        // It comes back, and leads no longer: what it is asked goes to who does.
+        // The old leader returns as a follower and forwards requests to the new leader.
         startCoordinator(0);
         Processes.until(() -> status(coordinator(0)).path("coordinators_answering").asInt() == 3
                 && status(coordinator(0)).path("epoch").asInt() == 2);
-        Processes.until(() -> fleet("fleet", "config", "publish", document("c").toString(), "--to",
+        Processes.until(() -> runCommand("fleet", "config", "publish", document("c").toString(), "--to",
                 coordinator(0), "--operation", "c") == 0);
         awaitInForce("c");
 
-        // With all three gone all serve on, and who starts anew comes back with the last good one.
+        // Without coordinators all balancers serve on, and a restarted one uses the last good version.
         for (int i = 0; i < COORDINATORS; i++) {
             kill("c" + i);
         }
@@ -306,11 +309,11 @@
         for (int i = 0; i < BALANCERS; i++) {
             assertTrue(serves(i));
         }
-        assertEquals(1, fleet("fleet", "config", "status", "--to", balancer(0)));
-        assertTrue(said.contains("no coordinator answers: all serve on"), said);
+        assertEquals(1, runCommand("fleet", "config", "status", "--to", balancer(0)));
+        assertTrue(output.contains("no coordinator answers: all serve on"), output);
         Processes.until(() -> status(balancer(0)).path("in_force").asInt() == BALANCERS);
 
-        // They come back with what they had; the one that led leads.
+        // The coordinators return with their state, and the last leader leads again.
         for (int i = 0; i < COORDINATORS; i++) {
             startCoordinator(i);
         }
@@ -319,10 +322,11 @@
         processes.get("c2").terminate();
         processes.get("c2").onExit().join();
         Processes.until(() -> status(coordinator(1)).path("coordinators").size() == COORDINATORS - 1);
-        assertFalse(status(coordinator(1)).path("leader").asText().isEmpty(), "it left in order");
+        assertFalse(status(coordinator(1)).path("leader").asText().isEmpty(),
+                "a regular leave keeps the leader");
     }
 
-    /** Whether a coordinator's journal holds a version of an operation. */
+    /** Returns true if a coordinator's journal holds a version of an operation. */
     private boolean keepsOperation(int coordinator, String operation) throws IOException {
         try (var files = Files.list(folder.resolve("c" + coordinator + "/config"))) {
             for (Path file : files.toList()) {
--- a/src/test/java/cranedeal/lab/ControlAnalysisTest.java
+++ b/src/test/java/cranedeal/lab/ControlAnalysisTest.java
@@ -13,7 +13,7 @@
 
     private final ControlAnalysis analysis = new ControlAnalysis(new Scale(40, 1, 2, 1_000, 0, 0, 0, BUDGET));
 
-    /** A second of ten real balancers and forty hollow ones, each of the bytes given. */
+    /** Adds a second of ten real and forty hollow balancers, each with the given bytes. */
     private void second(double at, long realBytes, long hollowBytes, long peak, double busy) {
         analysis.accept(new Event.Host(at, busy, 1, 200, 300 * 1_024));
         analysis.accept(new Event.Spent(at, "real", false, 10, 20, 10 * realBytes, 0, peak, 20, 400,
@@ -22,7 +22,7 @@
                 40 * 2 * 1_024, late));
     }
 
-    /** How late a loop of hollow balancers is. */
+    /** Delay of an event loop of hollow balancers in milliseconds. */
     private double late;
 
     private void view(double at, int running, long least, long most) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void costsAreByBalancerAndSecondAndJoiningStandsApart() {
+    void costsArePerBalancerSecondAndExcludeJoining() {
         view(0, 50, 2, 9);
         second(500, 90_000, 90_000, 90_000, 1);
         view(900, 50, 50, 50);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void budgetsAndLikenessThatDoNotHoldAreToldEach() {
+    void everyBrokenBoundIsReported() {
         analysis.accept(new Event.Loaded(0, true));
         second(1_000, 600, 19_000, 40_000, 0.5);
         List<String> broken = analysis.finish().broken();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void viewsAreSettledWhenAllRegionsSeeWhatIsThere() {
+    void viewsAreSettledWhenAllRegionsAreCorrect() {
         analysis.accept(new Event.Loaded(0, true));
         second(1_000, 600, 600, 900, 0.5);
         view(1_500, 50, 50, 50);
@@ -86,12 +86,12 @@
         view(40_000, 50, 49, 50);
         ControlAnalysis.Control control = analysis.finish();
         assertEquals(5_000, control.faults().get(0).settledMs(), "the last region counts");
-        assertTrue(Double.isNaN(control.faults().get(1).settledMs()), "never");
+        assertTrue(Double.isNaN(control.faults().get(1).settledMs()), "the views never settled");
         assertEquals(1, control.broken().size(), control.broken().toString());
     }
 
     @Test
-    void aFaultThatViewsNeverShowIsSettledAtOnce() {
+    void faultWithoutEffectOnViewsIsSettledAtOnce() {
         analysis.accept(new Event.Loaded(0, true));
         second(1_000, 600, 600, 900, 0.5);
         analysis.accept(new Event.Faulted(2_000, 0, "restart h1", List.of(), true));
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aRunThatFillsTheMachineShowsNothing() {
+    void runOnASaturatedMachineIsVoid() {
         analysis.accept(new Event.Loaded(0, true));
         for (int i = 0; i < 10; i++) {
             second(1_000 + i * 1_000, 600, 600, 900, i < 2 ? 0.95 : 0.5);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void loopsThatHollowBalancersWaitForShowNothing() {
+    void runWithLateHollowLoopsIsVoid() {
         analysis.accept(new Event.Loaded(0, true));
         late = 300;
         second(1_000, 600, 600, 900, 0.5);
--- a/src/test/java/cranedeal/lab/Echo.java
+++ b/src/test/java/cranedeal/lab/Echo.java
@@ -10,7 +10,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A process that sends back each line that comes on a connection, and says it on its own output too. */
+/** A process that echoes each line of a connection, and prints it to its own output too. */
 public final class Echo {
 
     private Echo() {
--- a/src/test/java/cranedeal/lab/ExperimentTest.java
+++ b/src/test/java/cranedeal/lab/ExperimentTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Experiments: their files, what is wrong with some, and the faults that campaigns draw and shrink. */
+/** Tests the reading and validation of experiment files, and the drawing and shrinking of faults. */
 class ExperimentTest {
 
     private static final String GOOD = """
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aFileIsReadWithItsDefaults() throws Exception {
+    void missingKeysGetDefaults() throws Exception {
         Experiment read = read(GOOD);
         assertEquals(List.of("u0", "u1", "u2", "u3"), read.upstreamNames());
         assertEquals(2_000, read.faults().get(0).forMs());
@@ -73,7 +73,7 @@
         assertEquals(2, read.load().tries());
     }
 
-    /** A line of the good file, what stands there instead, and what is said. */
+    /** Columns: a line of the good file, its replacement, and the expected error message. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
             balancers = 2 | balancers = "two" | 3: fleet.balancers: a whole number is wanted, not "two"
@@ -92,7 +92,7 @@
             at_s = 4 | when = "n5" | 23: fault.when: there is no process 'n5'
             [load] | [load | 11: Newline not permitted here
             """)
-    void whatIsWrongIsToldWithFileLineAndKey(String line, String instead, String said) {
+    void errorsNameFileLineAndKey(String line, String instead, String said) {
         String changed = GOOD.replaceFirst(Pattern.quote(line),
                 Matcher.quoteReplacement(instead));
         assertNotEquals(GOOD, changed);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void theExperimentsOfTheProjectCanBeRead() throws Exception {
+    void allExperimentFilesAreValid() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("lab/experiments"))) {
             List<Path> all = files.toList();
             assertFalse(all.isEmpty());
@@ -113,22 +113,22 @@
     }
 
     @Test
-    void aSeedDrawsTheSameFaultsEachTimeAndAllOfThemCanBePlayed() throws Exception {
+    void drawsAreRepeatableAndValid() throws Exception {
         read(GOOD);
         Set<Fault.Kind> wanted = new HashSet<>(List.of(Fault.Kind.values()));
         wanted.remove(Fault.Kind.UPGRADE);
         wanted.remove(Fault.Kind.PART);
         assertEquals(wanted, drawn(TomlTable.read(folder.resolve("e.toml"))),
-                "without doors nothing can be upgraded, and one region can't part");
+                "upgrades need admin endpoints, and a partition needs two regions");
     }
 
     @Test
-    void aFleetWithDoorsAndRegionsDrawsAllKinds() throws Exception {
+    void fleetWithAdminEndpointsAndRegionsDrawsAllKinds() throws Exception {
         assertEquals(Set.of(Fault.Kind.values()),
                 drawn(TomlTable.read(Path.of("lab/experiments/size.toml"))));
     }
 
-    /** The kinds that many seeds draw. */
+    /** Returns the kinds that are drawn over many seeds. */
     private Set<Fault.Kind> drawn(TomlTable base) throws Exception {
         Experiment experiment = ExperimentReader.read(base);
         Set<Fault.Kind> kinds = new HashSet<>();
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void shrinkingKeepsWhatBreaksAndDropsTheRest() {
+    void shrinkingKeepsOnlyTheCauses() {
         Random random = new Random(1);
         for (int i = 0; i < 500; i++) {
             List<Integer> whole = IntStream.range(0, 1 + random.nextInt(12)).boxed().toList();
@@ -159,7 +159,7 @@
                 return part.containsAll(culprits);
             });
             assertEquals(culprits, new HashSet<>(small));
-            assertEquals(whole, Shrinker.shrink(whole, 1_000, part -> false), "nothing less breaks it");
+            assertEquals(whole, Shrinker.shrink(whole, 1_000, part -> false), "no part fails");
             int bound = random.nextInt(4);
             int[] count = {0};
             Shrinker.shrink(whole, bound, part -> ++count[0] > 0);
--- a/src/test/java/cranedeal/lab/KilledStoreTest.java
+++ b/src/test/java/cranedeal/lab/KilledStoreTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process that keeps records is killed over and over, while it writes, takes snapshots and recovers. The
- * property {@code lab.kills} says how often; a build does it a few times.
+ * Guards against the loss of acknowledged records. A process with a store is killed repeatedly while it
+ * writes, takes snapshots and recovers. The property {@code lab.kills} sets the number of kills, 8 by
+ * default.
  */
 class KilledStoreTest {
 
@@ -24,36 +25,36 @@
     Path folder;
 
     @Test
-    void nothingThatWasKeptIsMissingAfterAKill() throws Exception {
+    void acknowledgedRecordsSurviveKills() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
         int rounds = Integer.getInteger("lab.kills", 8);
         long kept = 0;
         Path store = Files.createDirectory(folder.resolve("store"));
-        try (ProcessSupervisor warden = new ProcessSupervisor()) {
+        try (ProcessSupervisor supervisor = new ProcessSupervisor()) {
             for (int round = 0; round < rounds; round++) {
                 Path log = folder.resolve("round" + round);
-                ChildProcess child = warden.start("appender", Processes.java(Appender.class,
+                ChildProcess child = supervisor.start("appender", Processes.java(Appender.class,
                         store.toString()),
                         Map.of(), log);
-                // Now and then before it has recovered, or while it does; mostly under load.
+                // One kill in four comes before or during recovery, the others under load.
                 long until = random.nextInt(4) == 0 ? 0 : kept + 1 + random.nextInt(4_000);
                 String wanted = until == 0 ? "" : "kept " + until + "\n";
                 Processes.until(() -> child.logContains(wanted) || !child.isAlive());
-                assertTrue(child.isAlive(), () -> "it ended by itself: " + read(log));
+                assertTrue(child.isAlive(), () -> "the process exited by itself: " + read(log));
                 child.kill();
                 child.onExit().join();
                 for (String line : Files.readAllLines(log)) {
                     String[] words = line.split(" ");
                     long number = words.length > 1 ? Long.parseLong(words[1]) : 0;
                     if (words[0].equals("recovered")) {
-                        assertTrue(number >= kept, line + ", but " + kept + " were kept");
-                        assertEquals(number, Long.parseLong(words[2]), "each counts once");
+                        assertTrue(number >= kept, line + ", but " + kept + " were acknowledged");
+                        assertEquals(number, Long.parseLong(words[2]), "each record counts once");
                     }
                     kept = Math.max(kept, number);
                 }
             }
         }
-        System.out.println(kept + " records kept over " + rounds + " kills");
+        System.out.println(kept + " records acknowledged over " + rounds + " kills");
         assertTrue(kept > 0);
     }
 
--- a/src/test/java/cranedeal/lab/LabTest.java
+++ b/src/test/java/cranedeal/lab/LabTest.java
@@ -20,25 +20,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lab by its command line, with several processes of the program. */
+/** Tests the lab through its command line, with several processes of the program. */
 class LabTest {
 
-    private static final Set<String> OF_TIME = Set.of("answered-in-time", "prompt-refusal", "drain",
+    private static final Set<String> TIMING_RULES = Set.of("answered-in-time", "prompt-refusal", "drain",
             "cold-budget");
 
     @TempDir
     Path folder;
 
-    private static int sablehinge(String... arguments) {
+    private static int runProgram(String... arguments) {
         return Program.run(Map.of(), arguments);
     }
 
     /**
-     * Three balancers, twelve upstreams, a kill, a pause, a cut, and a hang-up that waits for a log. What is
-     * asserted does not depend on how fast this machine is.
+     * Runs three balancers and twelve upstreams with a kill, a pause, a cut, and a SIGHUP that waits for a
+     * log line. The assertions do not depend on the speed of the machine.
      */
     @Test
-    void anExperimentWithFaultsKeepsTheRulesAndLeavesItsRecord() throws Exception {
+    void experimentWithFaultsKeepsTheRulesAndRecordsItsHistory() throws Exception {
         Path file = folder.resolve("short.toml");
         Files.writeString(file, Files.readString(Path.of("lab/experiments/first.toml"))
                 .replace("duration_s = 16", "duration_s = 8").replace("rate_per_s = 300", "rate_per_s = 150")
@@ -57,52 +57,54 @@
 
                         [must]"""));
         Path out = folder.resolve("out");
-        sablehinge("lab", "run", file.toString(), "--out", out.toString());
+        runProgram("lab", "run", file.toString(), "--out", out.toString());
 
         Summary summary = Comparison.read(out).get(0);
         assertEquals(7, summary.rules().size());
-        // On a machine with no time to spare, a balancer may be late by no fault of its own.
-        summary.rules().stream().filter(rule -> !OF_TIME.contains(rule.rule()))
+        // On an overloaded machine a balancer may break the timing rules without a fault of its own.
+        summary.rules().stream().filter(rule -> !TIMING_RULES.contains(rule.rule()))
                 .forEach(rule -> assertTrue(rule.holds(), rule.toString()));
         assertTrue(summary.served() > 0, summary.toString());
         assertEquals(List.of("kill n0", "pause n1", "cut n2-u1", "hangup n2", "hangup n0"),
                 summary.faults().stream().map(Summary.Recovery::title).toList());
         summary.faults().forEach(fault -> assertTrue(fault.endMs() > fault.beginMs(), fault.toString()));
         assertTrue(summary.faults().get(3).beginMs() > summary.faults().get(4).beginMs(),
-                "it waits for the log");
+                "the fault waits for the log line");
         assertEquals(List.of("n0"), summary.returns().stream().map(Summary.Return::process).toList());
         assertTrue(Files.readString(out.resolve("n2/log.txt")).contains("goes by a new configuration"));
         assertTrue(Files.size(out.resolve("report.html")) > 10_000);
 
-        Map<Class<?>, Integer> told = new HashMap<>();
-        History.replay(out.resolve("history.jsonl"), event -> told.merge(event.getClass(), 1, Integer::sum));
+        Map<Class<?>, Integer> eventCounts = new HashMap<>();
+        History.replay(out.resolve("history.jsonl"), event -> eventCounts.merge(event.getClass(), 1,
+                Integer::sum));
         Set<Class<?>> wanted = new HashSet<>(Set.of(Event.class.getPermittedSubclasses()));
-        // The list of upstreams did not change, so there need not have been news of it.
+        // The list of upstreams did not change, so there may be no notification.
         wanted.remove(Event.Told.class);
-        // Only a fleet with hollow balancers is looked at for these; SizeTest has them.
+        // These are only recorded for fleets with hollow balancers; see SizeTest.
         Set<Class<?>> ofHollow = Set.of(Event.Viewed.class, Event.Spent.class, Event.Host.class);
         wanted.removeAll(ofHollow);
-        assertTrue(told.keySet().containsAll(wanted), told.toString());
-        assertTrue(Collections.disjoint(told.keySet(), ofHollow), told.toString());
-        assertEquals(1, sablehinge("lab", "run", file.toString(), "--out", out.toString()), "not over it");
+        assertTrue(eventCounts.keySet().containsAll(wanted), eventCounts.toString());
+        assertTrue(Collections.disjoint(eventCounts.keySet(), ofHollow), eventCounts.toString());
+        assertEquals(1, runProgram("lab", "run", file.toString(), "--out", out.toString()),
+                "an earlier run is not overwritten");
     }
 
     @Test
-    void wrongUseIsToldAndLeavesNothing() {
+    void usageErrorsAreReportedAndCreateNoFiles() {
         Path out = folder.resolve("none");
-        assertEquals(2, sablehinge("lab"));
-        assertEquals(2, sablehinge("lab", "run", "no-such-file.toml", "--out", out.toString()));
-        assertEquals(2, sablehinge("lab", "run", "lab/experiments/first.toml"));
-        assertEquals(2, sablehinge("lab", "run", "lab/experiments/first.toml", "--out", out.toString(),
+        assertEquals(2, runProgram("lab"));
+        assertEquals(2, runProgram("lab", "run", "no-such-file.toml", "--out", out.toString()));
+        assertEquals(2, runProgram("lab", "run", "lab/experiments/first.toml"));
+        assertEquals(2, runProgram("lab", "run", "lab/experiments/first.toml", "--out", out.toString(),
                 "--program", "no-such.jar"));
-        assertEquals(2, sablehinge("lab", "campaign", "lab/experiments/first.toml", "--out", out.toString(),
+        assertEquals(2, runProgram("lab", "campaign", "lab/experiments/first.toml", "--out", out.toString(),
                 "--seeds", "five"));
-        assertEquals(2, sablehinge("lab", "campaign", "lab/experiments/first.toml", "--out", out.toString(),
+        assertEquals(2, runProgram("lab", "campaign", "lab/experiments/first.toml", "--out", out.toString(),
                 "--seeds", "5..1"));
-        assertEquals(2, sablehinge("lab", "run", "lab/experiments/first.toml", "--out", out.toString(),
+        assertEquals(2, runProgram("lab", "run", "lab/experiments/first.toml", "--out", out.toString(),
                 "--repeat", "0"));
-        assertEquals(2, sablehinge("lab", "compare", out.toString(), out.toString()));
-        assertEquals(0, sablehinge("--help"));
+        assertEquals(2, runProgram("lab", "compare", out.toString(), out.toString()));
+        assertEquals(0, runProgram("--help"));
         assertFalse(Files.exists(out));
     }
 }
--- a/src/test/java/cranedeal/lab/MembersTest.java
+++ b/src/test/java/cranedeal/lab/MembersTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Balancers that are members of a fleet, each a process of the program, with faults between them. The
- * property {@code lab.members} says how many; a build takes a few.
+ * Tests membership with balancers as processes of the program and faults between them: views must follow
+ * kills, pauses, cuts and restarts. The property {@code lab.members} sets the number of balancers, 7
+ * by default.
  */
 class MembersTest {
 
@@ -40,7 +41,7 @@
     @TempDir
     Path folder;
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private Testbed world;
+    private Testbed testbed;
 
     @BeforeEach
     void start() throws Exception {
@@ -48,14 +49,14 @@
         Files.writeString(file, Files.readString(Path.of("lab/experiments/members.toml"))
                 .replaceAll("(?s)\\[\\[fault]].*\\[must]", "[must]")
                 .replace("balancers = 30", "balancers = " + COUNT));
-        world = new Testbed(ExperimentReader.read(file), new LabCommand.ProgramUnderTest().command(),
+        testbed = new Testbed(ExperimentReader.read(file), new LabCommand.ProgramUnderTest().command(),
                 folder.resolve("out"), new LabClock(), event -> { });
-        world.start();
+        testbed.start();
     }
 
     @AfterEach
     void end() throws Exception {
-        world.close();
+        testbed.close();
     }
 
     private static String name(int number) {
@@ -64,7 +65,8 @@
 
     private JsonNode view(int of) throws IOException, InterruptedException {
         try {
-            return JSON.readTree(http.send(HttpRequest.newBuilder(URI.create("http:/" + world.member(name(of))
+            return JSON.readTree(http.send(HttpRequest.newBuilder(
+                    URI.create("http:/" + testbed.member(name(of))
                     + "/fleet/members")).timeout(Duration.ofSeconds(20)).build(),
                     HttpResponse.BodyHandlers.ofByteArray()).body());
         } catch (java.net.ConnectException e) {
@@ -82,7 +84,7 @@
         return names;
     }
 
-    /** Whether all of these see these, and nobody else, present. */
+    /** True if each of the given members sees exactly these members present. */
     private Callable<Boolean> agree(List<Integer> members) {
         Set<String> names = new HashSet<>(members.stream().map(MembersTest::name).toList());
         return () -> {
@@ -95,7 +97,7 @@
         };
     }
 
-    private static List<Integer> without(int... gone) {
+    private static List<Integer> allExcept(int... gone) {
         List<Integer> rest = new ArrayList<>();
         for (int i = 0; i < COUNT; i++) {
             int one = i;
@@ -107,54 +109,54 @@
     }
 
     private void cut(String from, String to, Impairment there, Impairment back) throws Exception {
-        world.impair(Testbed.links(experiment(), from, to), there, back);
+        testbed.impair(Testbed.links(experiment(), from, to), there, back);
     }
 
     private Experiment experiment() throws Exception {
         return ExperimentReader.read(folder.resolve("members.toml"));
     }
 
-    private boolean hasSaid(int who, String text) throws IOException {
+    private boolean logContains(int who, String text) throws IOException {
         return Files.readString(folder.resolve("out/" + name(who) + "/log.txt")).contains(text);
     }
 
     private int compare(int from) {
-        return Program.run(Map.of(), "fleet", "members", world.member(name(from)).toString().substring(1),
+        return Program.run(Map.of(), "fleet", "members", testbed.member(name(from)).toString().substring(1),
                 "--compare");
     }
 
     @Test
-    void killsPausesAndCutsAreSeenAndHealed() throws Exception {
-        Processes.until(agree(without()));
+    void viewsFollowKillsPausesAndCuts() throws Exception {
+        Processes.until(agree(allExcept()));
         assertEquals(0, compare(0));
         assertEquals(2, Program.run(Map.of(), "fleet", "members", "no address"));
 
-        world.balancers().get("n3").kill();
-        Processes.until(agree(without(3)));
-        world.balancers().get("n3").start();
-        Processes.until(agree(without()));
+        testbed.balancers().get("n3").kill();
+        Processes.until(agree(allExcept(3)));
+        testbed.balancers().get("n3").start();
+        Processes.until(agree(allExcept()));
 
-        // Stopped for longer than a suspicion lasts: it is called faulty itself, and calls nobody so.
-        world.balancers().get("n2").pause();
-        Processes.until(agree(without(2)));
-        world.balancers().get("n2").resume();
-        Processes.until(agree(without()));
+        // A member paused for longer than the suspicion time becomes faulty, but declares no other faulty.
+        testbed.balancers().get("n2").pause();
+        Processes.until(agree(allExcept(2)));
+        testbed.balancers().get("n2").resume();
+        Processes.until(agree(allExcept()));
         assertTrue(Files.readAllLines(folder.resolve("out/n2/log.txt")).stream()
                 .noneMatch(line -> line.contains(" is faulty") && !line.contains("n3 ")),
-                "who was stopped blames nobody");
+                "the paused member declares nobody faulty");
 
         cut("n5", "*", Impairment.BLOCKED, Impairment.NONE);
         for (int i = 0; i < COUNT; i++) {
-            // Towards those whose names come first, the link is theirs.
+            // The link to a member whose name sorts first belongs to that member.
             cut("n5", name(i), Impairment.BLOCKED, Impairment.NONE);
         }
-        Processes.until(agree(without(5)));
+        Processes.until(agree(allExcept(5)));
         cut("n5", "*", Impairment.NONE, Impairment.NONE);
-        Processes.until(agree(without()));
+        Processes.until(agree(allExcept()));
 
-        // The part with less than half knows that it is isolated, and both go on.
+        // The minority of a partition reports that it is isolated; both parts go on.
         int[] part = IntStream.range(0, COUNT / 3).toArray();
-        List<Integer> rest = without(part);
+        List<Integer> rest = allExcept(part);
         for (int one : part) {
             for (int other : rest) {
                 cut(name(one), name(other), Impairment.BLOCKED, Impairment.BLOCKED);
@@ -163,42 +165,42 @@
         Processes.until(agree(IntStream.of(part).boxed().toList()));
         Processes.until(agree(rest));
         assertTrue(view(0).path("isolated").asBoolean() && !view(COUNT - 1).path("isolated").asBoolean());
-        assertTrue(hasSaid(1, "is isolated: reaches less than half"));
+        assertTrue(logContains(1, "is isolated: reaches less than half"));
         assertEquals(1, Program.run(Map.of(), "fleet", "members",
-                world.member("n0").toString().substring(1)));
+                testbed.member("n0").toString().substring(1)));
         for (int one : part) {
             cut(name(one), "*", Impairment.NONE, Impairment.NONE);
         }
-        Processes.until(agree(without()));
+        Processes.until(agree(allExcept()));
         assertEquals(0, compare(1));
     }
 
     @Test
-    void leavesUpgradesAndAFullRestartAreNoFailures() throws Exception {
-        Processes.until(agree(without()));
+    void leavesUpgradesAndFullRestartsAreNotFailures() throws Exception {
+        Processes.until(agree(allExcept()));
         String before = instance(4, 1);
-        world.balancers().get("n1").upgrade();
+        testbed.balancers().get("n1").upgrade();
         Processes.until(() -> !instance(4, 1).equals(before));
-        Processes.until(agree(without()));
+        Processes.until(agree(allExcept()));
         for (int i = 0; i < COUNT; i++) {
             assertTrue(Files.readAllLines(folder.resolve("out/" + name(i) + "/log.txt")).stream()
                     .noneMatch(line -> line.contains("n1 at ") && !line.endsWith(" is alive")),
-                    "one member all the time");
+                    "the upgraded balancer stays a member throughout");
         }
 
-        world.balancers().get("n4").restart();
-        Processes.until(agree(without()));
-        assertTrue(hasSaid(2, " is left"));
+        testbed.balancers().get("n4").restart();
+        Processes.until(agree(allExcept()));
+        assertTrue(logContains(2, " is left"));
 
-        Processes.until(() -> kept() == COUNT);
+        Processes.until(() -> membersWithFullDisk() == COUNT);
         for (int i = 0; i < COUNT; i++) {
-            world.balancers().get(name(i)).kill();
+            testbed.balancers().get(name(i)).kill();
         }
-        // With no seed alive: those have the first two names.
+        // The first two members are the seeds; they stay down.
         for (int i = 2; i < COUNT; i++) {
-            world.balancers().get(name(i)).start();
+            testbed.balancers().get(name(i)).start();
         }
-        Processes.until(agree(without(0, 1)));
+        Processes.until(agree(allExcept(0, 1)));
     }
 
     private String instance(int view, int of) throws Exception {
@@ -208,11 +210,11 @@
                 return member.path("instance").asText();
             }
         }
-        throw new AssertionError(name(of) + " is gone");
+        throw new AssertionError(name(of) + " is not a member");
     }
 
-    /** How many members keep all others on disk. */
-    private long kept() throws Exception {
+    /** Returns the number of members that have all members on disk. */
+    private long membersWithFullDisk() throws Exception {
         long all = 0;
         for (int i = 0; i < COUNT; i++) {
             Path store = folder.resolve("out/" + name(i) + "/members");
--- a/src/test/java/cranedeal/lab/Processes.java
+++ b/src/test/java/cranedeal/lab/Processes.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** Small real processes for tests, and waiting for what they bring about. */
+/** Starts child processes for tests and waits for conditions. */
 public final class Processes {
 
-    /** Generous, since a build machine may be busy. */
-    private static final long PATIENCE_S = 60;
+    /** Long, since a build machine may be busy. */
+    private static final long TIMEOUT_S = 60;
 
     private Processes() {
     }
 
-    /** The command that runs a class of the tests. */
+    /** Returns the command that runs a main class of the tests. */
     public static List<String> java(Class<?> main, String... arguments) {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin",
                 "java").toString(), "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp",
@@ -28,11 +28,11 @@
         return command;
     }
 
-    /** Starts a class of the tests, and returns once it has said {@code ready}. */
-    public static ChildProcess start(ProcessSupervisor warden, Class<?> main, String... arguments)
+    /** Starts a main class of the tests, and returns once it has printed {@code ready}. */
+    public static ChildProcess start(ProcessSupervisor supervisor, Class<?> main, String... arguments)
             throws Exception {
         Path log = Files.createTempFile("child", ".log");
-        ChildProcess child = warden.start(main.getSimpleName(), java(main, arguments), Map.of(), log);
+        ChildProcess child = supervisor.start(main.getSimpleName(), java(main, arguments), Map.of(), log);
         until(() -> child.logContains("ready") || !child.isAlive());
         if (!child.isAlive()) {
             throw new AssertionError(Files.readString(log));
@@ -40,12 +40,12 @@
         return child;
     }
 
-    /** Waits until something is so; fails if it never is. */
-    public static void until(Callable<Boolean> so) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!so.call()) {
+    /** Waits until a condition is true; fails after a timeout. */
+    public static void until(Callable<Boolean> condition) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.call()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("it never came to be");
+                throw new AssertionError("timed out waiting for a condition");
             }
             TimeUnit.MILLISECONDS.sleep(2);
         }
--- a/src/test/java/cranedeal/lab/SizeTest.java
+++ b/src/test/java/cranedeal/lab/SizeTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The experiment of a fleet larger than the machine, in its short form: 2 real balancers and 40 hollow. */
+/** Runs a short form of the large-fleet experiment, with 2 real and 40 hollow balancers. */
 class SizeTest {
 
     private static final JsonMapper JSON = new JsonMapper();
@@ -45,7 +45,7 @@
                         at_s = 40
 
                         [must]""")
-                // Of the figures only that there are some is asserted: this machine's speed must not show.
+                // Bounds are removed, so that the result does not depend on the speed of the machine.
                 .replaceAll("(?m)^(core_share|bytes_per_s|peak_bytes_per_s|memory_mb|views_s|alike) = .*\\R",
                         "")
                 .replace("balancers = 20", "balancers = 2").replace("balancers = 500", "balancers = 40")
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aFleetOfRealAndHollowBalancersLosesAZoneAndARegion() throws Exception {
+    void fleetOfRealAndHollowBalancersLosesAZoneAndARegion() throws Exception {
         Path out = folder.resolve("out");
         Program.run(Map.of(), "lab", "run", shortForm().toString(), "--out", out.toString());
         JsonNode control = JSON.readTree(out.resolve("control.json").toFile());
@@ -68,27 +68,31 @@
                     && cost.path("coreShare").asDouble() > 0 && cost.path("memoryMb").asDouble() > 0,
                     who + cost);
         }
-        // Begin and end of each: a zone with its balancers gone, regions apart, a restart.
+        // Begin and end of each fault: a killed zone, a partition of regions, a restart.
         assertEquals(6, control.path("faults").size(), control.toString());
         for (int i = 0; i < 4; i++) {
             JsonNode fault = control.path("faults").path(i);
-            assertTrue(fault.path("settledMs").asDouble() > 0, "has left a trace, and it ended: " + fault);
+            assertTrue(fault.path("settledMs").asDouble() > 0,
+                    "the fault changed views, which settled again: " + fault);
         }
         assertTrue(control.path("machine").path("seconds").asInt() > 0);
     }
 
     @Test
-    void aWrongFileIsToldWithLineAndKey() throws Exception {
+    void errorsNameLineAndKey() throws Exception {
         String good = Files.readString(shortForm());
-        wrong(good.replace("to = \"region-1\"", "to = \"region-2\""), "fault.to: there is no region");
-        wrong(good.replace("regions = 2", "regions = 4"), "hollow.regions: 6 zones");
-        wrong(good.replace("members = true", "members = false"), "hollow: hollow balancers need members");
-        wrong(good.replace("target = \"h7\"", "target = \"h40\""), "fault.target: there is no 'h40'");
-        wrong(good.replace("[budget]", "[budget]\nbytes = 1"), "budget.bytes: there is no such key");
+        assertRejected(good.replace("to = \"region-1\"", "to = \"region-2\""),
+                "fault.to: there is no region");
+        assertRejected(good.replace("regions = 2", "regions = 4"), "hollow.regions: 6 zones");
+        assertRejected(good.replace("members = true", "members = false"),
+                "hollow: hollow balancers need members");
+        assertRejected(good.replace("target = \"h7\"", "target = \"h40\""),
+                "fault.target: there is no 'h40'");
+        assertRejected(good.replace("[budget]", "[budget]\nbytes = 1"), "budget.bytes: there is no such key");
         assertFalse(ExperimentReader.read(shortForm()).faults().isEmpty());
     }
 
-    private void wrong(String text, String why) throws Exception {
+    private void assertRejected(String text, String why) throws Exception {
         Path file = folder.resolve("wrong.toml");
         Files.writeString(file, text);
         String told = assertThrows(ExperimentException.class, () -> ExperimentReader.read(file)).getMessage();
--- a/src/test/java/cranedeal/lab/history/CheckersTest.java
+++ b/src/test/java/cranedeal/lab/history/CheckersTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each checker on histories that keep its rule, and on some that break it. */
+/** Tests each checker with histories that keep its rule and with histories that break it. */
 class CheckersTest {
 
     @TempDir
     Path folder;
 
-    private static long broken(Checker checker, Event... history) {
+    private static long violations(Checker checker, Event... history) {
         checker.accept(new Event.Loaded(-1, true));
         for (Event event : history) {
             checker.accept(event);
@@ -54,41 +54,41 @@
     }
 
     @Test
-    void eachTryHasOneAnswerAndEachRequestOneEnd() {
-        assertEquals(0, broken(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.REFUSED),
+    void everyTryEndsOnceAndEveryRequestHasOneFinalAnswer() {
+        assertEquals(0, violations(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.REFUSED),
                 sent(9, "b", 1), answered(12, "b", 1, End.SERVED), ended(12, 1, 2)));
-        assertEquals(1, broken(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.SERVED),
+        assertEquals(1, violations(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.SERVED),
                 answered(6, "a", 1, End.SERVED), ended(6, 1, 1)), "two answers");
-        assertEquals(1, broken(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.SERVED),
+        assertEquals(1, violations(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.SERVED),
                 ended(5, 1, 1), ended(6, 1, 1)), "two ends");
-        assertEquals(1, broken(new OneAnswer(), sent(0, "a", 1), sent(1, "a", 1),
+        assertEquals(1, violations(new OneAnswer(), sent(0, "a", 1), sent(1, "a", 1),
                 answered(5, "a", 1, End.SERVED), ended(5, 1, 2)), "one id for two tries");
-        assertEquals(2, broken(new OneAnswer(), sent(0, "a", 1)), "neither answer nor end");
-        assertEquals(1, broken(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.SERVED),
+        assertEquals(2, violations(new OneAnswer(), sent(0, "a", 1)), "neither answer nor end");
+        assertEquals(1, violations(new OneAnswer(), sent(0, "a", 1), answered(5, "a", 1, End.SERVED),
                 ended(5, 1, 1), sent(6, "b", 1), answered(7, "b", 1, End.SERVED)), "a try after the end");
     }
 
     @Test
-    void whatABalancerLeavesUnansweredIsExcusedOnlyByAFaultOfItsOwn() {
+    void unansweredTriesAreExcusedOnlyByFaultsOfTheirBalancer() {
         Map<End, Supplier<Checker>> checkers = Map.of(End.BROKEN, Unanswered::byClosing, End.SILENT,
                 Unanswered::bySilence);
         checkers.forEach((lost, rule) -> {
             Event[] bare = {sent(100, "a", 1), answered(200, "a", 1, lost), ended(200, 1, 1)};
-            assertEquals(1, broken(rule.get(), bare));
-            assertEquals(0, broken(rule.get(), with(bare, new Lived(190, "n0", Life.KILLED, 0))));
-            // Its end may be noticed only after its connections broke.
-            assertEquals(0, broken(rule.get(), with(bare, new Lived(900, "n0", Life.EXITED, 137))));
-            assertEquals(1, broken(rule.get(), with(bare, new Lived(190, "n1", Life.KILLED, 0))));
-            assertEquals(1, broken(rule.get(), with(bare, new Lived(190, "n0", Life.STOPPING, 0))));
-            assertEquals(0, broken(rule.get(),
+            assertEquals(1, violations(rule.get(), bare));
+            assertEquals(0, violations(rule.get(), with(bare, new Lived(190, "n0", Life.KILLED, 0))));
+            // The exit of a process may be recorded only after its connections broke.
+            assertEquals(0, violations(rule.get(), with(bare, new Lived(900, "n0", Life.EXITED, 137))));
+            assertEquals(1, violations(rule.get(), with(bare, new Lived(190, "n1", Life.KILLED, 0))));
+            assertEquals(1, violations(rule.get(), with(bare, new Lived(190, "n0", Life.STOPPING, 0))));
+            assertEquals(0, violations(rule.get(),
                     with(bare, new Faulted(150, 0, "cut", List.of("clients>n0"), true))));
-            assertEquals(1, broken(rule.get(), with(bare, new Faulted(150, 0, "cut", List.of("n0>u3"),
+            assertEquals(1, violations(rule.get(), with(bare, new Faulted(150, 0, "cut", List.of("n0>u3"),
                     true))));
-            assertEquals(1, broken(rule.get(), new Faulted(0, 0, "cut", List.of("clients>n0"), true),
+            assertEquals(1, violations(rule.get(), new Faulted(0, 0, "cut", List.of("clients>n0"), true),
                     new Faulted(10, 0, "cut", List.of("clients>n0"), false), sent(9_000, "a", 1),
                     answered(9_100, "a", 1, lost), ended(9_100, 1, 1)), "long after the fault");
             End other = lost == End.BROKEN ? End.SILENT : End.FAILED;
-            assertEquals(0, broken(rule.get(), sent(100, "a", 1), answered(200, "a", 1, other)));
+            assertEquals(0, violations(rule.get(), sent(100, "a", 1), answered(200, "a", 1, other)));
         });
     }
 
@@ -99,69 +99,74 @@
     }
 
     @Test
-    void unsafeRequestsRunOnceAndKeyedOnesInOneCell() {
+    void atMostOnceRequestsRunOnceAndKeyedRequestsInOneCell() {
         Map<String, Effect> effects = Map.of("free", Effect.IDEMPOTENT, "keyed", Effect.DEDUPLICATED, "once",
                 Effect.AT_MOST_ONCE);
         Map<String, Integer> cells = Map.of("u0", 0, "u1", 0, "u2", 1);
         for (String ofClass : effects.keySet()) {
-            assertEquals(0, broken(new NoUnsafeRepeat(effects, cells), arrived(0, "a", "n0", "u0", ofClass,
-                    false), arrived(1, "a", "n0", "u2", ofClass, true)), "turned away first");
-            assertEquals(ofClass.equals("once") ? 1 : 0, broken(new NoUnsafeRepeat(effects, cells),
+            assertEquals(0, violations(new NoUnsafeRepeat(effects, cells),
+                    arrived(0, "a", "n0", "u0", ofClass, false),
+                    arrived(1, "a", "n0", "u2", ofClass, true)), "the first attempt was rejected");
+            assertEquals(ofClass.equals("once") ? 1 : 0, violations(new NoUnsafeRepeat(effects, cells),
                     arrived(0, "a", "n0", "u0", ofClass, true), arrived(1, "a", "n0", "u1", ofClass, true)));
-            assertEquals(ofClass.equals("free") ? 0 : 1, broken(new NoUnsafeRepeat(effects, cells),
+            assertEquals(ofClass.equals("free") ? 0 : 1, violations(new NoUnsafeRepeat(effects, cells),
                     arrived(0, "a", "n0", "u0", ofClass, true), arrived(1, "a", "n0", "u2", ofClass, true)));
-            assertEquals(0, broken(new NoUnsafeRepeat(effects, cells), arrived(0, "a", "n0", "u0", ofClass,
-                    true), arrived(1, "a", "n1", "u2", ofClass, true)),
+            assertEquals(0, violations(new NoUnsafeRepeat(effects, cells),
+                    arrived(0, "a", "n0", "u0", ofClass, true),
+                    arrived(1, "a", "n1", "u2", ofClass, true)),
                     "sent to another balancer by its client");
         }
     }
 
     @Test
-    void nothingNewGoesToWhoDrains() {
+    void drainingUpstreamsGetNoNewAttempts() {
         Told told = new Told(1_000, "n0", "u0", "draining");
-        assertEquals(0, broken(new DrainKept(2_000), told, arrived(2_900, "a", "n0", "u0", "x", true),
+        assertEquals(0, violations(new DrainKept(2_000), told, arrived(2_900, "a", "n0", "u0", "x", true),
                 arrived(9_000, "b", "n1", "u0", "x", true), arrived(9_000, "c", "n0", "u1", "x", true)));
-        assertEquals(1, broken(new DrainKept(2_000), told, arrived(3_001, "a", "n0", "u0", "x", false)));
-        assertEquals(1, broken(new DrainKept(2_000), told, new Told(2_500, "n0", "u0", "removed"),
-                arrived(3_100, "a", "n0", "u0", "x", true)), "the first news counts");
-        assertEquals(0, broken(new DrainKept(2_000), told, new Told(2_500, "n0", "u0", "up"),
-                arrived(3_100, "a", "n0", "u0", "x", true)), "it is back");
-        assertEquals(0, broken(new DrainKept(2_000), new Faulted(900, 0, "cut", List.of("n0>discovery"),
-                true), told, arrived(3_100, "a", "n0", "u0", "x", true)), "the news may not have come");
-        assertEquals(0, broken(new DrainKept(2_000), told,
-                new Arrived(5_000, "a", "n0", "u0", "x", 2_900, 10, true, false)), "it was begun in time");
+        assertEquals(1, violations(new DrainKept(2_000), told, arrived(3_001, "a", "n0", "u0", "x", false)));
+        assertEquals(1, violations(new DrainKept(2_000), told, new Told(2_500, "n0", "u0", "removed"),
+                arrived(3_100, "a", "n0", "u0", "x", true)), "the first notification counts");
+        assertEquals(0, violations(new DrainKept(2_000), told, new Told(2_500, "n0", "u0", "up"),
+                arrived(3_100, "a", "n0", "u0", "x", true)), "the upstream is up again");
+        assertEquals(0, violations(new DrainKept(2_000), new Faulted(900, 0, "cut", List.of("n0>discovery"),
+                true), told, arrived(3_100, "a", "n0", "u0", "x", true)), "the notification may be delayed");
+        assertEquals(0, violations(new DrainKept(2_000), told,
+                new Arrived(5_000, "a", "n0", "u0", "x", 2_900, 10, true, false)),
+                "the attempt began in time");
     }
 
     @Test
-    void whoGivesUpSaysSoAtOnce() {
+    void unattemptedRequestsAreRefusedEarly() {
         for (End end : List.of(End.REFUSED, End.FAILED)) {
             Event late = answered(600, "a", 1, end);
             Event seen = arrived(10, "a", "n0", "u0", "x", true);
-            assertEquals(0, broken(new Promptness(50), sent(0, "a", 1), answered(540, "a", 1, end)));
-            assertEquals(1, broken(new Promptness(50), sent(0, "a", 1), late));
-            assertEquals(0, broken(new Promptness(50), sent(0, "a", 1), seen, late),
-                    "an upstream has seen it");
-            assertEquals(0, broken(new Promptness(50), sent(0, "a", 1),
-                    new Faulted(1, 0, "cut", List.of("n0>u0"), true), late), "it may wait in the link");
-            assertEquals(1, broken(new Promptness(50), sent(0, "a", 1),
-                    new Faulted(1, 0, "cut", List.of("n1>u0"), true), late), "that is another's link");
+            assertEquals(0, violations(new Promptness(50), sent(0, "a", 1), answered(540, "a", 1, end)));
+            assertEquals(1, violations(new Promptness(50), sent(0, "a", 1), late));
+            assertEquals(0, violations(new Promptness(50), sent(0, "a", 1), seen, late),
+                    "an attempt has reached an upstream");
+            assertEquals(0, violations(new Promptness(50), sent(0, "a", 1),
+                    new Faulted(1, 0, "cut", List.of("n0>u0"), true), late),
+                    "an attempt may be held up in the link");
+            assertEquals(1, violations(new Promptness(50), sent(0, "a", 1),
+                    new Faulted(1, 0, "cut", List.of("n1>u0"), true), late),
+                    "the link belongs to another balancer");
         }
     }
 
     @Test
-    void aColdUpstreamIsSentNoMoreThanItsBudget() {
-        // Two cores that begin with a quarter of their speed: 3 x 2 x 0.25 x 1,500 = 2,250 ms of work.
+    void coldUpstreamsStayWithinTheirBudget() {
+        // Two cores that start with a quarter of their speed: 3 x 2 x 0.25 x 1,500 = 2,250 ms of work.
         Began began = new Began(0, "u0", 2, 0.25, 20_000);
         Told told = new Told(10, "n0", "u0", "up");
-        assertEquals(0, broken(new ColdBudget(3, 1_500), stream(began, told, 8)));
-        assertTrue(broken(new ColdBudget(3, 1_500), stream(began, told, 4)) > 0);
-        assertEquals(0, broken(new ColdBudget(3, 1_500),
-                stream(began, new Told(10, "n1", "u0", "up"), 4)), "from who was not told");
-        assertEquals(0, broken(new ColdBudget(3, 1_500),
-                stream(new Began(0, "u0", 2, 1, 0), told, 4)), "to one that is warm");
+        assertEquals(0, violations(new ColdBudget(3, 1_500), stream(began, told, 8)));
+        assertTrue(violations(new ColdBudget(3, 1_500), stream(began, told, 4)) > 0);
+        assertEquals(0, violations(new ColdBudget(3, 1_500),
+                stream(began, new Told(10, "n1", "u0", "up"), 4)), "from a balancer that was not notified");
+        assertEquals(0, violations(new ColdBudget(3, 1_500),
+                stream(new Began(0, "u0", 2, 1, 0), told, 4)), "the upstream is warm");
     }
 
-    /** Work of 10 ms each so many milliseconds, for 1.6 s. */
+    /** Attempts of 10 ms of work at the given interval in milliseconds, for 1.6 s. */
     private static Event[] stream(Began began, Told told, int everyMs) {
         List<Event> events = new ArrayList<>(List.of(began, told));
         for (int at = 20; at < 1_620; at += everyMs) {
@@ -171,7 +176,7 @@
     }
 
     @Test
-    void aHistoryReadsBackAsItWasTold() throws Exception {
+    void historyIsReadBackAsWritten() throws Exception {
         List<Event> told = List.of(sent(0.25, "a", 1), answered(5, "a", 1, End.FAILED), ended(5, 1, 1),
                 arrived(2, "a", "n0", "u0", "x", true), new Told(1, "n0", "u0", "up"),
                 new Began(0, "u0", 2, 0.25, 100), new Faulted(1, 3, "cut \"x\"", List.of("n0>u0"), true),
--- a/src/test/java/cranedeal/lab/report/AnalysisTest.java
+++ b/src/test/java/cranedeal/lab/report/AnalysisTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is made of a history. */
+/** Tests the summary, the comparison and the report that are computed from a history. */
 class AnalysisTest {
 
     private static final Analysis.Bounds NONE = new Analysis.Bounds(0, Double.POSITIVE_INFINITY,
             Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     private static final double LOAD = 1_000;
 
-    /** Ten seconds of 100 requests each; those due from 4 to 6 s fail, and n1 serves none from 4 to 7 s. */
+    /** Ten seconds of 100 requests each. Those due from 4 to 6 s fail; n1 gets none from 4 to 7 s. */
     private static List<Event> history() {
         List<Event> events = new ArrayList<>();
         events.add(new Event.Sent(900, "w", 9_999, "n0", "c", 900, 2_000));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void sharesLatenciesRecoveryAndReturnAreThoseOfTheHistory() {
+    void summaryMatchesTheHistory() {
         Summary summary = summary(history(), NONE, List.of());
         assertEquals(Verdict.HELD, summary.verdict());
         assertEquals(1_000, summary.requests(), "the warm-up does not count");
@@ -74,7 +74,7 @@
         assertEquals(0, summary.seconds().get(4).served());
         Summary.Recovery fault = summary.faults().get(0);
         assertEquals(4_000, fault.beginMs(), 1e-9);
-        // It ended at 5,005 ms; all due from 6,000 ms on is served.
+        // The fault ended at 5,005 ms; all requests due from 6,000 ms on are served.
         assertEquals(995, fault.recoveryMs(), 1e-9);
         Summary.Return back = summary.returns().get(0);
         assertEquals(5, back.readyMs(), 1e-9);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whatMustHoldIsJudgedAndWhatShowsNothingIsNot() {
+    void brokenBoundsAndVoidRunsGetTheirVerdicts() {
         assertEquals(Verdict.BROKEN, summary(history(), new Analysis.Bounds(0.8, 1e9, 1e9, 1e9), List.of())
                 .verdict());
         assertEquals(Verdict.BROKEN, summary(history(), new Analysis.Bounds(0, 3, 1e9, 1e9),
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void runsAreComparedInPairsAndNoiseIsCalledNoise() {
+    void comparisonTellsDifferencesFromNoise() {
         List<Summary> first = runs(0, 0);
         String same = Comparison.text(first, runs(0, 3));
         assertTrue(same.lines().anyMatch(line -> line.startsWith("p50") && line.contains("within the noise")),
@@ -113,7 +113,7 @@
         assertThrows(IllegalArgumentException.class, () -> Comparison.text(first, first.subList(0, 3)));
     }
 
-    /** Eight runs that are slower by something, and noisy by something. */
+    /** Eight runs with a given additional latency and noise, both in milliseconds. */
     private static List<Summary> runs(double slower, double noise) {
         List<Summary> runs = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -128,13 +128,13 @@
     }
 
     @Test
-    void thePageHasTheFiguresAndThePlots(@TempDir Path folder) throws Exception {
+    void reportContainsFaultsComplaintsAndPlots(@TempDir Path folder) throws Exception {
         HtmlReport page = new HtmlReport();
         history().forEach(page);
         Path file = folder.resolve("report.html");
         page.write(summary(history(), NONE, List.of("a <b> & c")), file);
         String html = Files.readString(file);
         assertTrue(html.contains("kill n1") && html.contains("a &lt;b&gt; &amp; c"));
-        assertTrue(html.split("data:image/png;base64,iVBOR").length - 1 >= 3, "three plots at least");
+        assertTrue(html.split("data:image/png;base64,iVBOR").length - 1 >= 3, "at least three plots");
     }
 }
