--- a/src/main/java/cranedeal/lab/standin/AnswerFault.java
+++ b/src/main/java/cranedeal/lab/standin/AnswerFault.java
@@ -1,21 +1,21 @@
 package cranedeal.lab.standin;
 
 /**
- * What goes wrong with one answer of discovery.
+ * A fault injected into one discovery answer.
  *
- * @param afterMs how long after it was due, in milliseconds
+ * @param afterMs the delay after the answer was due, in milliseconds
  */
 public record AnswerFault(Kind kind, double afterMs) {
 
-    /** How an answer goes wrong. */
+    /** The kind of fault. */
     public enum Kind {
-        /** Nothing is written, and the connection stays. */
+        /** Nothing is written, and the connection stays open. */
         SILENT,
-        /** Half is written, and the connection stays. */
+        /** Half of the answer is written, and the connection stays open. */
         HALF,
-        /** Byte after byte is written, and never the last. */
+        /** The answer is written byte by byte and never completed. */
         ENDLESS,
-        /** Half is written, and the connection is reset. */
+        /** Half of the answer is written, and the connection is reset. */
         CUT
     }
 }
--- a/src/main/java/cranedeal/lab/standin/Arrivals.java
+++ b/src/main/java/cranedeal/lab/standin/Arrivals.java
@@ -5,13 +5,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The requests of an open loop: when each is due, whatever becomes of those before. Poisson, with a rate that
- * may be raised for a while. The same seed gives the same requests.
+ * Generates the requests of an open-loop load: a request's due time does not depend on the outcome of
+ * earlier ones. Arrivals are a Poisson process whose rate surges can raise. The same seed gives the same
+ * requests.
  */
 final class Arrivals {
 
     private static final double MS_PER_S = 1_000;
-    private static final double LARGEST = 3;
+    private static final double MAX_WORK_FACTOR = 3;
 
     private final Load load;
     private final RandomGenerator random;
@@ -29,14 +30,14 @@
     }
 
     /**
-     * A request.
+     * One generated request.
      *
-     * @param due when it is due, in milliseconds since the load began; before 0 in the warm-up
-     * @param work its work, in milliseconds of a core of speed 1
+     * @param due its due time, in milliseconds since the counted load began; negative in the warm-up
+     * @param work the work that it takes, in milliseconds on a core of speed 1
      */
     record Arrival(long number, double due, ServiceClass serviceClass, String tenant, double work) { }
 
-    /** The next request; null once the load is over. */
+    /** Returns the next request, or null once the load is over. */
     Arrival next() {
         double highest = load.surges().stream().mapToDouble(Load.Surge::times).reduce(1, Math::max);
         do {
@@ -47,7 +48,8 @@
         }
         number++;
         ServiceClass drawn = serviceClass();
-        return new Arrival(number, at, drawn, tenant(), Math.min(exponential(), LARGEST) * drawn.workMs());
+        return new Arrival(number, at, drawn, tenant(),
+                Math.min(exponential(), MAX_WORK_FACTOR) * drawn.workMs());
     }
 
     private double exponential() {
--- a/src/main/java/cranedeal/lab/standin/Clients.java
+++ b/src/main/java/cranedeal/lab/standin/Clients.java
@@ -32,19 +32,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * All clients: send what is due when it is due, whatever becomes of what was sent before, on connections that
- * they keep for a while and that the front deals out. A request's tries have ids of their own. All state
- * belongs to one loop; if that is too slow, {@link #lateness()} says so.
+ * All clients. They send each request when it is due, regardless of the outcome of earlier ones, on
+ * connections that the front assigns and that they keep alive for a while. Each try of a request has its own
+ * id. All state is confined to one event loop; {@link #lateness()} shows if that loop was too slow.
  */
 public final class Clients {
 
-    /** How long after its time an answer is still waited for, to tell a late one from none at all. */
+    /** How long to wait beyond the deadline, to distinguish a late answer from none at all. */
     public static final double SLACK_MS = 500;
-    /** A kept connection that ends so soon after it is written to may have crossed the request. */
-    private static final double CROSSING_MS = 50;
-    /** How long a new connection may take to come up. */
+    /**
+     * If a kept connection closes within this time after a write, the balancer may have closed it before the
+     * request reached it.
+     */
+    private static final double STALE_CONNECTION_MS = 50;
+    /** The connect timeout. */
     private static final int CONNECT_MS = 1_000;
-    private static final int LARGEST_ANSWER = 1024 * 1024;
+    private static final int MAX_ANSWER_BYTES = 1024 * 1024;
     private static final double MS_PER_S = 1_000;
     private static final double NANOS_PER_MS = 1e6;
     private static final int OK = 200;
@@ -52,7 +55,7 @@
     private static final int UNAVAILABLE = 503;
     private static final ByteBuf BODY = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
             "{\"slot\":\"2026-12-01T10:20\",\"for\":\"somebody\"}", StandardCharsets.UTF_8));
-    private static final int HIGHEST_LATENESS_US = 60_000_000;
+    private static final int MAX_LATENESS_US = 60_000_000;
 
     private final EventLoop loop;
     private final Front front;
@@ -61,7 +64,7 @@
     private final RandomGenerator random;
     private final Consumer<Event> history;
     private final Arrivals arrivals;
-    private final Histogram lateness = new Histogram(HIGHEST_LATENESS_US, 3);
+    private final Histogram lateness = new Histogram(MAX_LATENESS_US, 3);
     private final CompletableFuture<Void> done = new CompletableFuture<>();
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private final Bootstrap bootstrap;
@@ -72,7 +75,7 @@
     private long open;
     private long tries;
 
-    /** Clients that have not begun. */
+    /** Creates the clients without starting them. */
     public Clients(EventLoop loop, Front front, Load load, LabClock clock, RandomGenerator random,
             Consumer<Event> history) {
         this.loop = loop;
@@ -89,12 +92,12 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(),
-                                new HttpObjectAggregator(LARGEST_ANSWER), new Connection());
+                                new HttpObjectAggregator(MAX_ANSWER_BYTES), new Connection());
                     }
                 });
     }
 
-    /** Begins with the warm-up; the result is when that is over and the load counts, on the lab's clock. */
+    /** Starts the warm-up; returns the time on the lab's clock at which it ends and the load counts. */
     public double start() {
         double counts = clock.now() + load.warmUpMs();
         loop.execute(() -> {
@@ -107,17 +110,17 @@
         return counts;
     }
 
-    /** Comes when every request has ended. */
+    /** Completes when every request has ended. */
     public CompletableFuture<Void> done() {
         return done;
     }
 
-    /** How late requests were sent, in microseconds; asked when the clients are done. */
+    /** Returns how late requests were sent, in microseconds. Call it only when the clients are done. */
     public Histogram lateness() {
         return lateness;
     }
 
-    /** How many requests found all connections taken; asked when the clients are done. */
+    /** Returns how many tries failed because all connections were in use. Call it only when done. */
     public long missed() {
         return missed;
     }
@@ -126,7 +129,7 @@
         double now = clock.now() - startedAt;
         while (next != null && next.due() <= now) {
             if (next.due() >= 0) {
-                lateness.recordValue((long) Math.min((now - next.due()) * MS_PER_S, HIGHEST_LATENESS_US));
+                lateness.recordValue((long) Math.min((now - next.due()) * MS_PER_S, MAX_LATENESS_US));
             }
             open++;
             new Request(next).tryOnce();
@@ -147,7 +150,7 @@
         }
     }
 
-    /** A request over all its tries. */
+    /** A request with all its tries. */
     private final class Request {
 
         private final Arrivals.Arrival arrival;
@@ -169,7 +172,7 @@
         }
 
         void ended(End end, double retryAfterMs) {
-            // Who was refused, or reached nobody, may come again; else only what may be repeated.
+            // A refused try, or one that reached no balancer, can be retried; any other only if idempotent.
             boolean harmless = end == End.REFUSED || end == End.UNREACHABLE
                     || arrival.serviceClass().effect() == Effect.IDEMPOTENT;
             double wait = Math.max(retryAfterMs, load.backoffMs() * (1L << tried - 1)
@@ -186,7 +189,7 @@
         }
     }
 
-    /** One try, with an id of its own. */
+    /** One try of a request, with its own id. */
     private final class Try {
 
         private final Request request;
@@ -248,10 +251,10 @@
             });
         }
 
-        /** The connection has ended with no answer. */
+        /** Handles a connection that closed without an answer. */
         void broken(boolean wasKept, double writtenAt) {
             connection = null;
-            if (wasKept && !resent && !over && clock.now() < writtenAt + CROSSING_MS) {
+            if (wasKept && !resent && !over && clock.now() < writtenAt + STALE_CONNECTION_MS) {
                 resent = true;
                 backend = front.next();
                 connect();
@@ -308,7 +311,7 @@
         return null;
     }
 
-    /** A connection to a balancer, and the try that is on it. */
+    /** A connection to a balancer and the try that it carries. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private final double until = clock.now() + load.connectionLifeMs() * (0.5 + random.nextDouble());
--- a/src/main/java/cranedeal/lab/standin/DiscoveryPace.java
+++ b/src/main/java/cranedeal/lab/standin/DiscoveryPace.java
@@ -1,22 +1,22 @@
 package cranedeal.lab.standin;
 
 /**
- * How fast discovery works, in milliseconds.
+ * The processing times of discovery, in milliseconds.
  *
- * @param callMs the time that each call takes; calls are worked through in turn
- * @param answerMs how long each answer is under way, whatever else goes on
- * @param longestTurnMs a call that would wait longer for its turn is answered 503
+ * @param callMs the processing time of each call; calls are processed one after another
+ * @param answerMs the extra delay of each answer, independent of the queue of calls
+ * @param longestTurnMs a call that would wait longer in the queue is answered with 503
  */
 public record DiscoveryPace(double callMs, double answerMs, double longestTurnMs) {
 
-    private static final double LONGEST_TURN_MS = 1_000;
+    private static final double MAX_WAIT_MS = 1_000;
 
-    /** As the protocol has it: a call that waits too long fails. */
+    /** The pace that the protocol specifies: a call that would wait too long fails. */
     public static DiscoveryPace ofCalls(double callMs) {
-        return new DiscoveryPace(callMs, 0, LONGEST_TURN_MS);
+        return new DiscoveryPace(callMs, 0, MAX_WAIT_MS);
     }
 
-    /** Works through all calls in turn, however long they wait, also those whose caller has left. */
+    /** Processes every call however long it waits, also if its caller has disconnected. */
     public static DiscoveryPace patient(double callMs, double answerMs) {
         return new DiscoveryPace(callMs, answerMs, Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/cranedeal/lab/standin/DiscoveryServer.java
+++ b/src/main/java/cranedeal/lab/standin/DiscoveryServer.java
@@ -41,23 +41,24 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Discovery as the protocol has it. It works through calls in turn, and fails those that would wait too long;
- * who asks is known by the address that the link gives the caller. All state belongs to its loop.
+ * A discovery server that follows the protocol. It processes calls one after another and rejects those that
+ * would wait too long. It identifies the caller by the IP address that the caller's link uses. All state is
+ * confined to its event loop.
  */
 public final class DiscoveryServer {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final int LARGEST = 16 * 1024;
-    private static final long PIECE_MS = 100;
-    private static final long LONGEST_WATCH_MS = 60_000;
+    private static final int MAX_REQUEST_BYTES = 16 * 1024;
+    private static final long BYTE_INTERVAL_MS = 100;
+    private static final long MAX_WATCH_MS = 60_000;
     private static final double NANOS_PER_MS = 1e6;
 
     private final EventLoop loop;
     private final LabClock clock;
     private DiscoveryPace pace;
-    /** What goes wrong with the next answers, in turn. */
+    /** The faults to inject into the next answers, one each, in order. */
     private final Deque<AnswerFault> faults = new ArrayDeque<>();
-    private final Map<InetAddress, Integer> askers;
+    private final Map<InetAddress, Integer> callerByAddress;
     private final Map<Integer, String> names;
     private final BiFunction<Integer, Integer, InetSocketAddress> links;
     private final Consumer<Event> history;
@@ -70,11 +71,11 @@
     private record Watch(ChannelHandlerContext from, int asker, long index) { }
 
     /**
-     * Discovery with an empty list.
+     * Creates a discovery server with an empty list.
      *
-     * @param callMs how long it works on one call, in milliseconds
-     * @param names the parties that may ask, by number; with their IP addresses in {@code askers}
-     * @param links where a party (the first) reaches another
+     * @param callMs the processing time of one call, in milliseconds
+     * @param names the names of the parties that may call, by number; {@code askers} has their IP addresses
+     * @param links returns the address at which a party (the first argument) reaches another (the second)
      */
     public DiscoveryServer(EventLoop loop, LabClock clock, double callMs, Map<InetAddress, Integer> askers,
             Map<Integer, String> names, BiFunction<Integer, Integer, InetSocketAddress> links,
@@ -82,20 +83,20 @@
         this.loop = loop;
         this.clock = clock;
         pace = DiscoveryPace.ofCalls(callMs);
-        this.askers = Map.copyOf(askers);
+        this.callerByAddress = Map.copyOf(askers);
         this.names = Map.copyOf(names);
         this.links = links;
         this.history = history;
     }
 
-    /** Listens; throws {@link IOException} where it can't. */
+    /** Starts listening; throws {@link IOException} if the address cannot be bound. */
     public void bind(InetSocketAddress address) throws IOException {
         var bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST),
-                                new Calls());
+                        channel.pipeline().addLast(new HttpServerCodec(),
+                                new HttpObjectAggregator(MAX_REQUEST_BYTES), new Calls());
                     }
                 }).bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -104,33 +105,33 @@
         listening = bound.channel();
     }
 
-    /** Lists an upstream that was always there. */
+    /** Adds an upstream with state {@code up} and start time 0, without answering pending watches. */
     public Future<?> list(String id, int party, String zone, String kind, int cell, double weight) {
         return loop.submit(() -> catalog.put(new Catalog.Entry(id, party, zone, kind, cell, "up", weight,
                 0)));
     }
 
-    /** Lists an upstream as {@code draining} or {@code removed}. */
+    /** Changes an upstream's state to {@code draining} or {@code removed}. */
     public Future<?> state(String id, String state) {
-        return change(id, entry -> entry.in(state));
+        return change(id, entry -> entry.withState(state));
     }
 
-    /** Lists an upstream as up, started at a time (Unix, milliseconds). */
+    /** Changes an upstream's state to {@code up} with a start time in Unix milliseconds. */
     public Future<?> started(String id, long unixMs) {
         return change(id, entry -> entry.startedAt(unixMs));
     }
 
-    /** Takes upstreams off the list, all in one change. */
+    /** Removes upstreams; pending watches are answered once, after all are removed. */
     public Future<?> remove(Collection<String> ids) {
-        return change(ids, entry -> entry.in("removed"));
+        return change(ids, entry -> entry.withState("removed"));
     }
 
-    /** Works at another pace from now on. */
+    /** Changes the processing times from now on. */
     public Future<?> setPace(DiscoveryPace changed) {
         return loop.submit(() -> pace = changed);
     }
 
-    /** Has the next answers go wrong, in turn. */
+    /** Queues faults for the next answers, one each, in order. */
     public Future<?> addFaults(Collection<AnswerFault> next) {
         return loop.submit(() -> faults.addAll(next));
     }
@@ -148,17 +149,17 @@
         });
     }
 
-    /** The whole list as a party is told it, for its configuration. */
+    /** Returns the whole list as a party receives it, for that party's configuration. */
     public Future<ObjectNode> known(int asker) {
         return loop.submit(() -> list(asker, true, catalog.all()));
     }
 
-    /** The bytes of all lists that it has told so far; any thread may ask. */
+    /** Returns the total size of all lists sent so far, in bytes. Safe to call from any thread. */
     public long listBytes() {
         return listBytes.get();
     }
 
-    /** Ends. */
+    /** Stops listening. */
     public void close() {
         if (listening != null) {
             listening.close().awaitUninterruptibly();
@@ -180,8 +181,8 @@
     }
 
     private void answerChanges(ChannelHandlerContext to, int asker, long index) {
-        boolean known = catalog.knowsSince(index);
-        answerList(to, asker, !known, known ? catalog.since(index) : catalog.all());
+        boolean known = catalog.hasChangesSince(index);
+        answerList(to, asker, !known, known ? catalog.changesSince(index) : catalog.all());
     }
 
     private void answerList(ChannelHandlerContext to, int asker, boolean full, List<Catalog.Entry> entries) {
@@ -231,7 +232,7 @@
         }
     }
 
-    /** Writes the head and the first bytes of an answer. */
+    /** Writes the headers and the first bytes of an answer's body. */
     private static ChannelFuture writePart(ChannelHandlerContext to, DefaultFullHttpResponse response,
             int bytes) {
         DefaultHttpResponse head = new DefaultHttpResponse(response.protocolVersion(), response.status(),
@@ -243,17 +244,18 @@
     private void writePieces(ChannelHandlerContext to, int left) {
         if (left > 0 && to.channel().isActive()) {
             to.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[] {' '})));
-            loop.schedule(() -> writePieces(to, left - 1), PIECE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> writePieces(to, left - 1), BYTE_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The calls of one connection. */
+    /** Handles the calls of one connection. */
     private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
-            Integer asker = askers.get(((InetSocketAddress) ctx.channel().remoteAddress()).getAddress());
+            Integer asker = callerByAddress.get(
+                    ((InetSocketAddress) ctx.channel().remoteAddress()).getAddress());
             if (!uri.path().equals("/catalog/members") || asker == null) {
                 answer(ctx, HttpResponseStatus.NOT_FOUND, "{}");
                 return;
@@ -266,7 +268,7 @@
             busyUntil = Math.max(busyUntil, now) + pace.callMs();
             String index = uri.parameters().getOrDefault("index", List.of("")).get(0);
             long wait = Long.parseLong(uri.parameters().getOrDefault("wait", List.of("0")).get(0));
-            loop.schedule(() -> serve(ctx, asker, index, Math.min(wait, LONGEST_WATCH_MS)),
+            loop.schedule(() -> serve(ctx, asker, index, Math.min(wait, MAX_WATCH_MS)),
                     (long) ((busyUntil - now) * NANOS_PER_MS), TimeUnit.NANOSECONDS);
         }
 
--- a/src/main/java/cranedeal/lab/standin/Front.java
+++ b/src/main/java/cranedeal/lab/standin/Front.java
@@ -16,33 +16,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The front: deals out clients' connections in turn among the balancers that answer {@code GET /_health} with
- * 200. It asks now and then, so that the death of one is noticed late. All state belongs to its loop.
+ * The front: distributes clients' connections round-robin over the balancers that answer {@code GET /_health}
+ * with 200. Health is polled at an interval, so a balancer's failure is noticed with a delay. All state is
+ * confined to its event loop.
  */
 public final class Front {
 
-    /** A balancer, and where clients reach it. */
+    /** A balancer and the address at which clients reach it. */
     public record Backend(String name, InetSocketAddress address) { }
 
-    private static final Duration PATIENCE = Duration.ofSeconds(1);
+    private static final Duration TIMEOUT = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final Map<String, Backend> backends = new LinkedHashMap<>();
-    private final List<Backend> taking = new ArrayList<>();
+    private final List<Backend> available = new ArrayList<>();
     private final HttpClient http;
     private final long everyMs;
     private int turn;
 
-    /** A front that asks each balancer so often, in milliseconds. */
+    /** Creates a front that polls each balancer's health every {@code everyMs} milliseconds. */
     public Front(EventLoop loop, List<Backend> backends, long everyMs) {
         this.loop = loop;
         this.everyMs = everyMs;
         backends.forEach(backend -> this.backends.put(backend.name(), backend));
-        http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE)
+        http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT)
                 .executor(loop).build();
     }
 
-    /** Asks from now on. */
+    /** Starts polling. */
     public void start() {
         loop.scheduleAtFixedRate(() -> backends.values().forEach(this::ask), 0, everyMs,
                 TimeUnit.MILLISECONDS);
@@ -53,7 +54,7 @@
                 status -> take(backend.name(), status == 200), loop);
     }
 
-    /** Takes a balancer in, or sends it no new connections. */
+    /** Adds a balancer to the rotation, or removes it so that it gets no new connections. */
     public void take(String name, boolean in) {
         if (!loop.inEventLoop()) {
             loop.execute(() -> take(name, in));
@@ -61,28 +62,28 @@
         }
         Backend backend = backends.get(name);
         if (!in) {
-            taking.remove(backend);
-        } else if (!taking.contains(backend)) {
-            taking.add(backend);
+            available.remove(backend);
+        } else if (!available.contains(backend)) {
+            available.add(backend);
         }
     }
 
-    /** The balancer that gets the next connection; null if none takes any. */
+    /** Returns the balancer that gets the next connection, or null if none is available. */
     Backend next() {
         turn++;
-        return taking.isEmpty() ? null : taking.get(Math.floorMod(turn, taking.size()));
+        return available.isEmpty() ? null : available.get(Math.floorMod(turn, available.size()));
     }
 
-    /** The status of a GET, or -1 if there was no answer. */
+    /** Sends a GET; the result is the response's status, or -1 if there was no answer. */
     public static CompletableFuture<Integer> status(HttpClient http, String uri) {
-        HttpRequest request = HttpRequest.newBuilder(URI.create(uri)).timeout(PATIENCE).build();
+        HttpRequest request = HttpRequest.newBuilder(URI.create(uri)).timeout(TIMEOUT).build();
         return http.sendAsync(request, HttpResponse.BodyHandlers.discarding())
                 .handle((answer, failure) -> failure == null ? answer.statusCode() : -1);
     }
 
-    /** What a process's door says; throws {@link IOException} where it says nothing. */
+    /** Returns the body that a process's admin endpoint answers; throws {@link IOException} if none comes. */
     public static String read(HttpClient http, String uri) throws IOException, InterruptedException {
-        return http.send(HttpRequest.newBuilder(URI.create(uri)).timeout(PATIENCE).build(),
+        return http.send(HttpRequest.newBuilder(URI.create(uri)).timeout(TIMEOUT).build(),
                 HttpResponse.BodyHandlers.ofString()).body();
     }
 }
--- a/src/main/java/cranedeal/lab/standin/LabClock.java
+++ b/src/main/java/cranedeal/lab/standin/LabClock.java
@@ -1,12 +1,12 @@
 package cranedeal.lab.standin;
 
-/** The lab's own clock: milliseconds since the experiment's start, which never go back. */
+/** A monotonic clock in milliseconds since the start of the experiment. */
 public final class LabClock {
 
     private static final double NANOS_PER_MS = 1e6;
     private final long start = System.nanoTime();
 
-    /** Milliseconds since this clock was made. */
+    /** Returns the milliseconds since this clock was created. */
     public double now() {
         return (System.nanoTime() - start) / NANOS_PER_MS;
     }
--- a/src/main/java/cranedeal/lab/standin/Load.java
+++ b/src/main/java/cranedeal/lab/standin/Load.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * What clients ask for, and how they behave.
+ * The load that clients generate, and how they retry and connect.
  *
- * @param ratePerS how many requests are due in a second, outside surges
- * @param warmUpMs how long before that the same load already comes, uncounted, until all are warm
- * @param durationMs how long it counts, in milliseconds
- * @param tenants the tenants' parts of the traffic, in relation to one another; may be empty
- * @param tries how often a client tries a request at most
- * @param backoffMs how long it waits before its first retry; twice as long before each further one
- * @param connectionLifeMs how long it keeps a connection on average
- * @param connections how many connections all clients may have open; the load is void if that is too few
+ * @param ratePerS requests due per second, outside surges
+ * @param warmUpMs the duration of the warm-up, in milliseconds: the same load, but not counted
+ * @param durationMs the duration of the counted part, in milliseconds
+ * @param tenants the tenants' relative shares of the traffic; may be empty
+ * @param tries the maximum number of tries of a request, the first included
+ * @param backoffMs the backoff before the first retry, in milliseconds; doubled for each further one
+ * @param connectionLifeMs the mean lifetime of a connection, in milliseconds
+ * @param connections the maximum number of open connections of all clients; too few make the run invalid
  */
 public record Load(double ratePerS, double warmUpMs, double durationMs, List<ServiceClass> classes,
         Map<String, Double> tenants, List<Surge> surges, int tries, double backoffMs, double connectionLifeMs,
         int connections) {
 
-    /** For a while, so many times the usual rate; times in milliseconds since the load began. */
+    /** A period at {@code times} the usual rate; bounds in milliseconds since the counted load began. */
     public record Surge(double fromMs, double toMs, double times) { }
 
     double timesAt(double at) {
--- a/src/main/java/cranedeal/lab/standin/SeenKeys.java
+++ b/src/main/java/cranedeal/lab/standin/SeenKeys.java
@@ -5,31 +5,32 @@
 import java.util.Map;
 
 /**
- * The keys that the upstreams of one cell have seen: a request's repeat is thrown away there, and answered
- * when the first is done. Its upstreams run on several loops, so it is locked. Times are milliseconds.
+ * The idempotency keys that the upstreams of one cell have seen. A repeated request does no work there and is
+ * answered when the first one is done. The upstreams run on several event loops, so access is synchronized.
+ * Times are in milliseconds.
  */
 public final class SeenKeys {
 
-    /** Beyond it the oldest are forgotten early. */
-    private static final int MOST = 100_000;
+    /** Beyond this number the oldest keys are dropped before they expire. */
+    private static final int MAX_KEYS = 100_000;
 
     private record Seen(double at, double doneAt) { }
 
     private final double memoryMs;
     private final Map<String, Seen> seen = new LinkedHashMap<>();
 
-    /** Keys are remembered for so long from when they are first seen. */
+    /** Keeps each key for {@code memoryMs} milliseconds after it was first seen. */
     public SeenKeys(double memoryMs) {
         this.memoryMs = memoryMs;
     }
 
-    /** Remembers a key whose work will be done at a time. */
+    /** Records a key whose work will be done at {@code doneAt}. */
     synchronized void add(String key, double now, double doneAt) {
         forget(now);
         seen.putIfAbsent(key, new Seen(now, doneAt));
     }
 
-    /** When the work of a key that was seen is done; NaN if it was not seen, or too long ago. */
+    /** Returns the time at which a key's work is done, or NaN if the key is unknown or expired. */
     synchronized double doneAt(String key, double now) {
         forget(now);
         Seen earlier = seen.get(key);
@@ -38,7 +39,7 @@
 
     private void forget(double now) {
         Iterator<Seen> oldest = seen.values().iterator();
-        while (oldest.hasNext() && (oldest.next().at() + memoryMs <= now || seen.size() > MOST)) {
+        while (oldest.hasNext() && (oldest.next().at() + memoryMs <= now || seen.size() > MAX_KEYS)) {
             oldest.remove();
         }
     }
--- a/src/main/java/cranedeal/lab/standin/ServiceClass.java
+++ b/src/main/java/cranedeal/lab/standin/ServiceClass.java
@@ -3,13 +3,13 @@
 import cranedeal.lab.history.Effect;
 
 /**
- * A class of requests.
+ * A service class of requests.
  *
- * @param share its part of the traffic, in relation to the others'
- * @param workMs how long a request occupies a core of speed 1 on average, in milliseconds; drawn from an
- *     exponential distribution, three times that at most
- * @param aimMs the time within which an answer is worth all
- * @param deadlineMs how long a client waits over all its tries
+ * @param share its share of the traffic, relative to the other classes
+ * @param workMs the mean time that a request occupies a core of speed 1, in milliseconds; drawn from an
+ *     exponential distribution that is capped at three times the mean
+ * @param aimMs the latency target in milliseconds; an answer within it has its full worth
+ * @param deadlineMs how long a client waits in total, over all its tries, in milliseconds
  */
 public record ServiceClass(String name, Effect effect, double share, double workMs, double aimMs,
         double deadlineMs, double worth) {
--- a/src/main/java/cranedeal/lab/standin/UpstreamCore.java
+++ b/src/main/java/cranedeal/lab/standin/UpstreamCore.java
@@ -5,9 +5,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One upstream's process: cores that work one request each, a waiting room behind them, and a cold start over
- * which its capacity grows evenly. The keys that its cell has seen outlast it. It has no clock; times are
- * milliseconds.
+ * A model of one upstream process: cores that each process one request at a time, a bounded queue, and a cold
+ * start during which capacity grows linearly. The keys that its cell has seen survive its restart. It has no
+ * clock; the caller passes the time in milliseconds.
  */
 final class UpstreamCore {
 
@@ -16,10 +16,10 @@
     private final SeenKeys seen;
     private final double startedAt;
     private final boolean cold;
-    /** When each core is free. */
+    /** The time at which each core becomes free. */
     private final double[] freeAt;
-    /** When each request that waits will begin, in order. */
-    private final ArrayDeque<Double> begins = new ArrayDeque<>();
+    /** The times at which the queued requests will start, in order. */
+    private final ArrayDeque<Double> waitingStarts = new ArrayDeque<>();
     private double slowness = 1;
     private double failing;
     private boolean draining;
@@ -35,25 +35,25 @@
     }
 
     /**
-     * What becomes of a request.
+     * The outcome of a request.
      *
-     * @param taken false if it was turned away
-     * @param failing whether its answer is 500
-     * @param doneAt when it is answered
+     * @param taken false if the request was rejected
+     * @param failing true if its answer is 500
+     * @param doneAt the time at which it is answered
      */
     record Admission(boolean taken, boolean failing, double doneAt) { }
 
-    /** Everything takes so many times as long from now on; 1 for in order. */
+    /** Multiplies the processing time of new requests by a factor; 1 is normal speed. */
     void slow(double times) {
         slowness = times;
     }
 
-    /** This share of the requests fails, and at once. */
+    /** Makes this share of the requests fail immediately. */
     void fail(double share) {
         failing = share;
     }
 
-    /** From now on it wants nothing new. */
+    /** Rejects all new requests from now on. */
     void drain() {
         draining = true;
     }
@@ -63,16 +63,16 @@
     }
 
     /**
-     * Takes a request in or turns it away.
+     * Accepts or rejects a request.
      *
-     * @param work how long it occupies a core of speed 1, unless it is a repeat
-     * @param key what it has in common with its repeats; null if it may run again
+     * @param work how long it occupies a core of speed 1, in milliseconds; ignored for a repeated request
+     * @param key the idempotency key that it shares with its repeats; null if it may run again
      */
     Admission arrive(double now, double work, String key) {
-        while (!begins.isEmpty() && begins.peek() <= now) {
-            begins.poll();
+        while (!waitingStarts.isEmpty() && waitingStarts.peek() <= now) {
+            waitingStarts.poll();
         }
-        if (draining || begins.size() >= kind.queue()) {
+        if (draining || waitingStarts.size() >= kind.queue()) {
             return new Admission(false, false, now);
         }
         if (failing > 0 && random.nextDouble() < failing) {
@@ -91,7 +91,7 @@
         double begin = Math.max(now, freeAt[core]);
         freeAt[core] = begin + work * slowness / (kind.speed() * share(begin));
         if (begin > now) {
-            begins.add(begin);
+            waitingStarts.add(begin);
         }
         boolean fails = kind.errorRate() > 0 && random.nextDouble() < kind.errorRate();
         if (key != null && !fails) {
@@ -100,7 +100,7 @@
         return new Admission(true, fails, freeAt[core]);
     }
 
-    /** The share of its full capacity that it has at a time. */
+    /** Returns the share of full capacity that is available at a time. */
     double share(double now) {
         double age = now - startedAt;
         if (!cold || age >= kind.warmMs()) {
--- a/src/main/java/cranedeal/lab/standin/UpstreamServer.java
+++ b/src/main/java/cranedeal/lab/standin/UpstreamServer.java
@@ -32,13 +32,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An upstream as the protocol has it, in the lab's process. It listens for good: that its process is down,
- * the links to it say. The work of a request stands in its query ({@code w=}, in milliseconds). All state
- * belongs to its loop.
+ * An upstream that follows the protocol, inside the lab's process. It keeps listening all the time; the links
+ * to it simulate a process that is down. A request's query carries its work ({@code w=}, in milliseconds).
+ * All state is confined to its event loop.
  */
 public final class UpstreamServer {
 
-    private static final int LARGEST = 128 * 1024;
+    private static final int MAX_REQUEST_BYTES = 128 * 1024;
     private static final int BACKLOG = 1_024;
     private static final double NANOS_PER_MS = 1e6;
 
@@ -55,7 +55,7 @@
     private int connections;
     private Channel listening;
 
-    /** An upstream that is warm already; {@code seen} is common to its cell. */
+    /** Creates an upstream that is already warm; {@code seen} is shared by its cell. */
     public UpstreamServer(String name, UpstreamKind kind, EventLoop loop, LabClock clock,
             RandomGenerator random, Function<InetAddress, String> balancers, Consumer<Event> history,
             SeenKeys seen) {
@@ -72,7 +72,7 @@
         core = new UpstreamCore(kind, clock.now(), false, random, seen);
     }
 
-    /** Listens; throws {@link IOException} where it can't. */
+    /** Starts listening; throws {@link IOException} if the address cannot be bound. */
     public void bind(InetSocketAddress address) throws IOException {
         var bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -80,8 +80,8 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new Heads(),
-                                new HttpObjectAggregator(LARGEST), new Requests());
+                        channel.pipeline().addLast(new HttpServerCodec(), new RequestStartRecorder(),
+                                new HttpObjectAggregator(MAX_REQUEST_BYTES), new Requests());
                     }
                 }).bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -95,7 +95,7 @@
         return name;
     }
 
-    /** Its process starts anew, and is cold. */
+    /** Simulates a restart of its process, which is cold afterwards. */
     public Future<?> restart() {
         return loop.submit(() -> {
             core = new UpstreamCore(kind, clock.now(), true, random, seen);
@@ -104,34 +104,34 @@
         });
     }
 
-    /** It takes so many times as long for everything; 1 for in order. */
+    /** Multiplies the processing time of new requests by a factor; 1 is normal speed. */
     public Future<?> slow(double times) {
         return loop.submit(() -> core.slow(times));
     }
 
-    /** A share of its answers is 500, and at once. */
+    /** Answers this share of the requests with 500 immediately. */
     public Future<?> fail(double share) {
         return loop.submit(() -> core.fail(share));
     }
 
-    /** It wants nothing new until it is restarted. */
+    /** Rejects new requests until the next restart. */
     public Future<?> drain() {
         return loop.submit(() -> core.drain());
     }
 
-    /** Ends. */
+    /** Stops listening. */
     public void close() {
         if (listening != null) {
             listening.close().awaitUninterruptibly();
         }
     }
 
-    /** Notes when a request begins to come. */
-    private final class Heads extends SimpleChannelInboundHandler<Object> {
+    /** Records the time at which a request's headers arrive. */
+    private final class RequestStartRecorder extends SimpleChannelInboundHandler<Object> {
 
         private double begun;
 
-        Heads() {
+        RequestStartRecorder() {
             super(false);
         }
 
@@ -180,7 +180,8 @@
             InetSocketAddress from = (InetSocketAddress) ctx.channel().remoteAddress();
             String balancer = balancers.apply(from.getAddress());
             history.accept(new Event.Arrived(now, id, balancer, name, uri.path().split("/")[1],
-                    ctx.pipeline().get(Heads.class).begun, work, admission.taken(), admission.failing()));
+                    ctx.pipeline().get(RequestStartRecorder.class).begun, work, admission.taken(),
+                    admission.failing()));
             if (!admission.taken()) {
                 answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, keep, true);
                 return;
--- a/src/main/java/cranedeal/lab/standin/package-info.java
+++ b/src/main/java/cranedeal/lab/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for the parties around the program, written from the platform's documents: upstreams, discovery,
- * the front that deals out connections, and the clients. What an upstream's queue or a list does is decided
- * in cores without socket or clock; the servers and clients around them are Netty's.
+ * Stand-ins for the systems around the balancer, written from the platform's documents: upstreams, discovery,
+ * the front that distributes connections, and the clients. The logic of an upstream's queue and of the list
+ * is in classes without sockets or clocks; the servers and clients around them use Netty.
  */
 package cranedeal.lab.standin;
--- a/src/test/java/cranedeal/lab/standin/CoresTest.java
+++ b/src/test/java/cranedeal/lab/standin/CoresTest.java
@@ -72,17 +72,18 @@
         catalog.put(first);
         long version = catalog.version();
         catalog.put(new Catalog.Entry("u1", 2, "a", "k", 0, "up", 1, 0));
-        catalog.put(first.in("draining"));
-        assertEquals(List.of("u1", "u0"), catalog.since(version).stream().map(Catalog.Entry::id).toList());
-        assertTrue(catalog.since(catalog.version()).isEmpty());
-        catalog.put(first.in("removed"));
+        catalog.put(first.withState("draining"));
+        assertEquals(List.of("u1", "u0"), catalog.changesSince(version).stream().map(Catalog.Entry::id)
+                .toList());
+        assertTrue(catalog.changesSince(catalog.version()).isEmpty());
+        catalog.put(first.withState("removed"));
         assertEquals(1, catalog.all().size());
-        assertTrue(catalog.knowsSince(version));
+        assertTrue(catalog.hasChangesSince(version));
         for (int i = 0; i < 2_000; i++) {
             catalog.put(new Catalog.Entry("gone" + i, 3, "a", "k", 0, "removed", 1, 0));
         }
-        assertFalse(catalog.knowsSince(version));
-        assertFalse(catalog.knowsSince(catalog.version() + 1), "a version that was never told");
+        assertFalse(catalog.hasChangesSince(version));
+        assertFalse(catalog.hasChangesSince(catalog.version() + 1), "a version that was never told");
         assertEquals(1, catalog.all().size());
     }
 
