--- a/src/main/java/cranedeal/lab/hollow/HollowBalancer.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowBalancer.java
@@ -12,8 +12,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * One balancer without its data path. It can be ended and started again any number of times; whom it knew
- * outlasts that, in memory, as a disk would keep it. Called by one thread at a time.
+ * One balancer without its data path. It can be stopped and started again any number of times; the peers that
+ * it knew are kept in memory across restarts, as a disk would keep them. Called by one thread at a time.
  */
 final class HollowBalancer {
 
@@ -23,7 +23,7 @@
     private final EventLoop watching;
     private final Executor disk;
     private final LongSupplier seeds;
-    private final PeerStore book = new PeerStore() {
+    private final PeerStore peerStore = new PeerStore() {
 
         private volatile byte[] kept;
 
@@ -39,14 +39,14 @@
     };
     private FleetMember member;
     private DiscoveryWatch watch;
-    /** The newest version of the list that discovery has told. */
-    private volatile long listed;
+    /** The newest version of the list received from discovery. */
+    private volatile long listVersion;
 
     /**
-     * One that has not started.
+     * Creates a balancer without starting it.
      *
-     * @param file its whole configuration, by which it watches discovery; null if it does not
-     * @param seeds another number for each start
+     * @param file its complete configuration, for its discovery watch; null for no watch
+     * @param seeds supplies a different random seed for each start
      */
     HollowBalancer(FleetMember.Config config, Path file, EventLoop loop, EventLoop watching, Executor disk,
             LongSupplier seeds) {
@@ -66,42 +66,42 @@
         return member != null;
     }
 
-    long listed() {
-        return listed;
+    long listVersion() {
+        return listVersion;
     }
 
-    /** Starts it, if it does not run. */
+    /** Starts it unless it is running. */
     void start() throws IOException {
         if (member != null) {
             return;
         }
         if (file != null) {
-            watch = DiscoveryWatch.open(watching, file, version -> listed = version);
+            watch = DiscoveryWatch.open(watching, file, version -> listVersion = version);
         }
-        // Another process of it has another number, as in the program.
+        // Each start gets a new random seed, as each process does in production.
         member = new FleetMember(new FleetMember.Config(config.fleet(), config.name(), config.listen(),
                 config.advertise(), List.copyOf(config.seeds()), config.role(), config.version(),
-                config.settings(), seeds.getAsLong()), book, loop, disk);
+                config.settings(), seeds.getAsLong()), peerStore, loop, disk);
         member.start();
     }
 
-    /** Ends it without a word, as a process that is killed. */
+    /** Stops it without notifying other members, like a killed process. */
     void kill() {
         if (member != null) {
             member.handOver();
-            ended();
+            clear();
         }
     }
 
-    /** Ends it as SIGTERM does: it tells the others that it leaves. */
+    /** Stops it as SIGTERM does: it notifies the other members that it leaves. */
     void leave() {
         if (member != null) {
             member.leave();
-            ended();
+            clear();
         }
     }
 
-    private void ended() {
+    private void clear() {
         member = null;
         if (watch != null) {
             watch.close();
@@ -109,8 +109,8 @@
         }
     }
 
-    /** What membership has counted, at most half a second old; empty if it does not run. */
-    Map<String, Long> figures() {
+    /** Returns the membership metrics, at most half a second old; empty if it is not running. */
+    Map<String, Long> metrics() {
         return member == null ? Map.of() : member.metrics();
     }
 }
--- a/src/main/java/cranedeal/lab/hollow/HollowCommand.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowCommand.java
@@ -13,11 +13,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what control costs a balancer, over real sockets. */
+/** Measures the cost of a balancer's control traffic over real sockets. */
 @Command(name = "hollow", mixinStandardHelpOptions = true,
-        description = "Runs hollow balancers, which do all of a balancer's control and serve nothing, over"
-                + " real sockets, and prints what that cost each: at rest, when a sixth of them is killed at"
-                + " one moment, and when those come back.")
+        description = "Runs hollow balancers, which do all of a balancer's control work and serve no traffic,"
+                + " over real sockets, and prints the cost of each: idle, when a sixth of them is killed at"
+                + " once, and when those are started again.")
 public final class HollowCommand implements Callable<Integer> {
 
     private static final JsonMapper JSON = new JsonMapper();
@@ -25,28 +25,31 @@
     @Spec
     private CommandSpec spec;
     @Option(names = "--members", paramLabel = "N", defaultValue = "520",
-            description = "How many; default ${DEFAULT-VALUE}.")
+            description = "The number of balancers; default ${DEFAULT-VALUE}.")
     private int members;
     @Option(names = "--processes", paramLabel = "N", defaultValue = "2",
-            description = "In how many processes; default ${DEFAULT-VALUE}.")
+            description = "The number of processes; default ${DEFAULT-VALUE}.")
     private int processes;
     @Option(names = "--seconds", paramLabel = "S", defaultValue = "15",
-            description = "How long they are measured at rest; default ${DEFAULT-VALUE}.")
+            description = "How long they are measured while idle; default ${DEFAULT-VALUE}.")
     private int seconds;
     @Option(names = "--period-ms", paramLabel = "MS", defaultValue = "1000",
             description = "The probe period; default ${DEFAULT-VALUE}.")
     private int periodMs;
-    @Option(names = "--out", required = true, paramLabel = "DIR", description = "Where files and logs go.")
+    @Option(names = "--out", required = true, paramLabel = "DIR",
+            description = "The folder for files and logs.")
     private Path out;
-    @Option(names = "--json", description = "Answer in JSON.")
+    @Option(names = "--json", description = "Print the result as JSON.")
     private boolean json;
 
     @Override
     public Integer call() throws CommandException, InterruptedException {
-        if (members < 6 || members > HollowTrial.MOST || processes < 1 || processes > members || seconds < 1
+        if (members < 6 || members > HollowTrial.MAX_MEMBERS || processes < 1 || processes > members
+                || seconds < 1
                 || periodMs < 100 || periodMs > 60_000) {
-            throw new CommandException(Program.USAGE_ERROR, "6 to " + HollowTrial.MOST + " members, a process"
-                    + " for each at most, 1 second or more and a period of 100 to 60000 ms are wanted");
+            throw new CommandException(Program.USAGE_ERROR, "6 to " + HollowTrial.MAX_MEMBERS
+                    + " members, at most one process per member, at least 1 second and a period of 100 to"
+                    + " 60000 ms are required");
         }
         try (HollowTrial trial = new HollowTrial(members, processes, periodMs, out)) {
             HollowTrial.Result result = trial.run(seconds);
--- a/src/main/java/cranedeal/lab/hollow/HollowConfig.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowConfig.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a process of hollow balancers is told, as JSON. Addresses are loopback ones with their port.
+ * The configuration of a process of hollow balancers, as JSON. Addresses are loopback addresses with a port.
  *
- * @param control where the lab calls it
+ * @param control the address at which the lab calls the process
  * @param fleet the name of the fleet
- * @param periodMs how often each probes another member, in milliseconds
- * @param loops over how many event loops its balancers are dealt out
- * @param seeds where members are found at first, as others are told to reach them
+ * @param periodMs the probe period of each member, in milliseconds
+ * @param loops the number of event loops over which the balancers are distributed
+ * @param seeds the advertised addresses of the members to join through
  */
 public record HollowConfig(String control, String fleet, int periodMs, int loops, List<String> seeds,
         List<Balancer> balancers) {
@@ -17,10 +17,10 @@
     /**
      * One hollow balancer.
      *
-     * @param listen where its datagrams and calls come in
-     * @param advertise where the others are told to reach it
-     * @param config the file of a balancer's whole configuration, by which it watches discovery; null if it
-     *     does not
+     * @param listen the address that receives its datagrams and calls
+     * @param advertise the address at which the other members reach it
+     * @param config the file of a balancer's complete configuration, for its discovery watch; null for no
+     *     watch
      */
     public record Balancer(String name, String listen, String advertise, String config) { }
 }
--- a/src/main/java/cranedeal/lab/hollow/HollowProcess.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowProcess.java
@@ -31,25 +31,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The process of many hollow balancers. The lab calls it over HTTP: {@code /window} tells what was spent
- * since the last such call, {@code /memory} the heap in use after a collection, {@code /views} what
- * the named ones see, and {@code /start}, {@code /kill} and {@code /leave} do that to the named ones.
- * All calls are answered in turn, by one thread that also takes the readings.
+ * The process that runs many hollow balancers. The lab calls it over HTTP: {@code /window} returns the
+ * resource use since the last such call, {@code /memory} the heap in use after a garbage collection,
+ * {@code /views} the views of the named balancers; {@code /start}, {@code /kill} and {@code /leave} act on
+ * the named balancers. One thread answers all calls in order and also takes the readings.
  */
 public final class HollowProcess {
 
     private static final JsonMapper JSON = new JsonMapper();
-    /** A balancer of this lab knows no more others, as in the program. */
-    private static final int MOST_MEMBERS = 2_000;
+    /** The maximum number of other members that a balancer knows, as in production. */
+    private static final int MAX_MEMBERS = 2_000;
     private static final double NANOS_PER_MS = 1e6;
 
     /**
-     * What some balancers see of the fleet.
+     * A summary of how some balancers see the fleet.
      *
-     * @param running how many of them run
-     * @param least the fewest members that one of them sees present, itself among them; 0 if none runs
-     * @param most the most that one sees
-     * @param listed the oldest version of discovery's list that one of them has; 0 if one has none
+     * @param running how many of them are running
+     * @param least the minimum number of present members that one of them sees, with itself; 0 if none runs
+     * @param most the maximum number that one of them sees
+     * @param listed the oldest version of discovery's list among them; 0 if one has no list
      */
     public record Views(int running, long least, long most, long listed) { }
 
@@ -70,7 +70,7 @@
         for (HollowConfig.Balancer one : config.balancers()) {
             FleetMember.Config its = new FleetMember.Config(config.fleet(), one.name(),
                     address(one.listen()), address(one.advertise()), seeds, "serve", "hollow",
-                    new Settings(config.periodMs(), Settings.DEFAULTS.forgetMs(), MOST_MEMBERS, true, true),
+                    new Settings(config.periodMs(), Settings.DEFAULTS.forgetMs(), MAX_MEMBERS, true, true),
                     0);
             balancers.put(one.name(), new HollowBalancer(its,
                     one.config() == null ? null : Path.of(one.config()), members.next(), watching, disk,
@@ -78,7 +78,7 @@
         }
     }
 
-    /** The argument is the file of a {@link HollowConfig}; says {@code ready} once it can be called. */
+    /** The argument is the file of a {@link HollowConfig}; prints {@code ready} once it accepts calls. */
     public static void main(String[] args) throws IOException {
         HollowConfig config = JSON.readValue(Path.of(args[0]).toFile(), HollowConfig.class);
         new HollowProcess(config).serve(address(config.control()));
@@ -96,7 +96,7 @@
             return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("'" + text + "' is no address with a port", e);
+            throw new IllegalArgumentException("'" + text + "' is not an address with a port", e);
         }
     }
 
@@ -111,7 +111,7 @@
     private void sample() {
         Map<String, Meter.Reading> readings = new HashMap<>();
         for (HollowBalancer balancer : balancers.values()) {
-            Map<String, Long> figures = balancer.figures();
+            Map<String, Long> figures = balancer.metrics();
             if (!figures.isEmpty()) {
                 readings.put(balancer.name(), Meter.Reading.of(figures));
             }
@@ -121,7 +121,7 @@
                 clocks.stream().mapToDouble(LoopClock::takeMostLateMs).max().orElse(0));
     }
 
-    /** Measures how late a loop comes to what is due, since all its balancers wait for one another. */
+    /** Measures the delay of an event loop's timers, because all balancers of a loop share its time. */
     private static final class LoopClock {
 
         private static final long EVERY_MS = 20;
@@ -144,7 +144,7 @@
             }, due - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
 
-        /** The most since this was asked last; one value may get lost between reading and clearing. */
+        /** Returns the maximum since the previous call; a value may get lost between read and reset. */
         double takeMostLateMs() {
             double most = mostLateMs;
             mostLateMs = 0;
@@ -188,11 +188,11 @@
                 named(body).forEach(HollowBalancer::leave);
                 return true;
             default:
-                throw new IllegalArgumentException(path + " is no call");
+                throw new IllegalArgumentException(path + " is not a known call");
         }
     }
 
-    /** Those whose names are given and that are of this process. */
+    /** Returns the named balancers that belong to this process. */
     private Collection<HollowBalancer> named(byte[] body) throws IOException {
         List<String> names = JSON.readValue(body, new TypeReference<List<String>>() { });
         return names.stream().filter(balancers::containsKey).map(balancers::get).toList();
@@ -203,10 +203,10 @@
         return new Views(running.size(),
                 running.stream().mapToLong(HollowProcess::present).min().orElse(0),
                 running.stream().mapToLong(HollowProcess::present).max().orElse(0),
-                running.stream().mapToLong(HollowBalancer::listed).min().orElse(0));
+                running.stream().mapToLong(HollowBalancer::listVersion).min().orElse(0));
     }
 
     private static long present(HollowBalancer balancer) {
-        return balancer.figures().getOrDefault("fleet.members", 0L);
+        return balancer.metrics().getOrDefault("fleet.members", 0L);
     }
 }
--- a/src/main/java/cranedeal/lab/hollow/HollowTrial.java
+++ b/src/main/java/cranedeal/lab/hollow/HollowTrial.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Hollow balancers straight at one another, with no relay between them: joined, left at rest, a sixth of them
- * killed at one moment, and those started again. Closing it ends its processes.
+ * A trial of hollow balancers that are connected directly, without relays: they join, run idle, a sixth of
+ * them is killed at once, and those are started again. Closing the trial ends its processes.
  */
 final class HollowTrial implements AutoCloseable {
 
-    static final int MOST = 5_000;
+    static final int MAX_MEMBERS = 5_000;
     private static final int SEEDS = 3;
-    /** So many join at a time: all at once, they would share loops in the one minute that they need most. */
+    /** How many members start per wave; all at once would overload the shared loops while they join. */
     private static final int WAVE = 20;
     private static final long WAVE_MS = 250;
-    private static final long LOOK_EVERY_MS = 100;
-    private static final long LONGEST_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final long STEP_TIMEOUT_MS = 30_000;
     private static final long SETTLE_MS = 3_000;
     private static final double MS = 1_000;
     private static final double NANOS_PER_MS = 1e6;
@@ -32,13 +32,13 @@
     private final int members;
     private final int periodMs;
     private final AddressBlock addresses = AddressBlock.reserve();
-    private final ProcessSupervisor warden;
+    private final ProcessSupervisor supervisor;
     private final List<HollowGroup> groups = new ArrayList<>();
 
     /**
-     * What a member spent in a while, by the second; shares are of one core.
+     * The average resource use per member and second; CPU shares are of one core.
      *
-     * @param lateMs the most that a loop was late, which its members share
+     * @param lateMs the maximum delay of an event loop, which its members share
      */
     record Spent(int seconds, double datagramsPerS, double bytesSentPerS, double bytesReceivedPerS,
             double syncsPerS, double cpuShare, double peakCpuShare, long peakBytes, double lateMs) {
@@ -58,24 +58,24 @@
     }
 
     /**
-     * What a trial has shown. A time is NaN where views were not right half a minute after the step.
+     * The result of a trial. A time is NaN if the views were still wrong half a minute after the step.
      *
-     * @param joinedMs from the start of the first, which the others follow in waves, until each saw all
-     * @param heapBytesEach the heap in use after a collection, less that before any started, by member
-     * @param residentKb of all processes
-     * @param killedMs from the kill until no view held one of the killed
-     * @param backMs from their start until each saw all
+     * @param joinedMs the time from the start of the first wave until each member saw all
+     * @param heapBytesEach the growth of the heap in use after a garbage collection, per member
+     * @param residentKb the resident memory of all processes
+     * @param killedMs the time from the kill until no view contained a killed member
+     * @param backMs the time from their restart until each member saw all
      */
     record Result(int members, int processes, int periodMs, double joinedMs, double heapBytesEach,
             long residentKb, double killedMs, double backMs, Spent joining, Spent atRest, Spent killed,
             Spent back) { }
 
-    /** Processes that have started, with none of their balancers running. */
+    /** Starts the processes without running any balancer. */
     HollowTrial(int members, int processes, int periodMs, Path folder)
             throws IOException, InterruptedException {
         this.members = members;
         this.periodMs = periodMs;
-        warden = new ProcessSupervisor();
+        supervisor = new ProcessSupervisor();
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         boolean whole = false;
         try {
@@ -90,7 +90,7 @@
                 }
                 int loops = Math.max(1, Runtime.getRuntime().availableProcessors() / processes);
                 groups.add(HollowGroup.start("hollow-" + i, new HollowConfig(control(members + i), "trial",
-                        periodMs, loops, seeds, its), folder, warden, http));
+                        periodMs, loops, seeds, its), folder, supervisor, http));
             }
             whole = true;
         } finally {
@@ -108,7 +108,7 @@
         return addresses.ip(number).getHostAddress() + ":" + AddressBlock.ADMIN_PORT;
     }
 
-    /** Plays it. */
+    /** Runs the trial. */
     Result run(int seconds) throws IOException, InterruptedException {
         Set<String> all = new TreeSet<>();
         groups.forEach(group -> all.addAll(group.names()));
@@ -155,21 +155,21 @@
         }
     }
 
-    /** What is done to the balancers. */
+    /** An operation on balancers. */
     private interface Step {
         void run() throws IOException, InterruptedException;
     }
 
-    /** How long after a step all of these see so many, in milliseconds; NaN if they never did. */
+    /** Returns the time after a step until all of these see the expected count, in ms; NaN on timeout. */
     private double after(Step step, Set<String> names, int present) throws IOException, InterruptedException {
         long from = System.nanoTime();
         step.run();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STEP_TIMEOUT_MS);
         while (!agree(names, present)) {
             if (System.nanoTime() > end) {
                 return Double.NaN;
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return (System.nanoTime() - from) / NANOS_PER_MS;
     }
@@ -204,7 +204,7 @@
 
     @Override
     public void close() throws IOException {
-        warden.close();
+        supervisor.close();
         addresses.close();
     }
 }
--- a/src/main/java/cranedeal/lab/hollow/Meter.java
+++ b/src/main/java/cranedeal/lab/hollow/Meter.java
@@ -4,19 +4,20 @@
 import java.util.Map;
 
 /**
- * What balancers have spent, added up from readings a second apart, until it is asked for. It has no clock.
+ * Sums up the resource use of balancers from readings taken once per second, until a window is read. It has
+ * no clock.
  */
 public final class Meter {
 
     /**
-     * What one process of a balancer has counted since it began; the bytes are those of datagrams and of the
-     * bodies of full exchanges.
+     * The counters of one balancer process since its start. Bytes are those of datagrams and of the bodies of
+     * full exchanges.
      */
     public record Reading(long datagrams, long bytesSent, long bytesReceived, long syncs) {
 
         private static final Reading NONE = new Reading(0, 0, 0, 0);
 
-        /** By the figures of membership. */
+        /** Creates a reading from the metrics of membership. */
         public static Reading of(Map<String, Long> figures) {
             return new Reading(figures.get("fleet.datagrams_sent"),
                     figures.get("fleet.bytes_sent") + figures.get("fleet.call_bytes_sent"),
@@ -24,7 +25,7 @@
                     figures.get("fleet.syncs"));
         }
 
-        /** What has come since an earlier one; a count that went back has begun anew. */
+        /** Returns the increase since an earlier reading; a counter that went down was reset by a restart. */
         private Reading since(Reading before) {
             Reading from = datagrams < before.datagrams || bytesReceived < before.bytesReceived ? NONE
                     : before;
@@ -34,15 +35,15 @@
     }
 
     /**
-     * The seconds since it was asked last.
+     * The totals since the previous window was read.
      *
-     * @param balancerSeconds over how many balancers and seconds the sums go
-     * @param peakBytes the most bytes that one balancer sent and received in one second
-     * @param peakBalancer which one
-     * @param cpuMs what the process used, its garbage collector and compiler too
-     * @param peakCpuMs the most that it used in one second, by its balancers
-     * @param lateMs the most that one of its loops was late: far over some ten, and what its balancers do is
-     *     no longer what they would do each on its own
+     * @param balancerSeconds the number of running balancers, summed over the seconds
+     * @param peakBytes the maximum bytes that one balancer sent and received in one second
+     * @param peakBalancer the name of that balancer
+     * @param cpuMs the CPU time of the process, garbage collector and JIT compiler included
+     * @param peakCpuMs the maximum CPU time in one second, divided by the number of running balancers
+     * @param lateMs the maximum delay of an event loop; far above about 10 ms the balancers no longer behave
+     *     as they would in processes of their own
      */
     public record Window(int seconds, long balancerSeconds, long datagrams, long bytesSent,
             long bytesReceived, long syncs, long peakBytes, String peakBalancer, double cpuMs,
@@ -57,14 +58,14 @@
     private String peakBalancer = "";
     private double cpuMs;
     private double peakCpuMs;
-    private double mostLateMs;
+    private double maxLateMs;
 
     /**
-     * Takes one second's readings in.
+     * Adds the readings of one second.
      *
-     * @param readings of those that run; one that is left out begins anew with its next
-     * @param processCpuMs what the process has used since it began
-     * @param lateMs the most that one of its loops was late in this second
+     * @param readings those of the running balancers; a balancer left out starts from zero with its next one
+     * @param processCpuMs the CPU time of the process since its start
+     * @param lateMs the maximum delay of an event loop in this second
      */
     public void sample(Map<String, Reading> readings, double processCpuMs, double lateMs) {
         last.keySet().retainAll(readings.keySet());
@@ -72,7 +73,7 @@
             Reading before = last.put(name, now);
             add(name, now.since(before == null ? Reading.NONE : before));
         });
-        mostLateMs = Math.max(mostLateMs, lateMs);
+        maxLateMs = Math.max(maxLateMs, lateMs);
         seconds++;
         balancerSeconds += readings.size();
         cpuMs += processCpuMs - lastCpuMs;
@@ -92,11 +93,11 @@
         }
     }
 
-    /** What was spent since this was asked last. */
+    /** Returns the totals since the previous call and starts a new window. */
     public Window window() {
         Window window = new Window(seconds, balancerSeconds, sum.datagrams, sum.bytesSent, sum.bytesReceived,
                 sum.syncs, peakBytes, peakBalancer, cpuMs, peakCpuMs,
-                mostLateMs);
+                maxLateMs);
         seconds = 0;
         balancerSeconds = 0;
         sum = Reading.NONE;
@@ -104,7 +105,7 @@
         peakBalancer = "";
         cpuMs = 0;
         peakCpuMs = 0;
-        mostLateMs = 0;
+        maxLateMs = 0;
         return window;
     }
 }
--- a/src/main/java/cranedeal/lab/hollow/package-info.java
+++ b/src/main/java/cranedeal/lab/hollow/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Hollow balancers: what a balancer does for control (membership, the watch of discovery) over real sockets,
- * hundreds to a process, with no data path behind it. So a fleet can be played on one machine that has no
- * room for as many whole balancers.
+ * Hollow balancers: the control side of a balancer (membership, the discovery watch) over real sockets,
+ * without the data path, hundreds per process. A large fleet can so run on one machine that could not hold as
+ * many complete balancers.
  */
 package cranedeal.lab.hollow;
--- a/src/main/java/cranedeal/lab/swarm/Network.java
+++ b/src/main/java/cranedeal/lab/swarm/Network.java
@@ -1,27 +1,27 @@
 package cranedeal.lab.swarm;
 
 /**
- * What is wrong with the network between the members of a swarm, and with some of them.
+ * The faults of the network between the members of a swarm, and of slow members.
  *
  * @param loss the share of datagrams that are lost
- * @param duplicate the share that come twice
- * @param delayMs how long a datagram takes at least
- * @param jitterMs up to how much longer; datagrams overtake one another within it
- * @param slow the share of members that are slow: stopped for a time, then running for a time, over and over
- * @param stoppedMs how long such a member is stopped at a time
- * @param runningMs how long it runs in between
+ * @param duplicate the share of datagrams that are delivered twice
+ * @param delayMs the minimum delay of a datagram, in milliseconds
+ * @param jitterMs the maximum additional delay, in milliseconds; datagrams may be reordered within it
+ * @param slow the share of slow members, which alternate between stopped and running
+ * @param stoppedMs how long a slow member is stopped at a time, in milliseconds
+ * @param runningMs how long it runs in between, in milliseconds
  */
 public record Network(double loss, double duplicate, double delayMs, double jitterMs, double slow,
         double stoppedMs, double runningMs) {
 
-    /** A network and members in order. */
+    /** A network without loss and without slow members. */
     public static final Network GOOD = new Network(0, 0, 0.2, 1, 0, 0, 0);
 
-    /** Throws {@link IllegalArgumentException} for shares that are none and times below 0. */
+    /** Throws {@link IllegalArgumentException} for shares outside 0 to 1 and invalid times. */
     public Network {
         for (double share : new double[] {loss, duplicate, slow}) {
             if (!(share >= 0 && share <= 1)) {
-                throw new IllegalArgumentException(share + " is no share");
+                throw new IllegalArgumentException(share + " is not a share between 0 and 1");
             }
         }
         if (!(delayMs >= 0 && jitterMs >= 0 && stoppedMs >= 0 && runningMs >= 0)
@@ -30,12 +30,12 @@
         }
     }
 
-    /** The same with other loss. */
+    /** Returns a copy with a different loss. */
     public Network losing(double share) {
         return new Network(share, duplicate, delayMs, jitterMs, slow, stoppedMs, runningMs);
     }
 
-    /** The same with slow members. */
+    /** Returns a copy with slow members. */
     public Network slowing(double share, double stopped, double running) {
         return new Network(loss, duplicate, delayMs, jitterMs, share, stopped, running);
     }
--- a/src/main/java/cranedeal/lab/swarm/Swarm.java
+++ b/src/main/java/cranedeal/lab/swarm/Swarm.java
@@ -21,20 +21,20 @@
 import java.util.function.BiPredicate;
 import java.util.function.Predicate;
 
-/** A fleet in virtual time. The same seed plays the same, to the last datagram. */
+/** A simulated fleet in virtual time. The same seed reproduces a run exactly, to the last datagram. */
 public final class Swarm {
 
     private static final int PORT = 9_000;
     private static final int HOSTS = 250;
-    /** How long a full exchange takes. */
+    /** The duration of a full exchange. */
     private static final double SYNC_MS = 3;
-    /** Encoding all datagrams would take longer than all the rest. */
+    /** Only a sample of datagrams is encoded; encoding all would take longer than the rest of the run. */
     private static final int SAMPLE = 16;
-    /** How long a process that goes on takes to see what came for it. */
+    /** How long a resumed process takes to read the datagrams that arrived while it was stopped. */
     private static final double WAKING_MS = 0.01;
     private static final String FLEET = "swarm";
 
-    /** Something that happens to a member: a datagram, or its time has come if there is none. */
+    /** An event of a member: a received datagram, or a timer if there is no datagram. */
     private record Event(double at, long number, Node node, int process, Node source, Message message,
             Runnable task) { }
 
@@ -44,25 +44,25 @@
             Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
     private final List<Node> nodes = new ArrayList<>();
     private final Map<InetSocketAddress, Node> byAddress = new HashMap<>();
-    private final Set<String> wronged = new HashSet<>();
+    private final Set<String> falseDetections = new HashSet<>();
     private final Map<String, Faulty> deaths = new HashMap<>();
     private Network network;
-    /** Whether a datagram from the first may reach the second. */
-    private BiPredicate<Integer, Integer> open = (from, to) -> true;
-    /** One of so many datagrams is encoded, to see how large they are. */
-    private int sample = SAMPLE;
+    /** Returns true if a datagram from the first member can reach the second. */
+    private BiPredicate<Integer, Integer> canReach = (from, to) -> true;
+    /** One of this many datagrams is encoded to measure its size. */
+    private int sampleInterval = SAMPLE;
     private double now;
     private long count;
     private int wrongedHealthy;
 
-    /** A swarm without members. */
+    /** Creates a swarm without members. */
     public Swarm(Settings settings, Network network, long seed) {
         this.settings = settings;
         this.network = network;
         random = new SplittableRandom(seed);
     }
 
-    /** How the death of a member became known: when first, and when to all that live; times since it died. */
+    /** The detection of a member's failure: the first and the last detection, since the failure. */
     public static final class Faulty {
 
         private final double diedAt;
@@ -74,23 +74,23 @@
             this.diedAt = diedAt;
         }
 
-        /** When the first member took it for dead. */
+        /** Returns when the first member considered it dead. */
         public double firstMs() {
             return firstMs;
         }
 
-        /** When the last one did so far. */
+        /** Returns when the latest member so far considered it dead. */
         public double lastMs() {
             return lastMs;
         }
 
-        /** How many do. */
+        /** Returns how many members consider it dead. */
         public int knowing() {
             return knowing.size();
         }
     }
 
-    /** One member, over all its processes. */
+    /** One member across its restarts. */
     private final class Node implements Actions {
 
         private final int index;
@@ -127,8 +127,8 @@
             schedule();
         }
 
-        /** Until when it is stopped at a time; that time if it runs. */
-        double runsFrom(double time) {
+        /** Returns when a member that is stopped at the given time resumes; that time if it is running. */
+        double resumesAt(double time) {
             while (slow && time >= nextStop + network.stoppedMs()) {
                 nextStop += network.stoppedMs() + network.runningMs();
             }
@@ -146,13 +146,13 @@
         @Override
         public void send(InetSocketAddress to, Message message) {
             messages++;
-            if (messages % sample == 0) {
-                bytes += sample * (long) message.encodedSize(FLEET);
+            if (messages % sampleInterval == 0) {
+                bytes += sampleInterval * (long) message.encodedSize(FLEET);
             }
             Node target = byAddress.get(to);
             int copies = random.nextDouble() < network.loss() ? 0
                     : random.nextDouble() < network.duplicate() ? 2 : 1;
-            for (int i = 0; i < copies && target != null && open.test(index, target.index); i++) {
+            for (int i = 0; i < copies && target != null && canReach.test(index, target.index); i++) {
                 add(now + network.delayMs() + network.jitterMs() * random.nextDouble(), target, this, message,
                         null);
             }
@@ -162,7 +162,8 @@
         public void sync(InetSocketAddress with) {
             syncs++;
             Node target = byAddress.get(with);
-            if (target == null || !open.test(index, target.index) || !open.test(target.index, index)) {
+            if (target == null || !canReach.test(index, target.index)
+                    || !canReach.test(target.index, index)) {
                 return;
             }
             int its = process;
@@ -182,8 +183,8 @@
             }
             Node target = byAddress.get(member.address());
             Faulty death = deaths.get(member.name());
-            if (target.up && open.test(target.index, index) && open.test(index, target.index)) {
-                if (wronged.add(member.name() + "/" + member.incarnation()) && !target.slow) {
+            if (target.up && canReach.test(target.index, index) && canReach.test(index, target.index)) {
+                if (falseDetections.add(member.name() + "/" + member.incarnation()) && !target.slow) {
                     wrongedHealthy++;
                 }
             } else if (!target.up && death != null && death.knowing.add(index)) {
@@ -194,7 +195,7 @@
 
         @Override
         public void isolationChanged(boolean isIsolated) {
-            // Asked for where it matters.
+            // Read where it is needed.
         }
 
         @Override
@@ -216,14 +217,14 @@
         events.add(new Event(Math.max(at, now), count++, node, node.process, source, message, task));
     }
 
-    /** From now on the size of every datagram counts, not that of a sample: one second shows it then. */
+    /** Measures every datagram from now on instead of a sample, so that one second is enough. */
     public void countAll() {
-        sample = 1;
+        sampleInterval = 1;
     }
 
-    // ---- What is done to it ------------------------------------------------------------------------
+    // ---- Operations --------------------------------------------------------------------------------
 
-    /** Adds members that all know one another from the start, slow ones among them as the network says. */
+    /** Adds members that all know one another; the network gives the share of slow ones. */
     public void populate(int members) {
         List<Member> known = new ArrayList<>();
         int slow = (int) Math.round(network.slow() * members);
@@ -240,7 +241,7 @@
         }
     }
 
-    /** Starts a member that knows some addresses and, from its last run, some members. */
+    /** Starts a member with seed addresses and the members that it knew in its last run. */
     public void start(int member, List<Integer> seeds, List<Integer> known, long incarnation) {
         while (nodes.size() <= member) {
             Node node = new Node(nodes.size(), false);
@@ -252,7 +253,7 @@
                 .map(one -> nodes.get(one).core.self()).toList(), incarnation);
     }
 
-    /** A member's process dies without a word. */
+    /** Kills a member without notifying the others. */
     public Faulty kill(int member) {
         nodes.get(member).up = false;
         nodes.get(member).wake = Double.POSITIVE_INFINITY;
@@ -261,36 +262,36 @@
         return death;
     }
 
-    /** A member leaves in order. */
+    /** Makes a member leave gracefully. */
     public void leave(int member) {
         nodes.get(member).core.leave(now);
         nodes.get(member).up = false;
         nodes.get(member).wake = Double.POSITIVE_INFINITY;
     }
 
-    /** A member is stopped for a time, and goes on then as if nothing had been. */
+    /** Suspends a member for a time; it then resumes where it stopped. */
     public void stop(int member, double ms) {
         nodes.get(member).stoppedUntil = now + ms;
     }
 
-    /** From now on only what this allows goes from a first member to a second. */
+    /** Restricts from now on which member can reach which other one. */
     public void cut(BiPredicate<Integer, Integer> isOpen) {
-        open = isOpen;
+        canReach = isOpen;
     }
 
-    /** From now on the network is another; who is slow stays. */
+    /** Replaces the network's faults from now on; the set of slow members stays. */
     public void network(Network other) {
         network = other;
     }
 
-    /** A datagram comes to a member out of nowhere. */
+    /** Delivers a datagram of an unknown sender to a member. */
     public void inject(int member, InetSocketAddress source, Message message) {
         Node target = nodes.get(member);
         target.core.received(now, source, message);
         target.schedule();
     }
 
-    /** Lets time pass. */
+    /** Advances virtual time. */
     public void run(double ms) {
         double end = now + ms;
         while (!events.isEmpty() && events.peek().at() <= end) {
@@ -307,9 +308,9 @@
         if (!node.up || event.process() != node.process) {
             return;
         }
-        double from = node.runsFrom(now);
+        double from = node.resumesAt(now);
         if (from > now) {
-            // What came meanwhile waits in its socket, and a process may see to its timers first.
+            // Datagrams that arrived meanwhile wait in the socket; the process may run its timers first.
             add(isWake ? from : from + WAKING_MS, node, event.source(), event.message(), event.task());
             return;
         }
@@ -324,7 +325,7 @@
         node.schedule();
     }
 
-    /** Lets time pass until something is so; how long that took, infinite if it did not come in time. */
+    /** Advances time until a condition holds; returns how long that took, infinity on timeout. */
     public double runUntil(Predicate<Swarm> so, double everyMs, double longestMs) {
         double begun = now;
         while (!so.test(this)) {
@@ -336,61 +337,61 @@
         return now - begun;
     }
 
-    // ---- What is seen of it ------------------------------------------------------------------------
+    // ---- Measurements ------------------------------------------------------------------------------
 
-    /** Whether all members that live have one view, and each has all of them in it. */
+    /** Returns true if all live members have the same view, with all of them in it. */
     public boolean agrees() {
         List<Node> up = nodes.stream().filter(node -> node.up).toList();
         return up.stream().allMatch(node -> node.core.digest() == up.get(0).core.digest()
                 && node.core.presentCount() == up.size());
     }
 
-    /** What a member thinks of another; null if it knows nothing of it. */
+    /** Returns a member's view of another one, or null if it does not know it. */
     public State view(int of, int other) {
         return nodes.get(of).core.stateOf(nodes.get(other).name());
     }
 
-    /** A member's core. */
+    /** Returns a member's core. */
     public Membership core(int member) {
         return nodes.get(member).core;
     }
 
-    /** Whether a member's process lives, and is a member. */
+    /** Returns true if a member's process is running and it is a member. */
     public boolean isUp(int member) {
         return nodes.get(member).up;
     }
 
-    /** The address of a member. */
+    /** Returns the address of a member. */
     public InetSocketAddress addressOf(int member) {
         return nodes.get(member).address;
     }
 
-    /** How often a member that lived and was reached was taken for dead by any; the healthy ones alone. */
+    /** Returns how often a live, reachable member was considered dead; slow members excluded. */
     public int wrongedHealthy() {
         return wrongedHealthy;
     }
 
-    /** The same with the slow ones. */
+    /** Returns the same count with slow members included. */
     public int wronged() {
-        return wronged.size();
+        return falseDetections.size();
     }
 
-    /** How many bytes all members have sent in datagrams, by a sample of them or all. */
+    /** Returns the bytes of datagrams that all members have sent, estimated from a sample or exact. */
     public long bytes() {
         return nodes.stream().mapToLong(node -> node.bytes).sum();
     }
 
-    /** How many bytes a member has sent in datagrams, over all its processes. */
+    /** Returns the bytes of datagrams that a member has sent, across its restarts. */
     public long bytes(int member) {
         return nodes.get(member).bytes;
     }
 
-    /** How many datagrams all members have sent. */
+    /** Returns how many datagrams all members have sent. */
     public long messages() {
         return nodes.stream().mapToLong(node -> node.messages).sum();
     }
 
-    /** How many full exchanges all members have begun. */
+    /** Returns how many full exchanges all members have started. */
     public long syncs() {
         return nodes.stream().mapToLong(node -> node.syncs).sum();
     }
--- a/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
+++ b/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
@@ -13,28 +13,28 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Plays a fleet in virtual time, and prints what it measured. */
+/** Simulates a fleet in virtual time and prints measurements. */
 @Command(name = "swarm", mixinStandardHelpOptions = true,
-        description = "Plays the membership of a fleet in virtual time, up to thousands of members.")
+        description = "Simulates the membership of a fleet of up to thousands of members in virtual time.")
 public final class SwarmCommand implements Callable<Integer> {
 
-    private static final int MOST = 20_000;
+    private static final int MAX_MEMBERS = 20_000;
     private static final double S = 1_000;
     private static final double HOUR = 3_600 * S;
-    private static final double LONGEST = 300 * S;
+    private static final double TIMEOUT = 300 * S;
     private static final double LOOK = 50;
 
-    /** What is done to the fleet. */
+    /** The scenario to run. */
     enum Play {
-        /** Nothing: who is wrongly called faulty, and what goes over the network. */
+        /** No faults: measures false failure detections and network traffic. */
         CALM,
-        /** One member after the other is killed. */
+        /** Members are killed one after another. */
         KILLS,
-        /** A third is killed at one moment. */
+        /** A third of the members is killed at once. */
         THIRD,
-        /** Two halves are cut apart for a time, and meet again. */
+        /** The fleet is partitioned into two halves for a time, then healed. */
         HALVES,
-        /** All are killed, and started on what they knew, with no seed. */
+        /** All members are killed and restarted with the members they knew and no seeds. */
         RESTART
     }
 
@@ -50,17 +50,20 @@
     @Option(names = "--loss", paramLabel = "SHARE", defaultValue = "0")
     private double loss;
     @Option(names = "--slow", paramLabel = "SHARE", defaultValue = "0",
-            description = "Members that are stopped over and over.")
+            description = "The share of members that are stopped repeatedly.")
     private double slow;
-    @Option(names = "--stopped-ms", defaultValue = "4000", description = "How long at a time.")
+    @Option(names = "--stopped-ms", defaultValue = "4000",
+            description = "How long a slow member is stopped at a time.")
     private double stoppedMs;
-    @Option(names = "--running-ms", defaultValue = "1000", description = "How long in between.")
+    @Option(names = "--running-ms", defaultValue = "1000",
+            description = "How long a slow member runs in between.")
     private double runningMs;
     @Option(names = "--period-ms", defaultValue = "1000", description = "The probe period.")
     private double periodMs;
-    @Option(names = "--seconds", defaultValue = "60", description = "How long CALM and the cut last.")
+    @Option(names = "--seconds", defaultValue = "60",
+            description = "The duration of CALM and of the partition.")
     private double seconds;
-    @Option(names = "--times", defaultValue = "20", description = "How many KILLS.")
+    @Option(names = "--times", defaultValue = "20", description = "The number of KILLS.")
     private int times;
     @Option(names = "--plain", description = "Without Lifeguard's refinements.")
     private boolean plain;
@@ -69,13 +72,13 @@
 
     @Override
     public Integer call() throws CommandException {
-        if (members < 2 || members > MOST || times < 1 || times >= members || !(seconds > 0)) {
-            throw new CommandException(Program.USAGE_ERROR, "2 to " + MOST + " members, fewer kills than"
-                    + " members, and a time above 0 are wanted");
+        if (members < 2 || members > MAX_MEMBERS || times < 1 || times >= members || !(seconds > 0)) {
+            throw new CommandException(Program.USAGE_ERROR, "2 to " + MAX_MEMBERS
+                    + " members, fewer kills than members, and a time above 0 are required");
         }
         Swarm swarm;
         try {
-            swarm = new Swarm(new Settings(periodMs, Settings.DEFAULTS.forgetMs(), MOST, !plain,
+            swarm = new Swarm(new Settings(periodMs, Settings.DEFAULTS.forgetMs(), MAX_MEMBERS, !plain,
                     !ignorePauses),
                     Network.GOOD.losing(loss).slowing(slow, stoppedMs, runningMs), seed);
         } catch (IllegalArgumentException e) {
@@ -115,7 +118,7 @@
         for (int i = 0; i < times; i++) {
             Swarm.Faulty death = swarm.kill(members - 1 - i);
             int left = members - 1 - i;
-            swarm.runUntil(now -> death.knowing() == left, LOOK, LONGEST);
+            swarm.runUntil(now -> death.knowing() == left, LOOK, TIMEOUT);
             first.add(death.firstMs());
             all.add(death.knowing() == left ? death.lastMs() : Double.POSITIVE_INFINITY);
         }
@@ -129,7 +132,7 @@
         for (int i = 0; i < dead; i++) {
             deaths.add(swarm.kill(members - 1 - i));
         }
-        swarm.runUntil(Swarm::agrees, LOOK, LONGEST);
+        swarm.runUntil(Swarm::agrees, LOOK, TIMEOUT);
         List<Double> first = deaths.stream().map(Swarm.Faulty::firstMs).toList();
         List<Double> all = deaths.stream().map(Swarm.Faulty::lastMs).toList();
         line(out, "%d members, %d killed at once: first taken for dead after %s ms, by all after %s ms;"
@@ -145,7 +148,7 @@
         swarm.cut((from, to) -> true);
         long bytes = swarm.bytes();
         long syncs = swarm.syncs();
-        double took = swarm.runUntil(Swarm::agrees, LOOK, LONGEST);
+        double took = swarm.runUntil(Swarm::agrees, LOOK, TIMEOUT);
         line(out, "%d members, halves apart for %.0f s (a member saw %d), together again after %.0f ms, with"
                 + " %.0f bytes in datagrams and %.1f full exchanges a member", members, seconds, seen, took,
                 (swarm.bytes() - bytes) / (double) members, (swarm.syncs() - syncs) / (double) members);
@@ -159,7 +162,7 @@
         }
         swarm.run(S);
         all.forEach(one -> swarm.start(one, List.of(), all, 2));
-        double took = swarm.runUntil(Swarm::agrees, LOOK, LONGEST);
+        double took = swarm.runUntil(Swarm::agrees, LOOK, TIMEOUT);
         line(out, "%d members, all killed and started with no seed: one view after %.0f ms", members, took);
     }
 
--- a/src/main/java/cranedeal/lab/swarm/package-info.java
+++ b/src/main/java/cranedeal/lab/swarm/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets of up to thousands of members in one process and in virtual time: the core of membership as the
- * program runs it, on a network that loses, delays and cuts. No socket, no clock, no thread.
+ * Simulates fleets of up to thousands of members in one process and in virtual time: the production
+ * membership core on a network with loss, delays and partitions. It uses no sockets, clocks or threads.
  */
 package cranedeal.lab.swarm;
