--- a/src/test/java/cranedeal/lab/hollow/HollowBalancersTest.java
+++ b/src/test/java/cranedeal/lab/hollow/HollowBalancersTest.java
@@ -20,32 +20,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of hollow balancers, which are members of one fleet over real sockets. */
+/** Runs two processes of hollow balancers as members of one fleet over real sockets. */
 class HollowBalancersTest {
 
-    private static final int EACH = 20;
+    private static final int BALANCERS_PER_PROCESS = 20;
 
     @TempDir
     Path folder;
     private AddressBlock addresses;
-    private ProcessSupervisor warden;
+    private ProcessSupervisor supervisor;
     private final List<HollowGroup> groups = new ArrayList<>();
     private final TreeSet<String> all = new TreeSet<>();
 
     @BeforeEach
     void start() throws Exception {
         addresses = AddressBlock.reserve();
-        warden = new ProcessSupervisor();
+        supervisor = new ProcessSupervisor();
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         for (int i = 0; i < 2; i++) {
             List<HollowConfig.Balancer> its = new ArrayList<>();
-            for (int j = i * EACH; j < (i + 1) * EACH; j++) {
+            for (int j = i * BALANCERS_PER_PROCESS; j < (i + 1) * BALANCERS_PER_PROCESS; j++) {
                 its.add(new HollowConfig.Balancer("h" + j, at(j), at(j), null));
             }
             groups.add(HollowGroup.start("hollow-" + i, new HollowConfig(
-                    addresses.ip(2 * EACH + i).getHostAddress() + ":" + AddressBlock.ADMIN_PORT, "test", 200,
-                    1,
-                    List.of(at(0)), its), folder, warden, http));
+                    addresses.ip(2 * BALANCERS_PER_PROCESS + i).getHostAddress()
+                            + ":" + AddressBlock.ADMIN_PORT,
+                    "test", 200, 1,
+                    List.of(at(0)), its), folder, supervisor, http));
             all.addAll(groups.get(i).names());
         }
         for (HollowGroup group : groups) {
@@ -56,7 +57,7 @@
 
     @AfterEach
     void end() throws Exception {
-        warden.close();
+        supervisor.close();
         addresses.close();
     }
 
@@ -64,7 +65,7 @@
         return addresses.ip(number).getHostAddress() + ":" + AddressBlock.MEMBER_PORT;
     }
 
-    /** Whether exactly these run, and each sees as many. */
+    /** Returns true if as many balancers as named are running and each sees that many members. */
     private boolean agree(TreeSet<String> names) throws Exception {
         int running = 0;
         for (HollowGroup group : groups) {
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void theyAreMembersThatDieLeaveAndReturn() throws Exception {
+    void balancersCrashLeaveAndRejoin() throws Exception {
         TreeSet<String> left = new TreeSet<>(all);
         List<String> dead = List.of("h3", "h17", "h21", "h38");
         left.removeAll(dead);
@@ -102,7 +103,7 @@
     }
 
     @Test
-    void hundredsNeedNoThreadsOfTheirOwn() throws Exception {
+    void balancersShareThreads() throws Exception {
         ChildProcess child = groups.get(0).child();
         try (var threads = Files.list(Path.of("/proc", Long.toString(child.pid()), "task"))) {
             List<String> names = new ArrayList<>();
--- a/src/test/java/cranedeal/lab/hollow/MeterTest.java
+++ b/src/test/java/cranedeal/lab/hollow/MeterTest.java
@@ -11,7 +11,7 @@
     private final Meter meter = new Meter();
 
     @Test
-    void addsUpWhatIsNewAndKeepsTheDearestSecond() {
+    void sumsIncreasesAndKeepsPeakSecond() {
         meter.sample(Map.of("a", new Reading(10, 100, 50, 1), "b", new Reading(1, 10, 5, 0)), 40, 3);
         meter.sample(Map.of("a", new Reading(12, 120, 60, 1), "b", new Reading(9, 400, 105, 2)), 60, 3);
         Meter.Window window = meter.window();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aWindowBeginsWhereTheLastOneEnded() {
+    void windowStartsAtEndOfPrevious() {
         meter.sample(Map.of("a", new Reading(10, 100, 50, 0)), 10, 3);
         meter.window();
         meter.sample(Map.of("a", new Reading(13, 130, 51, 0)), 12, 3);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void anotherProcessOfABalancerCountsFromNothing() {
+    void restartedBalancerCountsFromZero() {
         meter.sample(Map.of("a", new Reading(10, 100, 50, 2)), 0, 3);
         meter.sample(Map.of("a", new Reading(4, 40, 20, 1)), 0, 3);
         meter.sample(Map.of(), 0, 3);
--- a/src/test/java/cranedeal/lab/standin/CoresTest.java
+++ b/src/test/java/cranedeal/lab/standin/CoresTest.java
@@ -12,13 +12,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What the stand-ins decide, without sockets. */
+/** Tests the stand-ins' logic that needs no sockets: upstream queue, discovery list and arrivals. */
 class CoresTest {
 
     private static final UpstreamKind KIND = new UpstreamKind("k", 1, 2, 0.5, 3, 0.25, 10_000, 0, 100);
 
     @Test
-    void anUpstreamWorksOnEachCoreLetsSomeWaitAndTurnsTheRestAway() {
+    void upstreamProcessesQueuesAndRejectsRequests() {
         UpstreamCore core = new UpstreamCore(KIND, 0, false, new SplittableRandom(1), new SeenKeys(5_000));
         double[] done = new double[5];
         for (int i = 0; i < done.length; i++) {
@@ -26,16 +26,16 @@
             assertTrue(admission.taken());
             done[i] = admission.doneAt();
         }
-        // 10 ms of work at half speed, on two cores.
+        // 10 ms of work takes 20 ms at half speed; two cores process in parallel.
         assertEquals(List.of(20.0, 20.0, 40.0, 40.0, 60.0), Arrays.stream(done).boxed().toList());
-        assertFalse(core.arrive(0, 10, null).taken(), "three wait already");
-        assertTrue(core.arrive(20, 10, null).taken(), "two of them have begun");
+        assertFalse(core.arrive(0, 10, null).taken(), "the queue of three is full");
+        assertTrue(core.arrive(20, 10, null).taken(), "two queued requests have started");
         core.drain();
         assertFalse(core.arrive(1_000, 10, null).taken());
     }
 
     @Test
-    void aColdOneIsSlowAtFirstAndAFaultyOneIsQuickToFail() {
+    void coldUpstreamWarmsUpAndFailingUpstreamFailsAtOnce() {
         UpstreamCore core = new UpstreamCore(KIND, 1_000, true, new SplittableRandom(1), new SeenKeys(5_000));
         assertEquals(0.25, core.share(1_000));
         assertEquals(0.625, core.share(6_000));
@@ -50,23 +50,23 @@
     }
 
     @Test
-    void aCellThrowsARepeatAwayAndAnswersItWhenTheFirstIsDone() {
+    void cellDeduplicatesRepeatedRequests() {
         SeenKeys cell = new SeenKeys(5_000);
         UpstreamCore core = new UpstreamCore(KIND, 0, false, new SplittableRandom(1), cell);
         UpstreamCore neighbour = new UpstreamCore(KIND, 0, false, new SplittableRandom(1), cell);
         assertEquals(20, core.arrive(0, 10, "k").doneAt());
-        assertEquals(20, neighbour.arrive(5, 10, "k").doneAt(), "no work of its own");
+        assertEquals(20, neighbour.arrive(5, 10, "k").doneAt(), "a repeat does no work of its own");
         assertEquals(30, neighbour.arrive(30, 10, "k").doneAt());
         assertEquals(50, neighbour.arrive(30, 10, "other").doneAt());
-        assertEquals(5_020, core.arrive(5_000, 10, "k").doneAt(), "forgotten by now");
+        assertEquals(5_020, core.arrive(5_000, 10, "k").doneAt(), "the key has expired");
         core.fail(1);
         assertTrue(core.arrive(6_000, 10, "fails").failing());
         core.fail(0);
-        assertEquals(7_020, core.arrive(7_000, 10, "fails").doneAt(), "that was no work");
+        assertEquals(7_020, core.arrive(7_000, 10, "fails").doneAt(), "a failed request's key is not kept");
     }
 
     @Test
-    void theListTellsWhatHasChangedSinceAndForgetsInOrder() {
+    void catalogReturnsChangesAndDropsOldestRemovals() {
         Catalog catalog = new Catalog();
         Catalog.Entry first = new Catalog.Entry("u0", 1, "a", "k", 0, "up", 1, 0);
         catalog.put(first);
@@ -83,12 +83,12 @@
             catalog.put(new Catalog.Entry("gone" + i, 3, "a", "k", 0, "removed", 1, 0));
         }
         assertFalse(catalog.hasChangesSince(version));
-        assertFalse(catalog.hasChangesSince(catalog.version() + 1), "a version that was never told");
+        assertFalse(catalog.hasChangesSince(catalog.version() + 1), "a version that was never published");
         assertEquals(1, catalog.all().size());
     }
 
     @Test
-    void requestsComeAtTheStatedRateInTheStatedSharesAndTheSameForTheSameSeed() {
+    void arrivalsFollowRateSharesAndSeed() {
         ServiceClass often = new ServiceClass("often", Effect.IDEMPOTENT, 3, 10, 500, 1_000, 1);
         ServiceClass seldom = new ServiceClass("seldom", Effect.AT_MOST_ONCE, 1, 30, 500, 1_000, 1);
         Load load = new Load(1_000, 5_000, 100_000, List.of(often, seldom), Map.of("t", 1.0),
@@ -114,7 +114,7 @@
         assertEquals(30_000, surge, 1_000);
         assertEquals(90_000, other, 1_500);
         assertEquals(0.75, ofOften / (double) (warmUp + surge + other), 0.01);
-        // An exponential distribution that is cut at three times its mean loses a twentieth of it.
+        // Capping an exponential distribution at three times its mean lowers the mean by 5 %.
         assertEquals(9.5, work / ofOften, 0.15);
     }
 }
--- a/src/test/java/cranedeal/lab/standin/LoadBenchmark.java
+++ b/src/test/java/cranedeal/lab/standin/LoadBenchmark.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * How many requests a second one load generator sends before it is late: clients straight at an upstream that
- * answers at once, at growing rates. Run by hand.
+ * Measures how many requests per second one load generator can send on time: clients connect directly to a
+ * fast upstream at increasing rates. Run by hand.
  */
 final class LoadBenchmark {
 
