--- a/src/main/java/cranedeal/lab/BalancerProcess.java
+++ b/src/main/java/cranedeal/lab/BalancerProcess.java
@@ -229,7 +229,7 @@
     private void recordLife(ChildProcess child, Life life, int code) {
         // In an upgrade, only the old process exits; the balancer goes on.
         String who = child == current || life == Life.STARTED || life == Life.READY ? name : name + "-old";
-        history.accept(new Event.Lived(clock.now(), who, life, code));
+        history.accept(new Event.ProcessChanged(clock.now(), who, life, code));
     }
 
     private static void await(Future<?> change) throws IOException, InterruptedException {
--- a/src/main/java/cranedeal/lab/ControlAnalysis.java
+++ b/src/main/java/cranedeal/lab/ControlAnalysis.java
@@ -36,9 +36,9 @@
     private final Sum calmHollow = new Sum();
     private final Sum allReal = new Sum();
     private final Sum allHollow = new Sum();
-    private final List<Event.Host> hosts = new ArrayList<>();
+    private final List<Event.HostUsage> hosts = new ArrayList<>();
     private final List<Double> loopsLate = new ArrayList<>();
-    private final List<Event.Viewed> views = new ArrayList<>();
+    private final List<Event.ViewsSampled> views = new ArrayList<>();
     private final List<Event.Faulted> faults = new ArrayList<>();
     private double loadBegan = Double.NaN;
 
@@ -95,7 +95,7 @@
         private final Map<String, Long> mostRss = new TreeMap<>();
         private final Map<String, Long> mostRunning = new TreeMap<>();
 
-        void add(Event.Spent spent) {
+        void add(Event.ControlCost spent) {
             balancerSeconds += spent.balancerSeconds();
             datagrams += spent.datagrams();
             bytes += spent.bytes();
@@ -128,9 +128,9 @@
 
     @Override
     public void accept(Event event) {
-        if (event instanceof Event.Loaded loaded) {
+        if (event instanceof Event.LoadChanged loaded) {
             loadBegan = loaded.begins() ? loaded.at() : loadBegan;
-        } else if (event instanceof Event.Spent spent) {
+        } else if (event instanceof Event.ControlCost spent) {
             if (Double.isNaN(loadBegan)) {
                 (spent.hollow() ? joiningHollow : joiningReal).add(spent);
                 return;
@@ -142,9 +142,9 @@
             if (faults.isEmpty()) {
                 (spent.hollow() ? calmHollow : calmReal).add(spent);
             }
-        } else if (event instanceof Event.Host host && !Double.isNaN(loadBegan)) {
+        } else if (event instanceof Event.HostUsage host && !Double.isNaN(loadBegan)) {
             hosts.add(host);
-        } else if (event instanceof Event.Viewed viewed) {
+        } else if (event instanceof Event.ViewsSampled viewed) {
             views.add(viewed);
         } else if (event instanceof Event.Faulted fault) {
             faults.add(fault);
@@ -182,15 +182,15 @@
     private double settledMs(double at) {
         double firstEffect = views.stream().filter(view -> view.at() >= at
                 && view.at() <= at + EFFECT_WITHIN_MS && !view.settled())
-                .mapToDouble(Event.Viewed::at).min().orElse(Double.NaN);
+                .mapToDouble(Event.ViewsSampled::at).min().orElse(Double.NaN);
         return Double.isNaN(firstEffect) ? 0 : settledAfter(firstEffect) - at;
     }
 
     /** Time of the first sample at or after a time in which all views were correct; NaN if there is none. */
     private double settledAfter(double time) {
         for (int i = 0; i + scale.regions() <= views.size(); i += scale.regions()) {
-            List<Event.Viewed> sample = views.subList(i, i + scale.regions());
-            if (sample.get(0).at() >= time && sample.stream().allMatch(Event.Viewed::settled)) {
+            List<Event.ViewsSampled> sample = views.subList(i, i + scale.regions());
+            if (sample.get(0).at() >= time && sample.stream().allMatch(Event.ViewsSampled::settled)) {
                 return sample.get(0).at();
             }
         }
@@ -198,15 +198,15 @@
     }
 
     private Machine machine() {
-        return new Machine(spread(Event.Host::busy, 0.5), spread(Event.Host::busy, 1),
+        return new Machine(spread(Event.HostUsage::busy, 0.5), spread(Event.HostUsage::busy, 1),
                 (int) hosts.stream().filter(host -> host.busy() > SATURATED_SHARE).count(), hosts.size(),
-                spread(Event.Host::lateMs, 0.99), quantile(loopsLate, 0.99),
-                spread(Event.Host::labMs, 0.5) / MS,
-                spread(Event.Host::labRssKb, 1) / KB_PER_MB,
-                spread(Event.Host::labRssKb, 1) / KB_PER_MB + allReal.memoryMb() + allHollow.memoryMb());
+                spread(Event.HostUsage::lateMs, 0.99), quantile(loopsLate, 0.99),
+                spread(Event.HostUsage::labMs, 0.5) / MS,
+                spread(Event.HostUsage::labRssKb, 1) / KB_PER_MB,
+                spread(Event.HostUsage::labRssKb, 1) / KB_PER_MB + allReal.memoryMb() + allHollow.memoryMb());
     }
 
-    private double spread(ToDoubleFunction<Event.Host> of, double quantile) {
+    private double spread(ToDoubleFunction<Event.HostUsage> of, double quantile) {
         return quantile(hosts.stream().mapToDouble(of).boxed().toList(), quantile);
     }
 
--- a/src/main/java/cranedeal/lab/Monitor.java
+++ b/src/main/java/cranedeal/lab/Monitor.java
@@ -150,7 +150,7 @@
             for (int other = 0; other < regions; other++) {
                 reachable += other == region || !testbed.isPartitioned(region, other) ? running[other] : 0;
             }
-            history.accept(new Event.Viewed(clock.now(), experiment.scale().regionNames().get(region),
+            history.accept(new Event.ViewsSampled(clock.now(), experiment.scale().regionNames().get(region),
                     running[region], reachable, running[region] == 0 ? 0 : least[region], most[region]));
         }
     }
@@ -184,7 +184,8 @@
             all += increase(processMs, key, usage.cpuMs());
             rss += usage.rssKb();
         }
-        history.accept(new Event.Spent(clock.now(), who, hollow, window.balancerSeconds(), window.datagrams(),
+        history.accept(new Event.ControlCost(clock.now(), who, hollow, window.balancerSeconds(),
+                window.datagrams(),
                 window.bytesSent() + window.bytesReceived(), window.syncs(), window.peakBytes(), control, all,
                 rss, window.lateMs()));
     }
@@ -207,7 +208,7 @@
                 .getOperatingSystemMXBean()).getProcessCpuTime() / NANOS_PER_MS;
         long rss = Long.parseLong(Files.readString(Path.of("/proc/self/statm")).split(" ")[1]) * PAGE_KB;
         if (host[0] > 0 && whole > host[0]) {
-            history.accept(new Event.Host(clock.now(), 1 - (idle - host[1]) / (double) (whole - host[0]),
+            history.accept(new Event.HostUsage(clock.now(), 1 - (idle - host[1]) / (double) (whole - host[0]),
                     lateMs, lab - labMs, rss));
         }
         host = new long[] {whole, idle};
--- a/src/main/java/cranedeal/lab/Testbed.java
+++ b/src/main/java/cranedeal/lab/Testbed.java
@@ -384,7 +384,7 @@
 
     /** Simulates the death of an upstream: resets its connections and refuses new ones. */
     void stopUpstream(String name) throws IOException, InterruptedException {
-        history.accept(new Event.Lived(clock.now(), name, Life.KILLED, 0));
+        history.accept(new Event.ProcessChanged(clock.now(), name, Life.KILLED, 0));
         for (AffectedLink hit : linksOf(name)) {
             await(links.get(hit.link()).setTargetUp(false));
             await(links.get(hit.link()).reset());
@@ -398,7 +398,7 @@
         for (AffectedLink hit : linksOf(name)) {
             await(links.get(hit.link()).setTargetUp(true));
         }
-        history.accept(new Event.Lived(clock.now(), name, Life.READY, 0));
+        history.accept(new Event.ProcessChanged(clock.now(), name, Life.READY, 0));
         TimeUnit.MILLISECONDS.sleep((long) experiment.listLateMs());
         await(discovery.started(name, startedAt));
     }
@@ -421,7 +421,8 @@
         for (BalancerProcess balancer : balancers.values()) {
             ChildProcess child = balancer.current();
             if (child != null) {
-                child.usage().ifPresent(usage -> history.accept(new Event.Used(clock.now(), balancer.name(),
+                child.usage().ifPresent(usage -> history.accept(new Event.ProcessUsage(clock.now(),
+                        balancer.name(),
                         usage.cpuMs(), usage.rssKb())));
             }
         }
--- a/src/main/java/cranedeal/lab/history/ColdBudget.java
+++ b/src/main/java/cranedeal/lab/history/ColdBudget.java
@@ -32,7 +32,7 @@
     /** An upstream that has started and is still warming up. */
     private static final class ColdUpstream {
 
-        private final Event.Began began;
+        private final Event.UpstreamStarted began;
         private final Map<String, Boolean> notified = new HashMap<>();
         private final ArrayDeque<Piece> window = new ArrayDeque<>();
         private double work;
@@ -40,7 +40,7 @@
         private double totalWork;
         private long pieces;
 
-        ColdUpstream(Event.Began began) {
+        ColdUpstream(Event.UpstreamStarted began) {
             this.began = began;
         }
 
@@ -52,9 +52,9 @@
 
     @Override
     public void accept(Event event) {
-        if (event instanceof Event.Began began && began.warmMs() > 0) {
+        if (event instanceof Event.UpstreamStarted began && began.warmMs() > 0) {
             cold.put(began.upstream(), new ColdUpstream(began));
-        } else if (event instanceof Event.Told told && told.state().equals("up")
+        } else if (event instanceof Event.UpstreamNotified told && told.state().equals("up")
                 && cold.containsKey(told.upstream())) {
             cold.get(told.upstream()).notified.put(told.balancer(), true);
         } else if (event instanceof Event.Arrived arrived && cold.containsKey(arrived.upstream())) {
--- a/src/main/java/cranedeal/lab/history/DrainKept.java
+++ b/src/main/java/cranedeal/lab/history/DrainKept.java
@@ -21,7 +21,7 @@
     @Override
     public void accept(Event event) {
         faultWindows.accept(event);
-        if (event instanceof Event.Told news) {
+        if (event instanceof Event.UpstreamNotified news) {
             if (news.state().equals("up")) {
                 notifiedAt.remove(key(news.balancer(), news.upstream()));
             } else {
--- a/src/main/java/cranedeal/lab/history/Event.java
+++ b/src/main/java/cranedeal/lab/history/Event.java
@@ -13,15 +13,15 @@
     @JsonSubTypes.Type(value = Event.Answered.class, name = "answered"),
     @JsonSubTypes.Type(value = Event.Ended.class, name = "ended"),
     @JsonSubTypes.Type(value = Event.Arrived.class, name = "arrived"),
-    @JsonSubTypes.Type(value = Event.Told.class, name = "told"),
-    @JsonSubTypes.Type(value = Event.Began.class, name = "began"),
-    @JsonSubTypes.Type(value = Event.Loaded.class, name = "loaded"),
+    @JsonSubTypes.Type(value = Event.UpstreamNotified.class, name = "told"),
+    @JsonSubTypes.Type(value = Event.UpstreamStarted.class, name = "began"),
+    @JsonSubTypes.Type(value = Event.LoadChanged.class, name = "loaded"),
     @JsonSubTypes.Type(value = Event.Faulted.class, name = "faulted"),
-    @JsonSubTypes.Type(value = Event.Lived.class, name = "lived"),
-    @JsonSubTypes.Type(value = Event.Used.class, name = "used"),
-    @JsonSubTypes.Type(value = Event.Viewed.class, name = "viewed"),
-    @JsonSubTypes.Type(value = Event.Spent.class, name = "spent"),
-    @JsonSubTypes.Type(value = Event.Host.class, name = "host")})
+    @JsonSubTypes.Type(value = Event.ProcessChanged.class, name = "lived"),
+    @JsonSubTypes.Type(value = Event.ProcessUsage.class, name = "used"),
+    @JsonSubTypes.Type(value = Event.ViewsSampled.class, name = "viewed"),
+    @JsonSubTypes.Type(value = Event.ControlCost.class, name = "spent"),
+    @JsonSubTypes.Type(value = Event.HostUsage.class, name = "host")})
 public sealed interface Event {
 
     /** How a try (one transmission of a request by its client) ended, as the client saw it. */
@@ -70,7 +70,7 @@
             double work, boolean taken, boolean failing) implements Event { }
 
     /** Discovery has sent an upstream's state to a balancer. */
-    record Told(double at, String balancer, String upstream, String state) implements Event { }
+    record UpstreamNotified(double at, String balancer, String upstream, String state) implements Event { }
 
     /**
      * An upstream has started serving. It starts cold if {@code warmMs} is above 0.
@@ -78,21 +78,21 @@
      * @param capacity the core milliseconds of work that it does per millisecond when warm
      * @param coldShare the share of the capacity that it has at its start
      */
-    record Began(double at, String upstream, double capacity, double coldShare, double warmMs)
+    record UpstreamStarted(double at, String upstream, double capacity, double coldShare, double warmMs)
             implements Event { }
 
     /** The load has begun, or its last request has ended. */
-    record Loaded(double at, boolean begins) implements Event { }
+    record LoadChanged(double at, boolean begins) implements Event { }
 
     /** A fault begins or ends; {@code touched} names affected processes, or links such as {@code n0>u3}. */
     record Faulted(double at, int fault, String kind, List<String> touched, boolean begins)
             implements Event { }
 
     /** A process has changed its state; {@code code} is its exit code if it has one. */
-    record Lived(double at, String process, Life life, int code) implements Event { }
+    record ProcessChanged(double at, String process, Life life, int code) implements Event { }
 
     /** CPU time that a process has used since its start, and its memory. */
-    record Used(double at, String process, double cpuMs, long rssKb) implements Event { }
+    record ProcessUsage(double at, String process, double cpuMs, long rssKb) implements Event { }
 
     /**
      * How the members of a region see the fleet's membership.
@@ -102,7 +102,7 @@
      * @param least the smallest number of members that one of them sees present
      * @param most the largest such number
      */
-    record Viewed(double at, String region, int running, int reachable, long least, long most)
+    record ViewsSampled(double at, String region, int running, int reachable, long least, long most)
             implements Event {
 
         /** Returns true if every member sees exactly the reachable members. */
@@ -124,7 +124,8 @@
      * @param rssKb their total resident memory
      * @param lateMs the largest delay of an event loop that hollow balancers share
      */
-    record Spent(double at, String who, boolean hollow, long balancerSeconds, long datagrams, long bytes,
+    record ControlCost(double at, String who, boolean hollow, long balancerSeconds, long datagrams,
+            long bytes,
             long syncs, long peakBytes, double controlMs, double processMs, long rssKb, double lateMs)
             implements Event { }
 
@@ -136,5 +137,5 @@
      * @param labMs the CPU time of the lab itself, including its simulated upstreams and links
      * @param labRssKb the lab's resident memory
      */
-    record Host(double at, double busy, double lateMs, double labMs, long labRssKb) implements Event { }
+    record HostUsage(double at, double busy, double lateMs, double labMs, long labRssKb) implements Event { }
 }
--- a/src/main/java/cranedeal/lab/history/FaultWindows.java
+++ b/src/main/java/cranedeal/lab/history/FaultWindows.java
@@ -34,7 +34,7 @@
             openByFault.put(fault.fault(), begun);
         } else if (event instanceof Event.Faulted fault) {
             openByFault.getOrDefault(fault.fault(), List.of()).forEach(span -> span.to = fault.at());
-        } else if (event instanceof Event.Lived lived) {
+        } else if (event instanceof Event.ProcessChanged lived) {
             switch (lived.life()) {
                 case KILLED, PAUSED, EXITED ->
                     down.computeIfAbsent(lived.process(), process -> begin(process, lived.at()));
--- a/src/main/java/cranedeal/lab/history/Promptness.java
+++ b/src/main/java/cranedeal/lab/history/Promptness.java
@@ -28,7 +28,7 @@
     @Override
     public void accept(Event event) {
         faultWindows.accept(event);
-        loadStarted |= event instanceof Event.Loaded;
+        loadStarted |= event instanceof Event.LoadChanged;
         if (event instanceof Event.Sent sent && loadStarted) {
             open.put(sent.id(), sent);
         } else if (event instanceof Event.Arrived arrived) {
--- a/src/main/java/cranedeal/lab/history/Unanswered.java
+++ b/src/main/java/cranedeal/lab/history/Unanswered.java
@@ -42,7 +42,7 @@
     @Override
     public void accept(Event event) {
         faultWindows.accept(event);
-        loadStarted |= event instanceof Event.Loaded;
+        loadStarted |= event instanceof Event.LoadChanged;
         if (event instanceof Event.Sent sent) {
             open.put(sent.id(), sent);
         } else if (event instanceof Event.Answered answered) {
--- a/src/main/java/cranedeal/lab/report/Analysis.java
+++ b/src/main/java/cranedeal/lab/report/Analysis.java
@@ -93,7 +93,7 @@
     @Override
     public void accept(Event event) {
         checkers.forEach(checker -> checker.accept(event));
-        if (event instanceof Event.Loaded loaded && loaded.begins()) {
+        if (event instanceof Event.LoadChanged loaded && loaded.begins()) {
             loadBegan = loaded.at();
         } else if (Double.isNaN(loadBegan)) {
             // The warm-up and everything before it do not count.
@@ -110,9 +110,9 @@
             arrived(arrived);
         } else if (event instanceof Event.Faulted fault) {
             faulted(fault);
-        } else if (event instanceof Event.Lived lived) {
+        } else if (event instanceof Event.ProcessChanged lived) {
             lived(lived);
-        } else if (event instanceof Event.Used used) {
+        } else if (event instanceof Event.ProcessUsage used) {
             usage.merge(used.process(), new Summary.Usage(cpuBefore.getOrDefault(used.process(), 0.0)
                     + used.cpuMs(), used.rssKb()), (old, now) -> new Summary.Usage(
                             Math.max(old.cpuMs(), now.cpuMs()), Math.max(old.mostRssKb(), now.mostRssKb())));
@@ -171,7 +171,7 @@
         }
     }
 
-    private void lived(Event.Lived lived) {
+    private void lived(Event.ProcessChanged lived) {
         if (lived.life() == Life.STARTED) {
             ReturnRecord back = new ReturnRecord(lived.process(), lived.at());
             returns.add(back);
--- a/src/main/java/cranedeal/lab/report/HtmlReport.java
+++ b/src/main/java/cranedeal/lab/report/HtmlReport.java
@@ -63,23 +63,23 @@
 
     private final Map<String, Line> memory = new LinkedHashMap<>();
     private final Map<String, Line> cpu = new LinkedHashMap<>();
-    private final Map<String, Event.Used> last = new LinkedHashMap<>();
+    private final Map<String, Event.ProcessUsage> last = new LinkedHashMap<>();
     private final Map<String, Line> lives = new LinkedHashMap<>();
     private double loadBegan = Double.NaN;
 
     @Override
     public void accept(Event event) {
-        if (event instanceof Event.Loaded loaded && loaded.begins()) {
+        if (event instanceof Event.LoadChanged loaded && loaded.begins()) {
             loadBegan = loaded.at();
-        } else if (event instanceof Event.Used used && !Double.isNaN(loadBegan)) {
+        } else if (event instanceof Event.ProcessUsage used && !Double.isNaN(loadBegan)) {
             double second = (used.at() - loadBegan) / MS_PER_S;
             line(memory, used.process()).add(second, used.rssKb() / KB_PER_MB);
-            Event.Used before = last.put(used.process(), used);
+            Event.ProcessUsage before = last.put(used.process(), used);
             if (before != null && used.at() > before.at() && used.cpuMs() >= before.cpuMs()) {
                 line(cpu, used.process()).add(second,
                         PERCENT * (used.cpuMs() - before.cpuMs()) / (used.at() - before.at()));
             }
-        } else if (event instanceof Event.Lived lived && !Double.isNaN(loadBegan)) {
+        } else if (event instanceof Event.ProcessChanged lived && !Double.isNaN(loadBegan)) {
             boolean serves = lived.life() == Life.READY || lived.life() == Life.RESUMED;
             boolean stops = lived.life() == Life.KILLED || lived.life() == Life.PAUSED
                     || lived.life() == Life.EXITED;
--- a/src/main/java/cranedeal/lab/slope/MembershipStudy.java
+++ b/src/main/java/cranedeal/lab/slope/MembershipStudy.java
@@ -88,7 +88,7 @@
         long bytes = swarm.bytes();
         long datagrams = swarm.messages();
         long syncs = swarm.syncs();
-        int wronged = swarm.wrongedHealthy();
+        int wronged = swarm.falseDetectionsOfHealthy();
         long peak = 0;
         long[] before = new long[size];
         for (int second = 0; second < seconds; second++) {
@@ -104,7 +104,7 @@
         return new Results((swarm.bytes() - bytes) / memberSeconds,
                 (swarm.messages() - datagrams) / memberSeconds, peak,
                 60 * (swarm.syncs() - syncs) / memberSeconds,
-                (swarm.wrongedHealthy() - wronged) / (memberSeconds * MS_PER_S / MS_PER_HOUR));
+                (swarm.falseDetectionsOfHealthy() - wronged) / (memberSeconds * MS_PER_S / MS_PER_HOUR));
     }
 
     /** Returns the size of the body that each side of a full exchange sends: the state of all members. */
--- a/src/main/java/cranedeal/lab/standin/Clients.java
+++ b/src/main/java/cranedeal/lab/standin/Clients.java
@@ -103,7 +103,7 @@
         loop.execute(() -> {
             startedAt = counts;
             next = arrivals.next();
-            loop.schedule(() -> history.accept(new Event.Loaded(counts, true)),
+            loop.schedule(() -> history.accept(new Event.LoadChanged(counts, true)),
                     (long) (load.warmUpMs() * NANOS_PER_MS), TimeUnit.NANOSECONDS);
             sendDue();
         });
@@ -145,7 +145,7 @@
     private void endIfDone() {
         if (next == null && open == 0) {
             idle.forEach(connection -> connection.channel.close());
-            history.accept(new Event.Loaded(clock.now(), false));
+            history.accept(new Event.LoadChanged(clock.now(), false));
             done.complete(null);
         }
     }
--- a/src/main/java/cranedeal/lab/standin/DiscoveryServer.java
+++ b/src/main/java/cranedeal/lab/standin/DiscoveryServer.java
@@ -193,7 +193,7 @@
         listBytes.addAndGet(text.length());
         answer(to, HttpResponseStatus.OK, text);
         double now = clock.now();
-        entries.forEach(entry -> history.accept(new Event.Told(now, names.get(asker), entry.id(),
+        entries.forEach(entry -> history.accept(new Event.UpstreamNotified(now, names.get(asker), entry.id(),
                 entry.state())));
     }
 
--- a/src/main/java/cranedeal/lab/standin/UpstreamServer.java
+++ b/src/main/java/cranedeal/lab/standin/UpstreamServer.java
@@ -88,7 +88,7 @@
             throw new IOException(name + " cannot listen on " + address, bound.cause());
         }
         listening = bound.channel();
-        history.accept(new Event.Began(clock.now(), name, kind.capacity(), 1, 0));
+        history.accept(new Event.UpstreamStarted(clock.now(), name, kind.capacity(), 1, 0));
     }
 
     public String name() {
@@ -99,7 +99,7 @@
     public Future<?> restart() {
         return loop.submit(() -> {
             core = new UpstreamCore(kind, clock.now(), true, random, seen);
-            history.accept(new Event.Began(clock.now(), name, kind.capacity(), kind.coldShare(),
+            history.accept(new Event.UpstreamStarted(clock.now(), name, kind.capacity(), kind.coldShare(),
                     kind.warmMs()));
         });
     }
--- a/src/main/java/cranedeal/lab/swarm/Swarm.java
+++ b/src/main/java/cranedeal/lab/swarm/Swarm.java
@@ -367,12 +367,12 @@
     }
 
     /** Returns how often a live, reachable member was considered dead; slow members excluded. */
-    public int wrongedHealthy() {
+    public int falseDetectionsOfHealthy() {
         return wrongedHealthy;
     }
 
     /** Returns the same count with slow members included. */
-    public int wronged() {
+    public int falseDetections() {
         return falseDetections.size();
     }
 
--- a/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
+++ b/src/main/java/cranedeal/lab/swarm/SwarmCommand.java
@@ -106,8 +106,9 @@
         double memberHours = members * seconds * S / HOUR;
         line(out, "%d members, %.0f s: %d times a healthy member was called faulty (%.3f a member-hour), a"
                 + " slow one %d times; a member sent %.0f bytes and %.2f datagrams a second, %.2f full"
-                + " exchanges a minute", members, seconds, swarm.wrongedHealthy(),
-                swarm.wrongedHealthy() / memberHours, swarm.wronged() - swarm.wrongedHealthy(),
+                + " exchanges a minute", members, seconds, swarm.falseDetectionsOfHealthy(),
+                swarm.falseDetectionsOfHealthy() / memberHours,
+                swarm.falseDetections() - swarm.falseDetectionsOfHealthy(),
                 (swarm.bytes() - bytes) / (members * seconds), (swarm.messages() - messages)
                 / (members * seconds), (swarm.syncs() - syncs) / (members * seconds / 60));
     }
@@ -137,7 +138,7 @@
         List<Double> all = deaths.stream().map(Swarm.Faulty::lastMs).toList();
         line(out, "%d members, %d killed at once: first taken for dead after %s ms, by all after %s ms;"
                 + " %d who live were called faulty", members, dead, spread(first), spread(all),
-                swarm.wronged());
+                swarm.falseDetections());
     }
 
     private void halves(Swarm swarm, PrintWriter out) {
--- a/src/main/java/cranedeal/node/RequestQueue.java
+++ b/src/main/java/cranedeal/node/ArrivalQueue.java
@@ -16,7 +16,7 @@
  *
  * @param <T> type of a request
  */
-final class RequestQueue<T> {
+final class ArrivalQueue<T> {
 
     /** How long a request may wait before it is refused. */
     static final double MAX_WAIT_MS = 100;
@@ -53,7 +53,7 @@
      * @param handler handles a request; must not throw
      * @param refuser refuses a request that has waited too long; must not throw
      */
-    RequestQueue(DoubleSupplier clock, BooleanSupplier canSend, Consumer<T> handler, Consumer<T> refuser) {
+    ArrivalQueue(DoubleSupplier clock, BooleanSupplier canSend, Consumer<T> handler, Consumer<T> refuser) {
         this.clock = clock;
         this.canSend = canSend;
         this.handler = handler;
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -102,7 +102,7 @@
     private final NodeMetrics metrics;
     private final LoopMonitor monitor;
     /** Connections whose current request has been read and waits to be handled. */
-    private final RequestQueue<Connection> requestQueue;
+    private final ArrivalQueue<Connection> requestQueue;
     private RequestParser parser;
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Served connections without a request in progress, the longest idle first. */
@@ -133,7 +133,7 @@
         this.node = node;
         this.metrics = metrics;
         this.monitor = monitor;
-        requestQueue = new RequestQueue<>(clock::now, socketBudget::canOpenUpstream, Connection::handleQueued,
+        requestQueue = new ArrivalQueue<>(clock::now, socketBudget::canOpenUpstream, Connection::handleQueued,
                 Connection::refuseExpired);
         socketBudget.setCallerPool(new SocketBudget.IdlePool() {
             @Override
--- a/src/test/java/cranedeal/lab/ConfigProcessTest.java
+++ b/src/test/java/cranedeal/lab/ConfigProcessTest.java
@@ -175,7 +175,7 @@
     }
 
     private void awaitInForce(String name, int... but) throws Exception {
-        Processes.until(() -> {
+        Processes.awaitCondition(() -> {
             for (int i = 0; i < BALANCERS; i++) {
                 int one = i;
                 boolean left = java.util.Arrays.stream(but).anyMatch(other -> other == one);
@@ -206,7 +206,7 @@
     }
 
     private void awaitAllSeen() throws Exception {
-        Processes.until(() -> {
+        Processes.awaitCondition(() -> {
             JsonNode status = status(coordinator(0));
             return status.path("members").size() == BALANCERS
                     && status.path("coordinators").size() == COORDINATORS
@@ -226,7 +226,7 @@
         assertEquals(0, runCommand("fleet", "config", "publish", document("a").toString(), "--to",
                 coordinator(2)));
         awaitInForce("a");
-        Processes.until(() -> runCommand("fleet", "config", "status", "--to", balancer(3)) == 0);
+        Processes.awaitCondition(() -> runCommand("fleet", "config", "status", "--to", balancer(3)) == 0);
         assertTrue(output.contains("the newest version is 1.1, in force on 5 of 5 members"), output);
 
         Path bad = folder.resolve("bad.json");
@@ -241,7 +241,7 @@
         Files.writeString(bad, Files.readString(document("b")).replace("\"settings\":{",
                 "\"settings\":{\"limits\":{\"attemptsCap\":0},"));
         assertEquals(0, publish(bad));
-        Processes.until(() -> status(coordinator(0)).path("refused").size() == BALANCERS);
+        Processes.awaitCondition(() -> status(coordinator(0)).path("refused").size() == BALANCERS);
         JsonNode refused = JSON.readTree(output).path("refused").path(0);
         assertEquals("settings.limits.attemptsCap", refused.path("key").asText(), output);
         assertEquals("1.1", refused.path("in_force").asText());
@@ -255,7 +255,7 @@
         startBalancer(1);
         awaitInForce("a");
         assertEquals(0, runCommand("fleet", "config", "rollback", "1", "--to", coordinator(0)));
-        Processes.until(() -> runCommand("fleet", "config", "status", "--to", coordinator(0)) == 0);
+        Processes.awaitCondition(() -> runCommand("fleet", "config", "status", "--to", coordinator(0)) == 0);
         assertTrue(output.contains("the newest version is 1.3") && output.contains("rollback to 1"), output);
     }
 
@@ -273,7 +273,7 @@
                 "--operation", "b"));
         ChildProcess author = supervisor.start("author", command, Map.of(), folder.resolve("author.log"));
         CompletableFuture<Integer> answered = author.onExit();
-        Processes.until(() -> answered.isDone() || keepsOperation(0, "b"));
+        Processes.awaitCondition(() -> answered.isDone() || keepsOperation(0, "b"));
         kill("c0");
         answered.join();
         assertEquals(0, runCommand("fleet", "config", "take-over", "--to", coordinator(1)));
@@ -292,10 +292,10 @@
 
         // The old leader returns as a follower and forwards requests to the new leader.
         startCoordinator(0);
-        Processes.until(() -> status(coordinator(0)).path("coordinators_answering").asInt() == 3
+        Processes.awaitCondition(() -> status(coordinator(0)).path("coordinators_answering").asInt() == 3
                 && status(coordinator(0)).path("epoch").asInt() == 2);
-        Processes.until(() -> runCommand("fleet", "config", "publish", document("c").toString(), "--to",
-                coordinator(0), "--operation", "c") == 0);
+        Processes.awaitCondition(() -> runCommand("fleet", "config", "publish", document("c").toString(),
+                "--to", coordinator(0), "--operation", "c") == 0);
         awaitInForce("c");
 
         // Without coordinators all balancers serve on, and a restarted one uses the last good version.
@@ -311,17 +311,18 @@
         }
         assertEquals(1, runCommand("fleet", "config", "status", "--to", balancer(0)));
         assertTrue(output.contains("no coordinator answers: all serve on"), output);
-        Processes.until(() -> status(balancer(0)).path("in_force").asInt() == BALANCERS);
+        Processes.awaitCondition(() -> status(balancer(0)).path("in_force").asInt() == BALANCERS);
 
         // The coordinators return with their state, and the last leader leads again.
         for (int i = 0; i < COORDINATORS; i++) {
             startCoordinator(i);
         }
-        Processes.until(() -> publish(document("d"), "--operation", "d") == 0);
+        Processes.awaitCondition(() -> publish(document("d"), "--operation", "d") == 0);
         awaitInForce("d");
         processes.get("c2").terminate();
         processes.get("c2").onExit().join();
-        Processes.until(() -> status(coordinator(1)).path("coordinators").size() == COORDINATORS - 1);
+        Processes.awaitCondition(
+                () -> status(coordinator(1)).path("coordinators").size() == COORDINATORS - 1);
         assertFalse(status(coordinator(1)).path("leader").asText().isEmpty(),
                 "a regular leave keeps the leader");
     }
--- a/src/test/java/cranedeal/lab/ControlAnalysisTest.java
+++ b/src/test/java/cranedeal/lab/ControlAnalysisTest.java
@@ -15,10 +15,11 @@
 
     /** Adds a second of ten real and forty hollow balancers, each with the given bytes. */
     private void second(double at, long realBytes, long hollowBytes, long peak, double busy) {
-        analysis.accept(new Event.Host(at, busy, 1, 200, 300 * 1_024));
-        analysis.accept(new Event.Spent(at, "real", false, 10, 20, 10 * realBytes, 0, peak, 20, 400,
+        analysis.accept(new Event.HostUsage(at, busy, 1, 200, 300 * 1_024));
+        analysis.accept(new Event.ControlCost(at, "real", false, 10, 20, 10 * realBytes, 0, peak, 20, 400,
                 10 * 70 * 1_024, 0));
-        analysis.accept(new Event.Spent(at, "hollow-0", true, 40, 80, 40 * hollowBytes, 1, peak, 80, 100,
+        analysis.accept(new Event.ControlCost(at, "hollow-0", true, 40, 80, 40 * hollowBytes, 1, peak, 80,
+                100,
                 40 * 2 * 1_024, late));
     }
 
@@ -27,7 +28,7 @@
 
     private void view(double at, int running, long least, long most) {
         for (String region : List.of("region-0", "region-1")) {
-            analysis.accept(new Event.Viewed(at, region, running / 2, running, least, most));
+            analysis.accept(new Event.ViewsSampled(at, region, running / 2, running, least, most));
         }
     }
 
@@ -36,7 +37,7 @@
         view(0, 50, 2, 9);
         second(500, 90_000, 90_000, 90_000, 1);
         view(900, 50, 50, 50);
-        analysis.accept(new Event.Loaded(1_000, true));
+        analysis.accept(new Event.LoadChanged(1_000, true));
         second(1_500, 600, 620, 900, 0.5);
         view(1_600, 50, 50, 50);
         second(2_500, 600, 620, 900, 0.4);
@@ -59,7 +60,7 @@
 
     @Test
     void everyBrokenBoundIsReported() {
-        analysis.accept(new Event.Loaded(0, true));
+        analysis.accept(new Event.LoadChanged(0, true));
         second(1_000, 600, 19_000, 40_000, 0.5);
         List<String> broken = analysis.finish().broken();
         assertTrue(broken.stream().anyMatch(why -> why.startsWith("a hollow balancer's bytes a second")));
@@ -71,15 +72,15 @@
 
     @Test
     void viewsAreSettledWhenAllRegionsAreCorrect() {
-        analysis.accept(new Event.Loaded(0, true));
+        analysis.accept(new Event.LoadChanged(0, true));
         second(1_000, 600, 600, 900, 0.5);
         view(1_500, 50, 50, 50);
         analysis.accept(new Event.Faulted(2_000, 0, "kill zone-c", List.of(), true));
         view(2_000, 50, 50, 50);
         view(2_500, 42, 50, 50);
         view(6_000, 42, 42, 44);
-        analysis.accept(new Event.Viewed(6_500, "region-0", 21, 42, 42, 42));
-        analysis.accept(new Event.Viewed(6_500, "region-1", 21, 42, 42, 43));
+        analysis.accept(new Event.ViewsSampled(6_500, "region-0", 21, 42, 42, 42));
+        analysis.accept(new Event.ViewsSampled(6_500, "region-1", 21, 42, 42, 43));
         view(7_000, 42, 42, 42);
         analysis.accept(new Event.Faulted(9_000, 0, "kill zone-c", List.of(), false));
         view(9_500, 50, 42, 50);
@@ -92,7 +93,7 @@
 
     @Test
     void faultWithoutEffectOnViewsIsSettledAtOnce() {
-        analysis.accept(new Event.Loaded(0, true));
+        analysis.accept(new Event.LoadChanged(0, true));
         second(1_000, 600, 600, 900, 0.5);
         analysis.accept(new Event.Faulted(2_000, 0, "restart h1", List.of(), true));
         view(2_500, 50, 50, 50);
@@ -101,7 +102,7 @@
 
     @Test
     void runOnASaturatedMachineIsVoid() {
-        analysis.accept(new Event.Loaded(0, true));
+        analysis.accept(new Event.LoadChanged(0, true));
         for (int i = 0; i < 10; i++) {
             second(1_000 + i * 1_000, 600, 600, 900, i < 2 ? 0.95 : 0.5);
         }
@@ -112,7 +113,7 @@
 
     @Test
     void runWithLateHollowLoopsIsVoid() {
-        analysis.accept(new Event.Loaded(0, true));
+        analysis.accept(new Event.LoadChanged(0, true));
         late = 300;
         second(1_000, 600, 600, 900, 0.5);
         assertEquals(List.of("the machine was the bottleneck: loops of hollow balancers were 300 ms late"
--- a/src/test/java/cranedeal/lab/KilledStoreTest.java
+++ b/src/test/java/cranedeal/lab/KilledStoreTest.java
@@ -39,7 +39,7 @@
                 // One kill in four comes before or during recovery, the others under load.
                 long until = random.nextInt(4) == 0 ? 0 : kept + 1 + random.nextInt(4_000);
                 String wanted = until == 0 ? "" : "kept " + until + "\n";
-                Processes.until(() -> child.logContains(wanted) || !child.isAlive());
+                Processes.awaitCondition(() -> child.logContains(wanted) || !child.isAlive());
                 assertTrue(child.isAlive(), () -> "the process exited by itself: " + read(log));
                 child.kill();
                 child.onExit().join();
--- a/src/test/java/cranedeal/lab/LabTest.java
+++ b/src/test/java/cranedeal/lab/LabTest.java
@@ -79,9 +79,10 @@
                 Integer::sum));
         Set<Class<?>> wanted = new HashSet<>(Set.of(Event.class.getPermittedSubclasses()));
         // The list of upstreams did not change, so there may be no notification.
-        wanted.remove(Event.Told.class);
+        wanted.remove(Event.UpstreamNotified.class);
         // These are only recorded for fleets with hollow balancers; see SizeTest.
-        Set<Class<?>> ofHollow = Set.of(Event.Viewed.class, Event.Spent.class, Event.Host.class);
+        Set<Class<?>> ofHollow = Set.of(Event.ViewsSampled.class, Event.ControlCost.class,
+                Event.HostUsage.class);
         wanted.removeAll(ofHollow);
         assertTrue(eventCounts.keySet().containsAll(wanted), eventCounts.toString());
         assertTrue(Collections.disjoint(eventCounts.keySet(), ofHollow), eventCounts.toString());
--- a/src/test/java/cranedeal/lab/MembersTest.java
+++ b/src/test/java/cranedeal/lab/MembersTest.java
@@ -127,20 +127,20 @@
 
     @Test
     void viewsFollowKillsPausesAndCuts() throws Exception {
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
         assertEquals(0, compare(0));
         assertEquals(2, Program.run(Map.of(), "fleet", "members", "no address"));
 
         testbed.balancers().get("n3").kill();
-        Processes.until(agree(allExcept(3)));
+        Processes.awaitCondition(agree(allExcept(3)));
         testbed.balancers().get("n3").start();
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
 
         // A member paused for longer than the suspicion time becomes faulty, but declares no other faulty.
         testbed.balancers().get("n2").pause();
-        Processes.until(agree(allExcept(2)));
+        Processes.awaitCondition(agree(allExcept(2)));
         testbed.balancers().get("n2").resume();
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
         assertTrue(Files.readAllLines(folder.resolve("out/n2/log.txt")).stream()
                 .noneMatch(line -> line.contains(" is faulty") && !line.contains("n3 ")),
                 "the paused member declares nobody faulty");
@@ -150,9 +150,9 @@
             // The link to a member whose name sorts first belongs to that member.
             cut("n5", name(i), Impairment.BLOCKED, Impairment.NONE);
         }
-        Processes.until(agree(allExcept(5)));
+        Processes.awaitCondition(agree(allExcept(5)));
         cut("n5", "*", Impairment.NONE, Impairment.NONE);
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
 
         // The minority of a partition reports that it is isolated; both parts go on.
         int[] part = IntStream.range(0, COUNT / 3).toArray();
@@ -162,8 +162,8 @@
                 cut(name(one), name(other), Impairment.BLOCKED, Impairment.BLOCKED);
             }
         }
-        Processes.until(agree(IntStream.of(part).boxed().toList()));
-        Processes.until(agree(rest));
+        Processes.awaitCondition(agree(IntStream.of(part).boxed().toList()));
+        Processes.awaitCondition(agree(rest));
         assertTrue(view(0).path("isolated").asBoolean() && !view(COUNT - 1).path("isolated").asBoolean());
         assertTrue(logContains(1, "is isolated: reaches less than half"));
         assertEquals(1, Program.run(Map.of(), "fleet", "members",
@@ -171,17 +171,17 @@
         for (int one : part) {
             cut(name(one), "*", Impairment.NONE, Impairment.NONE);
         }
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
         assertEquals(0, compare(1));
     }
 
     @Test
     void leavesUpgradesAndFullRestartsAreNotFailures() throws Exception {
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
         String before = instance(4, 1);
         testbed.balancers().get("n1").upgrade();
-        Processes.until(() -> !instance(4, 1).equals(before));
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(() -> !instance(4, 1).equals(before));
+        Processes.awaitCondition(agree(allExcept()));
         for (int i = 0; i < COUNT; i++) {
             assertTrue(Files.readAllLines(folder.resolve("out/" + name(i) + "/log.txt")).stream()
                     .noneMatch(line -> line.contains("n1 at ") && !line.endsWith(" is alive")),
@@ -189,10 +189,10 @@
         }
 
         testbed.balancers().get("n4").restart();
-        Processes.until(agree(allExcept()));
+        Processes.awaitCondition(agree(allExcept()));
         assertTrue(logContains(2, " is left"));
 
-        Processes.until(() -> membersWithFullDisk() == COUNT);
+        Processes.awaitCondition(() -> membersWithFullDisk() == COUNT);
         for (int i = 0; i < COUNT; i++) {
             testbed.balancers().get(name(i)).kill();
         }
@@ -200,7 +200,7 @@
         for (int i = 2; i < COUNT; i++) {
             testbed.balancers().get(name(i)).start();
         }
-        Processes.until(agree(allExcept(0, 1)));
+        Processes.awaitCondition(agree(allExcept(0, 1)));
     }
 
     private String instance(int view, int of) throws Exception {
--- a/src/test/java/cranedeal/lab/Processes.java
+++ b/src/test/java/cranedeal/lab/Processes.java
@@ -33,7 +33,7 @@
             throws Exception {
         Path log = Files.createTempFile("child", ".log");
         ChildProcess child = supervisor.start(main.getSimpleName(), java(main, arguments), Map.of(), log);
-        until(() -> child.logContains("ready") || !child.isAlive());
+        awaitCondition(() -> child.logContains("ready") || !child.isAlive());
         if (!child.isAlive()) {
             throw new AssertionError(Files.readString(log));
         }
@@ -41,7 +41,7 @@
     }
 
     /** Waits until a condition is true; fails after a timeout. */
-    public static void until(Callable<Boolean> condition) throws Exception {
+    public static void awaitCondition(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.call()) {
             if (System.nanoTime() > end) {
--- a/src/test/java/cranedeal/lab/SwarmTest.java
+++ b/src/test/java/cranedeal/lab/SwarmTest.java
@@ -115,7 +115,7 @@
         Swarm swarm = swarm(200, Network.GOOD.losing(0.05), 1);
         Swarm.Faulty death = swarm.kill(7);
         assertTrue(swarm.runUntil(now -> death.knowing() == 199, 50, TIMEOUT_MS) < TIMEOUT_MS);
-        assertEquals(0, swarm.wronged());
+        assertEquals(0, swarm.falseDetections());
         assertAgrees(swarm);
     }
 
@@ -129,7 +129,7 @@
             }
             swarm.run(6 * PERIOD_MS);
         }
-        assertTrue(swarm.wronged() >= 6, "members stopped for longer than the suspicion time");
+        assertTrue(swarm.falseDetections() >= 6, "members stopped for longer than the suspicion time");
         assertEquals(0, IntStream.range(6, 60).filter(i -> IntStream.range(0, 60)
                 .anyMatch(viewer -> viewer != i && swarm.view(viewer, i) != State.ALIVE)).count());
         assertEquals(0, swarm.core(0).stats().declaredFaulty() + swarm.core(1).stats().declaredFaulty(),
@@ -196,7 +196,7 @@
         swarm.start(4, List.of(0), NONE, 1);
         assertAgrees(swarm);
         assertTrue(swarm.core(4).self().incarnation() > rejoined);
-        assertEquals(0, swarm.wronged());
+        assertEquals(0, swarm.falseDetections());
     }
 
     @Test
--- a/src/test/java/cranedeal/lab/history/CheckersTest.java
+++ b/src/test/java/cranedeal/lab/history/CheckersTest.java
@@ -5,14 +5,14 @@
 
 import cranedeal.lab.history.Event.Answered;
 import cranedeal.lab.history.Event.Arrived;
-import cranedeal.lab.history.Event.Began;
+import cranedeal.lab.history.Event.UpstreamStarted;
 import cranedeal.lab.history.Event.End;
 import cranedeal.lab.history.Event.Ended;
 import cranedeal.lab.history.Event.Faulted;
 import cranedeal.lab.history.Event.Life;
-import cranedeal.lab.history.Event.Lived;
+import cranedeal.lab.history.Event.ProcessChanged;
 import cranedeal.lab.history.Event.Sent;
-import cranedeal.lab.history.Event.Told;
+import cranedeal.lab.history.Event.UpstreamNotified;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
     Path folder;
 
     private static long violations(Checker checker, Event... history) {
-        checker.accept(new Event.Loaded(-1, true));
+        checker.accept(new Event.LoadChanged(-1, true));
         for (Event event : history) {
             checker.accept(event);
         }
@@ -75,11 +75,15 @@
         checkers.forEach((lost, rule) -> {
             Event[] bare = {sent(100, "a", 1), answered(200, "a", 1, lost), ended(200, 1, 1)};
             assertEquals(1, violations(rule.get(), bare));
-            assertEquals(0, violations(rule.get(), with(bare, new Lived(190, "n0", Life.KILLED, 0))));
+            assertEquals(0, violations(rule.get(), with(bare, new ProcessChanged(190, "n0", Life.KILLED,
+                    0))));
             // The exit of a process may be recorded only after its connections broke.
-            assertEquals(0, violations(rule.get(), with(bare, new Lived(900, "n0", Life.EXITED, 137))));
-            assertEquals(1, violations(rule.get(), with(bare, new Lived(190, "n1", Life.KILLED, 0))));
-            assertEquals(1, violations(rule.get(), with(bare, new Lived(190, "n0", Life.STOPPING, 0))));
+            assertEquals(0, violations(rule.get(), with(bare, new ProcessChanged(900, "n0", Life.EXITED,
+                    137))));
+            assertEquals(1, violations(rule.get(), with(bare, new ProcessChanged(190, "n1", Life.KILLED,
+                    0))));
+            assertEquals(1, violations(rule.get(), with(bare, new ProcessChanged(190, "n0", Life.STOPPING,
+                    0))));
             assertEquals(0, violations(rule.get(),
                     with(bare, new Faulted(150, 0, "cut", List.of("clients>n0"), true))));
             assertEquals(1, violations(rule.get(), with(bare, new Faulted(150, 0, "cut", List.of("n0>u3"),
@@ -120,13 +124,14 @@
 
     @Test
     void drainingUpstreamsGetNoNewAttempts() {
-        Told told = new Told(1_000, "n0", "u0", "draining");
+        UpstreamNotified told = new UpstreamNotified(1_000, "n0", "u0", "draining");
         assertEquals(0, violations(new DrainKept(2_000), told, arrived(2_900, "a", "n0", "u0", "x", true),
                 arrived(9_000, "b", "n1", "u0", "x", true), arrived(9_000, "c", "n0", "u1", "x", true)));
         assertEquals(1, violations(new DrainKept(2_000), told, arrived(3_001, "a", "n0", "u0", "x", false)));
-        assertEquals(1, violations(new DrainKept(2_000), told, new Told(2_500, "n0", "u0", "removed"),
+        assertEquals(1, violations(new DrainKept(2_000), told, new UpstreamNotified(2_500, "n0", "u0",
+                "removed"),
                 arrived(3_100, "a", "n0", "u0", "x", true)), "the first notification counts");
-        assertEquals(0, violations(new DrainKept(2_000), told, new Told(2_500, "n0", "u0", "up"),
+        assertEquals(0, violations(new DrainKept(2_000), told, new UpstreamNotified(2_500, "n0", "u0", "up"),
                 arrived(3_100, "a", "n0", "u0", "x", true)), "the upstream is up again");
         assertEquals(0, violations(new DrainKept(2_000), new Faulted(900, 0, "cut", List.of("n0>discovery"),
                 true), told, arrived(3_100, "a", "n0", "u0", "x", true)), "the notification may be delayed");
@@ -156,18 +161,19 @@
     @Test
     void coldUpstreamsStayWithinTheirBudget() {
         // Two cores that start with a quarter of their speed: 3 x 2 x 0.25 x 1,500 = 2,250 ms of work.
-        Began began = new Began(0, "u0", 2, 0.25, 20_000);
-        Told told = new Told(10, "n0", "u0", "up");
+        UpstreamStarted began = new UpstreamStarted(0, "u0", 2, 0.25, 20_000);
+        UpstreamNotified told = new UpstreamNotified(10, "n0", "u0", "up");
         assertEquals(0, violations(new ColdBudget(3, 1_500), stream(began, told, 8)));
         assertTrue(violations(new ColdBudget(3, 1_500), stream(began, told, 4)) > 0);
         assertEquals(0, violations(new ColdBudget(3, 1_500),
-                stream(began, new Told(10, "n1", "u0", "up"), 4)), "from a balancer that was not notified");
+                stream(began, new UpstreamNotified(10, "n1", "u0", "up"), 4)),
+                "from a balancer that was not notified");
         assertEquals(0, violations(new ColdBudget(3, 1_500),
-                stream(new Began(0, "u0", 2, 1, 0), told, 4)), "the upstream is warm");
+                stream(new UpstreamStarted(0, "u0", 2, 1, 0), told, 4)), "the upstream is warm");
     }
 
     /** Attempts of 10 ms of work at the given interval in milliseconds, for 1.6 s. */
-    private static Event[] stream(Began began, Told told, int everyMs) {
+    private static Event[] stream(UpstreamStarted began, UpstreamNotified told, int everyMs) {
         List<Event> events = new ArrayList<>(List.of(began, told));
         for (int at = 20; at < 1_620; at += everyMs) {
             events.add(arrived(at, "r" + at, "n0", "u0", "x", true));
@@ -178,10 +184,11 @@
     @Test
     void historyIsReadBackAsWritten() throws Exception {
         List<Event> told = List.of(sent(0.25, "a", 1), answered(5, "a", 1, End.FAILED), ended(5, 1, 1),
-                arrived(2, "a", "n0", "u0", "x", true), new Told(1, "n0", "u0", "up"),
-                new Began(0, "u0", 2, 0.25, 100), new Faulted(1, 3, "cut \"x\"", List.of("n0>u0"), true),
-                new Lived(2, "n0", Life.PAUSED, 0), new Event.Used(3, "n0", 12.5, 100),
-                new Event.Loaded(4, true));
+                arrived(2, "a", "n0", "u0", "x", true), new UpstreamNotified(1, "n0", "u0", "up"),
+                new UpstreamStarted(0, "u0", 2, 0.25, 100), new Faulted(1, 3, "cut \"x\"", List.of("n0>u0"),
+                true),
+                new ProcessChanged(2, "n0", Life.PAUSED, 0), new Event.ProcessUsage(3, "n0", 12.5, 100),
+                new Event.LoadChanged(4, true));
         Path file = folder.resolve("history.jsonl");
         try (History history = new History(file)) {
             told.forEach(history);
--- a/src/test/java/cranedeal/lab/hollow/HollowBalancersTest.java
+++ b/src/test/java/cranedeal/lab/hollow/HollowBalancersTest.java
@@ -52,7 +52,7 @@
         for (HollowGroup group : groups) {
             group.startBalancers(all);
         }
-        Processes.until(() -> agree(all));
+        Processes.awaitCondition(() -> agree(all));
     }
 
     @AfterEach
@@ -86,14 +86,14 @@
         for (HollowGroup group : groups) {
             group.kill(dead);
         }
-        Processes.until(() -> agree(left));
+        Processes.awaitCondition(() -> agree(left));
         groups.get(0).leave(List.of("h5"));
         left.remove("h5");
-        Processes.until(() -> agree(left));
+        Processes.awaitCondition(() -> agree(left));
         for (HollowGroup group : groups) {
             group.startBalancers(all);
         }
-        Processes.until(() -> agree(all));
+        Processes.awaitCondition(() -> agree(all));
         assertEquals(0, Program.run(Map.of(), "fleet", "members", at(3), "--compare"));
 
         Meter.Window window = groups.get(0).window();
--- a/src/test/java/cranedeal/lab/link/StreamLinkTest.java
+++ b/src/test/java/cranedeal/lab/link/StreamLinkTest.java
@@ -177,7 +177,7 @@
             exchangeOverUnimpairedLink();
             assertFalse(connecting.finishConnect());
             link.impair(Impairment.NONE, Impairment.NONE).sync();
-            Processes.until(connecting::finishConnect);
+            Processes.awaitCondition(connecting::finishConnect);
         }
     }
 
@@ -188,7 +188,7 @@
             assertEquals("known", client.readLine());
             link.impair(Impairment.NONE, Impairment.BLOCKED).sync();
             client.sendLine("only-there");
-            Processes.until(() -> echo.logContains("only-there"));
+            Processes.awaitCondition(() -> echo.logContains("only-there"));
             exchangeOverUnimpairedLink();
             assertFalse(client.in.ready());
             link.impair(Impairment.NONE, Impairment.NONE).sync();
@@ -203,7 +203,7 @@
             assertEquals("to be reset", client.readLine());
             link.reset().sync();
             assertThrows(SocketException.class, client::readLine);
-            Processes.until(() -> echo.logContains("broken: Connection reset"));
+            Processes.awaitCondition(() -> echo.logContains("broken: Connection reset"));
         }
     }
 
--- a/src/test/java/cranedeal/lab/process/ProcessTest.java
+++ b/src/test/java/cranedeal/lab/process/ProcessTest.java
@@ -39,17 +39,17 @@
         try (ProcessSupervisor supervisor = new ProcessSupervisor();
                 AddressBlock addresses = AddressBlock.reserve()) {
             Path log = folder.resolve("nursery.log");
-            ChildProcess lab = supervisor.start("nursery", Processes.java(Nursery.class,
+            ChildProcess lab = supervisor.start("nursery", Processes.java(SupervisorMain.class,
                     folder.resolve("children.log").toString(), addresses.ip(1).getHostAddress(), "9001",
                     "9002"), Map.of(), log);
-            Processes.until(() -> lab.logContains("ready") || !lab.isAlive());
+            Processes.awaitCondition(() -> lab.logContains("ready") || !lab.isAlive());
             Matcher ids = Pattern.compile("children (\\d+) (\\d+)").matcher(Files.readString(log));
             assertTrue(ids.find(), Files.readString(log));
             List<ProcessHandle> children = Stream.of(ids.group(1), ids.group(2))
                     .map(id -> ProcessHandle.of(Long.parseLong(id)).orElseThrow()).toList();
             lab.signal(signal);
             for (ProcessHandle child : children) {
-                Processes.until(() -> !child.isAlive());
+                Processes.awaitCondition(() -> !child.isAlive());
             }
         }
     }
@@ -74,9 +74,9 @@
             assertTrue(child.usage().orElseThrow().rssKb() > 1_000);
             child.signal("STOP");
             Path stat = Path.of("/proc", Long.toString(child.pid()), "stat");
-            Processes.until(() -> Files.readString(stat).contains(") T "));
+            Processes.awaitCondition(() -> Files.readString(stat).contains(") T "));
             child.signal("CONT");
-            Processes.until(() -> !Files.readString(stat).contains(") T "));
+            Processes.awaitCondition(() -> !Files.readString(stat).contains(") T "));
             child.kill();
             assertEquals(137, child.onExit().get(1, TimeUnit.MINUTES));
             assertTrue(child.usage().isEmpty());
@@ -88,17 +88,17 @@
         try (ProcessSupervisor supervisor = new ProcessSupervisor()) {
             Path written = Files.createDirectory(folder.resolve("disk"));
             ChildProcess child = Processes.start(supervisor, Writer.class, written.toString());
-            Processes.until(() -> Files.exists(written.resolve("wrote")));
+            Processes.awaitCondition(() -> Files.exists(written.resolve("wrote")));
             child.setDiskFull(true);
-            Processes.until(() -> Files.exists(written.resolve("full")));
+            Processes.awaitCondition(() -> Files.exists(written.resolve("full")));
             child.setDiskFull(false);
             Files.delete(written.resolve("wrote"));
-            Processes.until(() -> Files.exists(written.resolve("wrote")));
+            Processes.awaitCondition(() -> Files.exists(written.resolve("wrote")));
             DiskFault.setReadOnly(written, true);
-            Processes.until(() -> child.logContains("AccessDenied"));
+            Processes.awaitCondition(() -> child.logContains("AccessDenied"));
             DiskFault.setReadOnly(written, false);
             Files.delete(written.resolve("wrote"));
-            Processes.until(() -> Files.exists(written.resolve("wrote")));
+            Processes.awaitCondition(() -> Files.exists(written.resolve("wrote")));
         }
     }
 
--- a/src/test/java/cranedeal/lab/process/Nursery.java
+++ b/src/test/java/cranedeal/lab/process/SupervisorMain.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /** A separate lab process for a test to end: starts two children, pauses the second, and prints their ids. */
-public final class Nursery {
+public final class SupervisorMain {
 
-    private Nursery() {
+    private SupervisorMain() {
     }
 
     /** Arguments: the file for the children's output, and the address and the two ports to listen on. */
--- a/src/test/java/cranedeal/lab/report/AnalysisTest.java
+++ b/src/test/java/cranedeal/lab/report/AnalysisTest.java
@@ -28,7 +28,7 @@
     private static List<Event> history() {
         List<Event> events = new ArrayList<>();
         events.add(new Event.Sent(900, "w", 9_999, "n0", "c", 900, 2_000));
-        events.add(new Event.Loaded(LOAD, true));
+        events.add(new Event.LoadChanged(LOAD, true));
         events.add(new Event.Answered(1_001, "w", 9_999, "n0", End.SERVED, 200));
         events.add(new Event.Ended(1_001, 9_999, "c", End.SERVED, 1, 101));
         for (int i = 0; i < 1_000; i++) {
@@ -37,11 +37,11 @@
             String balancer = i % 2 == 0 || i >= 400 && i < 700 ? "n0" : "n1";
             if (i == 400) {
                 events.add(new Event.Faulted(due, 0, "kill n1", List.of("n1"), true));
-                events.add(new Event.Lived(due, "n1", Life.KILLED, 0));
+                events.add(new Event.ProcessChanged(due, "n1", Life.KILLED, 0));
             }
             if (i == 500) {
-                events.add(new Event.Lived(due, "n1", Life.STARTED, 0));
-                events.add(new Event.Lived(due + 5, "n1", Life.READY, 0));
+                events.add(new Event.ProcessChanged(due, "n1", Life.STARTED, 0));
+                events.add(new Event.ProcessChanged(due + 5, "n1", Life.READY, 0));
                 events.add(new Event.Faulted(due + 5, 0, "kill n1", List.of("n1"), false));
             }
             events.add(new Event.Sent(due, "t" + i, i, balancer, "c", due, due + 1_000));
@@ -50,7 +50,7 @@
             events.add(new Event.Answered(due + 4, "t" + i, i, balancer, end, 200));
             events.add(new Event.Ended(due + 4, i, "c", end, 1, 4));
         }
-        events.add(new Event.Used(LOAD + 500, "n1", 100, 2_000));
+        events.add(new Event.ProcessUsage(LOAD + 500, "n1", 100, 2_000));
         return events;
     }
 
--- a/src/test/java/cranedeal/node/AdminEndpointTest.java
+++ b/src/test/java/cranedeal/node/AdminEndpointTest.java
@@ -36,7 +36,7 @@
         "GET,/ops/%zz,400"})
     void eachPathAndMethodGetsItsStatus(String method, String path, int status) throws Exception {
         try (NodeFixture fixture = fixture()) {
-            assertEquals(status, fixture.order(method, path));
+            assertEquals(status, fixture.adminRequest(method, path));
             assertEquals(200, health(fixture));
             fixture.assertServes();
         }
@@ -71,7 +71,7 @@
                 silent.add(HttpPeer.connect(fixture.node.adminAddress()));
                 silent.get(i).write("GET /ops/rea");
             }
-            assertEquals(200, fixture.order("GET", "/ops/readiness"));
+            assertEquals(200, fixture.adminRequest("GET", "/ops/readiness"));
             // No later connection evicted the last one, so it must have timed out.
             assertTrue(silent.get(silent.size() - 1).awaitClose());
         } finally {
@@ -98,8 +98,8 @@
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "30"));
             busy.await();
-            assertEquals(200, fixture.order("GET", "/ops/stats"));
-            assertEquals(503, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("GET", "/ops/stats"));
+            assertEquals(503, fixture.adminRequest("PUT", "/ops/drain/start"));
             over.countDown();
             fixture.upstreams.get(0).accept();
             assertEquals(200, health(fixture));
@@ -117,9 +117,9 @@
                 HttpPeer kept = fixture.caller();
                 kept.write(NodeFixture.HEALTH);
                 assertEquals(200, kept.read().status());
-                assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
-                assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
-                assertEquals(503, fixture.order("GET", "/ops/readiness"));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
+                assertEquals(503, fixture.adminRequest("GET", "/ops/readiness"));
                 assertEquals(503, health(fixture));
                 // A caller that is still connected is served, and its connection is closed.
                 kept.write(NodeFixture.get("1", "10"));
@@ -127,8 +127,8 @@
                 assertEquals(503, answer.status());
                 assertEquals("close", answer.header("Connection"));
                 assertTrue(idle.awaitClose());
-                assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
-                assertEquals(200, fixture.order("GET", "/ops/readiness"));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/stop"));
+                assertEquals(200, fixture.adminRequest("GET", "/ops/readiness"));
                 assertEquals(200, health(fixture));
                 HttpPeer again = fixture.caller();
                 again.write(NodeFixture.HEALTH);
@@ -142,12 +142,12 @@
         try (NodeFixture fixture = new NodeFixture(2)) {
             fixture.adminEnabled = true;
             fixture.start(cranedeal.LatencyWeightedBalancer::new);
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/down/s-0000000a"));
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/up/s-0000000a"));
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/down/"));
-            assertEquals(405, fixture.order("GET", "/ops/upstreams/down/s-00000000"));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000000"));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000000"));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/down/s-0000000a"));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/up/s-0000000a"));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/down/"));
+            assertEquals(405, fixture.adminRequest("GET", "/ops/upstreams/down/s-00000000"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/s-00000000"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/s-00000000"));
             assertTrue(fixture.node.stats().contains("edge_proxy.targets_disabled=1\n"),
                     fixture.node.stats());
             HttpPeer caller = fixture.caller();
@@ -160,10 +160,10 @@
                 assertEquals(200, caller.read().status());
             }
             assertEquals(0, fixture.upstreams.get(0).pendingConnections());
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/up/s-00000000"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/up/s-00000000"));
             assertTrue(fixture.node.stats().contains("edge_proxy.targets_disabled=0\n"),
                     fixture.node.stats());
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000001"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/s-00000001"));
             // The enabled upstream is cold, so it gets the first request of its share; no other goes
             // elsewhere.
             for (int i = 0; i < 20; i++) {
@@ -191,7 +191,7 @@
             HttpPeer idle = fixture.caller();
             idle.write(NodeFixture.HEALTH);
             assertEquals(200, idle.read().status());
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
             assertTrue(idle.awaitClose());
             int at = 0;
             for (int cut : new int[] {3, request.indexOf("\r\n") + 2, request.length() - 5}) {
@@ -207,7 +207,7 @@
     @Test
     void operatorsCannotUndoTheDrainOfSigterm() throws Exception {
         try (NodeFixture fixture = fixture()) {
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "30"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
@@ -224,8 +224,8 @@
             while (health(fixture) != 200) {
                 Thread.onSpinWait();
             }
-            assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
-            assertEquals(503, fixture.order("GET", "/ops/readiness"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/stop"));
+            assertEquals(503, fixture.adminRequest("GET", "/ops/readiness"));
             upstream.write(NodeFixture.ok("taken"));
             assertEquals("close", caller.read().header("Connection"));
             drain.join();
--- a/src/test/java/cranedeal/node/RequestQueueTest.java
+++ b/src/test/java/cranedeal/node/ArrivalQueueTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.node.RequestQueue.SliceResult;
+import cranedeal.node.ArrivalQueue.SliceResult;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Order, time slices and waiting limit of the request queue, in virtual time. */
-class RequestQueueTest {
+class ArrivalQueueTest {
 
     private static final double HANDLING_MS = 1;
 
@@ -18,7 +18,7 @@
     private final List<Integer> handled = new ArrayList<>();
     private final List<Integer> refused = new ArrayList<>();
     private boolean canSend = true;
-    private final RequestQueue<Integer> queue = new RequestQueue<>(() -> now, () -> canSend, request -> {
+    private final ArrivalQueue<Integer> queue = new ArrivalQueue<>(() -> now, () -> canSend, request -> {
         handled.add(request);
         now += HANDLING_MS;
     }, refused::add);
@@ -59,13 +59,13 @@
     @Test
     void requestsThatWaitedTooLongAreRefusedAndLaterOnesHandled() {
         add(0, 10);
-        now += RequestQueue.MAX_WAIT_MS - 1;
+        now += ArrivalQueue.MAX_WAIT_MS - 1;
         add(10, 10);
         now += 2;
         assertEquals(SliceResult.NOTHING, queue.handleSlice());
         assertEquals(List.of(0, 1, 2, 3, 4, 5, 6, 7, 8, 9), refused);
         assertEquals(List.of(10, 11, 12, 13, 14, 15, 16, 17, 18, 19), handled);
-        assertEquals(RequestQueue.MAX_WAIT_MS + 1, queue.takeLongestWait(), 1e-9);
+        assertEquals(ArrivalQueue.MAX_WAIT_MS + 1, queue.takeLongestWait(), 1e-9);
         assertEquals(0, queue.takeLongestWait());
     }
 
@@ -76,7 +76,7 @@
     @Test
     void refusalsTakeNoTimeFromHandling() {
         add(0, 1_000);
-        now += RequestQueue.MAX_WAIT_MS + 1;
+        now += ArrivalQueue.MAX_WAIT_MS + 1;
         add(1_000, 1_000);
         assertEquals(SliceResult.READY, queue.handleSlice());
         assertEquals(1_000, handled.get(0));
@@ -89,9 +89,9 @@
         canSend = false;
         add(0, 2);
         assertEquals(SliceResult.BLOCKED, queue.handleSlice());
-        now += RequestQueue.MAX_WAIT_MS / 2;
+        now += ArrivalQueue.MAX_WAIT_MS / 2;
         add(2, 2);
-        now += RequestQueue.MAX_WAIT_MS / 2 + 1;
+        now += ArrivalQueue.MAX_WAIT_MS / 2 + 1;
         assertEquals(SliceResult.BLOCKED, queue.handleSlice());
         assertEquals(List.of(0, 1), refused);
         assertEquals(List.of(), handled);
--- a/src/test/java/cranedeal/node/CallerGoneTest.java
+++ b/src/test/java/cranedeal/node/CallerGoneTest.java
@@ -147,7 +147,7 @@
             Request request = ScriptedBalancer.next(heldRequests);
             mode.leave(caller);
             // The node cannot tell a half-close from a close: both mean that the caller has left.
-            assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.gone));
+            assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.goneClients));
             assertTrue(caller.socket.isClosed() || caller.awaitClose());
             fixture.balancer.onRequest = other -> {
                 fixture.balancer.sendTo(0, request, 0);
@@ -186,7 +186,7 @@
             });
             assertEquals(503, other.read().status());
             assertEquals(Result.NOT_SENT, fixture.balancer.nextResult());
-            assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.gone));
+            assertEquals(request.id(), ScriptedBalancer.next(fixture.balancer.goneClients));
             assertNothingElseSent(fixture, before);
         }
     }
@@ -236,7 +236,7 @@
             }
             for (HttpPeer caller : taken) {
                 caller.close();
-                ScriptedBalancer.next(fixture.balancer.gone);
+                ScriptedBalancer.next(fixture.balancer.goneClients);
             }
             assertNothingElseSent(fixture, before);
         }
@@ -354,7 +354,7 @@
             upstream.read();
             caller.close();
             // Requests over the pipelining limit are discarded; left unread, they would hide the close.
-            ScriptedBalancer.next(fixture.balancer.gone);
+            ScriptedBalancer.next(fixture.balancer.goneClients);
             upstream.write(NodeFixture.ok("nobody waits"));
             assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
             fixture.awaitReads();
--- a/src/test/java/cranedeal/node/ConnectionLifecycleTest.java
+++ b/src/test/java/cranedeal/node/ConnectionLifecycleTest.java
@@ -101,8 +101,8 @@
                         fixture.awaitReads();
                         open = open && tryWrite(caller, text.substring(text.length() / 2));
                     }
-                    case 5 -> fixture.order("PUT", "/ops/drain/start");
-                    case 6 -> fixture.order("PUT", "/ops/drain/stop");
+                    case 5 -> fixture.adminRequest("PUT", "/ops/drain/start");
+                    case 6 -> fixture.adminRequest("PUT", "/ops/drain/stop");
                     default -> rejectOne(upstream);
                 }
             }
@@ -158,7 +158,7 @@
     private static void readAndCheckAnswers(NodeFixture fixture, Upstream upstream, HttpPeer caller,
             Queue<String> sentIds)
             throws Exception {
-        fixture.order("PUT", "/ops/drain/start");
+        fixture.adminRequest("PUT", "/ops/drain/start");
         Thread rejecting = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 rejectOne(upstream);
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -147,14 +147,14 @@
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
             caller.close();
-            assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.goneClients));
             upstream.write(NodeFixture.ok("nobody waits"));
             assertTrue(ScriptedBalancer.next(fixture.balancer.outcomes).requestClosed());
             fixture.balancer.onRequest = request -> fixture.balancer.actions.fail(request.id());
             HttpPeer other = fixture.caller();
             other.write(NodeFixture.get("2", "10"));
             other.read();
-            assertTrue(fixture.balancer.gone.isEmpty());
+            assertTrue(fixture.balancer.goneClients.isEmpty());
         }
     }
 
@@ -182,7 +182,7 @@
                 upstream.close();
             }
             assertEquals(500, caller.read().status());
-            assertEquals(1, ScriptedBalancer.next(script.gone));
+            assertEquals(1, ScriptedBalancer.next(script.goneClients));
             script.onRequest = request -> script.sendTo(0, request, 0);
             script.onOpenOutcome = (actions, outcome) -> { };
             fixture.assertServes();
@@ -196,7 +196,7 @@
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "0.1"));
             assertEquals(504, caller.read().status());
-            assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.goneClients));
         }
     }
 
--- a/src/test/java/cranedeal/node/GracefulCloseTest.java
+++ b/src/test/java/cranedeal/node/GracefulCloseTest.java
@@ -56,7 +56,7 @@
             caller.write(NodeFixture.get("1", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
             upstream.write(NodeFixture.ok("last"));
             HttpPeer.Message answer = caller.read();
             assertEquals("last", answer.body());
@@ -77,7 +77,7 @@
             caller.write(NodeFixture.get("1", "10") + NodeFixture.get("2", "10"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
             upstream.write(NodeFixture.ok("first"));
             HttpPeer.Message first = caller.read();
             assertEquals("first", first.body());
--- a/src/test/java/cranedeal/node/LocalOverloadTest.java
+++ b/src/test/java/cranedeal/node/LocalOverloadTest.java
@@ -78,7 +78,7 @@
         assertEquals(calls, loop.served + loop.refused);
         int servedBefore = loop.served;
         int lightCalls = scheduleCalls(loop, LIGHT_LOAD_PER_S, LIGHT_LOAD_MS, calls + 1, random);
-        loop.run(loop.now + LIGHT_LOAD_MS + RequestQueue.MAX_WAIT_MS);
+        loop.run(loop.now + LIGHT_LOAD_MS + ArrivalQueue.MAX_WAIT_MS);
         assertEquals(lightCalls, loop.served - servedBefore);
     }
 
--- a/src/test/java/cranedeal/node/NodeFixture.java
+++ b/src/test/java/cranedeal/node/NodeFixture.java
@@ -139,7 +139,7 @@
     }
 
     /** Sends an operator's request to the admin endpoint, and returns the status of the answer. */
-    int order(String method, String path) throws IOException {
+    int adminRequest(String method, String path) throws IOException {
         try (HttpPeer operator = HttpPeer.connect(node.adminAddress())) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
--- a/src/test/java/cranedeal/node/NodeMetricsTest.java
+++ b/src/test/java/cranedeal/node/NodeMetricsTest.java
@@ -93,7 +93,7 @@
             fixture.upstreams.get(0).accept().read();
             assertMetric(1, fixture, "concurrent");
             caller.close();
-            ScriptedBalancer.next(fixture.balancer.gone);
+            ScriptedBalancer.next(fixture.balancer.goneClients);
             await(0, fixture, "concurrent");
         }
     }
--- a/src/test/java/cranedeal/node/ScriptedBalancer.java
+++ b/src/test/java/cranedeal/node/ScriptedBalancer.java
@@ -24,7 +24,7 @@
     final LinkedBlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Change> changes = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Long> streams = new LinkedBlockingQueue<>();
-    final LinkedBlockingQueue<Long> gone = new LinkedBlockingQueue<>();
+    final LinkedBlockingQueue<Long> goneClients = new LinkedBlockingQueue<>();
     /** The upstreams that operators have banned. */
     final Set<Long> banned = ConcurrentHashMap.newKeySet();
     final LinkedBlockingQueue<String> probes = new LinkedBlockingQueue<>();
@@ -105,7 +105,7 @@
 
     @Override
     public void clientGone(double now, long requestId) {
-        gone.add(requestId);
+        goneClients.add(requestId);
     }
 
     @Override
--- a/src/test/java/cranedeal/node/SlowConnectTest.java
+++ b/src/test/java/cranedeal/node/SlowConnectTest.java
@@ -117,7 +117,7 @@
                     caller.close();
                 }
                 // The scripted module does not cancel attempts, as with settings that do not allow it.
-                ScriptedBalancer.next(fixture.balancer.gone);
+                ScriptedBalancer.next(fixture.balancer.goneClients);
                 try (HttpPeer late = full.acceptNext()) {
                     assertEquals(Result.CONNECT_FAILED, fixture.balancer.nextResult());
                     assertNothingWasSent(late, fixture);
--- a/src/test/java/cranedeal/node/StateDirTest.java
+++ b/src/test/java/cranedeal/node/StateDirTest.java
@@ -72,16 +72,16 @@
     @Test
     void disabledUpstreamsAndDrainSurviveAKill() throws Exception {
         try (NodeFixture fixture = fixture().start()) {
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(1)));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/up/" + id(1)));
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/down/never-listed"));
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/" + id(0)));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/" + id(1)));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/up/" + id(1)));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/down/never-listed"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
         }
         try (NodeFixture fixture = fixture().start()) {
-            assertEquals(503, fixture.order("GET", "/ops/readiness"));
-            assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
-            assertEquals(200, fixture.order("GET", "/ops/readiness"));
+            assertEquals(503, fixture.adminRequest("GET", "/ops/readiness"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/stop"));
+            assertEquals(200, fixture.adminRequest("GET", "/ops/readiness"));
             assertTrue(fixture.balancer.banned.contains(UpstreamList.numericId(id(0))), "module notified");
             assertEquals(1, fixture.balancer.banned.size());
             assertTrue(stats(fixture).contains("orders_unknown=0"));
@@ -122,7 +122,7 @@
             fixture.stateDir = Path.of("/proc/self/no-such-folder");
             fixture.start();
             fixture.assertServes();
-            assertEquals(500, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertEquals(500, fixture.adminRequest("PUT", "/ops/upstreams/down/" + id(0)));
             assertTrue(fixture.balancer.banned.isEmpty());
         }
     }
@@ -132,7 +132,7 @@
         Path state = folder.resolve("state");
         try (NodeFixture fixture = fixture().start()) {
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(i % 2)));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/" + id(i % 2)));
             }
         }
         String journal = new FolderDisk(state).fileNames().get(0);
@@ -142,10 +142,10 @@
         try (NodeFixture fixture = fixture().start()) {
             fixture.assertServes();
             assertTrue(stats(fixture).contains("orders_unknown=1"));
-            assertEquals(500, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertEquals(500, fixture.adminRequest("PUT", "/ops/upstreams/down/" + id(0)));
             assertTrue(fixture.balancer.banned.isEmpty(), "nothing was changed");
             Repair.repair(state, StoreLimits.DEFAULT, state.resolve("before"));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/" + id(0)));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/" + id(0)));
             assertTrue(stats(fixture).contains("orders_unknown=0"));
         }
     }
--- a/src/test/java/cranedeal/node/StreamedBodyTest.java
+++ b/src/test/java/cranedeal/node/StreamedBodyTest.java
@@ -190,7 +190,7 @@
             readBytes(upstream, HALF);
             caller.close();
             assertTrue(upstream.awaitClose());
-            assertEquals(1, ScriptedBalancer.next(fixture.balancer.gone));
+            assertEquals(1, ScriptedBalancer.next(fixture.balancer.goneClients));
         }
     }
 
--- a/src/test/java/cranedeal/node/VirtualLoop.java
+++ b/src/test/java/cranedeal/node/VirtualLoop.java
@@ -60,7 +60,7 @@
     private final Set<Long> openRequests = new HashSet<>();
     private final Map<Long, List<SentAttempt>> attempts = new HashMap<>();
     private final Map<Long, Integer> idleConnections = new HashMap<>();
-    private final RequestQueue<Long> requestQueue;
+    private final ArrivalQueue<Long> requestQueue;
     private final double deadlineMs;
     private long nextSequence;
     private double spareMs;
@@ -72,7 +72,7 @@
     VirtualLoop(Settings settings, int upstreams, double workMs, long seed) {
         this.workMs = workMs;
         deadlineMs = settings.classes().get(0).deadline();
-        requestQueue = new RequestQueue<>(() -> now, () -> true, this::handle, this::refuseExpired);
+        requestQueue = new ArrivalQueue<>(() -> now, () -> true, this::handle, this::refuseExpired);
         balancer.start(now, settings, seed);
         List<Upstream> list = new ArrayList<>();
         for (int i = 1; i <= upstreams; i++) {
