--- a/src/main/java/cranedeal/fleet/config/ConfigCalls.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigCalls.java
@@ -36,7 +36,7 @@
     private ConfigCalls() {
     }
 
-    static String text(InetSocketAddress address) {
+    static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -44,14 +44,14 @@
         return uri.parameters().getOrDefault(name, List.of("")).get(0);
     }
 
-    static CompletionStage<CallReply> done(CallReply reply) {
+    static CompletionStage<CallReply> completed(CallReply reply) {
         return CompletableFuture.completedFuture(reply);
     }
 
-    static CallReply manifest(Manifest newest, QueryStringDecoder uri) {
+    static CallReply manifestReply(Manifest newest, QueryStringDecoder uri) {
         try {
-            VersionId after = VersionId.parse(parameter(uri, "after"));
-            return newest == null || !newest.id().isAfter(after)
+            VersionId afterId = VersionId.parse(parameter(uri, "after"));
+            return newest == null || !newest.id().isAfter(afterId)
                     ? CallReply.empty(NO_CONTENT)
                     : CallReply.json(CallReply.OK, newest.bytes());
         } catch (IllegalArgumentException e) {
@@ -59,7 +59,7 @@
         }
     }
 
-    static CallReply section(byte[] section) {
+    static CallReply sectionReply(byte[] section) {
         return section == null ? CallReply.text(NOT_FOUND, "no such section")
                 : CallReply.json(CallReply.OK, section);
     }
--- a/src/main/java/cranedeal/fleet/config/ConfigDocument.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigDocument.java
@@ -23,11 +23,11 @@
     /** The most bytes of one section, and of all. */
     public static final int MAX_SECTION_BYTES = 256 << 10;
     public static final int MAX_DOCUMENT_BYTES = 2 << 20;
-    private static final int FORM = 1;
-    private static final int MOST_SERVICES = 256;
-    private static final Set<String> KEYS = Set.of("settings", "discovery");
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_SERVICES = 256;
+    private static final Set<String> SECTION_KEYS = Set.of("settings", "discovery");
     /** What differs from balancer to balancer of one service, so that none of it can be published to all. */
-    private static final Set<String> OWN_KEYS = Set.of("name", "listen", "seed", "limits", "fleet",
+    private static final Set<String> MACHINE_KEYS = Set.of("name", "listen", "seed", "limits", "fleet",
             "admin_addr", "state_dir", "known", "settings.position", "settings.zone");
     private static final JsonMapper JSON = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
@@ -51,7 +51,7 @@
             throw new BadDocumentException("it has " + bytes.length + " bytes, and " + MAX_DOCUMENT_BYTES
                     + " are the most");
         }
-        Map<String, Integer> lines = lines(bytes);
+        Map<String, Integer> lines = lineNumbers(bytes);
         JsonNode root;
         try {
             root = JSON.readTree(bytes);
@@ -61,59 +61,61 @@
         if (root == null || !root.isObject()) {
             throw new BadDocumentException("line 1: it is no object");
         }
-        for (String key : names(root)) {
+        for (String key : fieldNames(root)) {
             if (!Set.of("form", "services").contains(key)) {
-                throw wrong(lines, key, "is no key of a document; form and services are");
+                throw badDocument(lines, key, "is no key of a document; form and services are");
             }
         }
-        if (!root.path("form").isInt() || root.path("form").intValue() != FORM) {
-            throw wrong(lines, "form", "is not " + FORM);
+        if (!root.path("form").isInt() || root.path("form").intValue() != FORMAT_VERSION) {
+            throw badDocument(lines, "form", "is not " + FORMAT_VERSION);
         }
         JsonNode services = root.path("services");
-        if (!services.isObject() || services.size() > MOST_SERVICES) {
-            throw wrong(lines, "services", "is no object of at most " + MOST_SERVICES + " services");
+        if (!services.isObject() || services.size() > MAX_SERVICES) {
+            throw badDocument(lines, "services", "is no object of at most " + MAX_SERVICES + " services");
         }
         SortedMap<String, byte[]> sections = new TreeMap<>();
-        for (Map.Entry<String, JsonNode> one : services.properties()) {
-            sections.put(one.getKey(), section(one.getKey(), one.getValue(), lines));
+        for (Map.Entry<String, JsonNode> entry : services.properties()) {
+            sections.put(entry.getKey(), parseSection(entry.getKey(), entry.getValue(), lines));
         }
         return sections;
     }
 
-    private static byte[] section(String service, JsonNode section, Map<String, Integer> lines)
+    private static byte[] parseSection(String service, JsonNode section, Map<String, Integer> lines)
             throws BadDocumentException {
         String path = "services." + service;
         try {
             Member.requireName(service);
         } catch (IllegalArgumentException e) {
-            throw wrong(lines, path, "has no name of a service: " + e.getMessage());
+            throw badDocument(lines, path, "has no name of a service: " + e.getMessage());
         }
         if (!section.isObject()) {
-            throw wrong(lines, path, "is no object");
+            throw badDocument(lines, path, "is no object");
         }
-        for (String key : names(section)) {
-            if (OWN_KEYS.contains(key)) {
-                throw wrong(lines, path + "." + key, "is a machine's own, and can't be published");
+        for (String key : fieldNames(section)) {
+            if (MACHINE_KEYS.contains(key)) {
+                throw badDocument(lines, path + "." + key, "is a machine's own, and can't be published");
             }
-            if (!KEYS.contains(key)) {
-                throw wrong(lines, path + "." + key, "is no key of a section; settings and discovery are");
+            if (!SECTION_KEYS.contains(key)) {
+                throw badDocument(lines, path + "." + key,
+                        "is no key of a section; settings and discovery are");
             }
         }
         if (section.has("settings") && !section.get("settings").isObject()) {
-            throw wrong(lines, path + ".settings", "is no object");
+            throw badDocument(lines, path + ".settings", "is no object");
         }
-        for (String key : names(section.path("settings"))) {
-            if (OWN_KEYS.contains("settings." + key)) {
-                throw wrong(lines, path + ".settings." + key, "is a machine's own, and can't be published");
+        for (String key : fieldNames(section.path("settings"))) {
+            if (MACHINE_KEYS.contains("settings." + key)) {
+                throw badDocument(lines, path + ".settings." + key,
+                        "is a machine's own, and can't be published");
             }
         }
         if (section.has("discovery") && !section.get("discovery").isTextual()) {
-            throw wrong(lines, path + ".discovery", "is no address");
+            throw badDocument(lines, path + ".discovery", "is no address");
         }
         try {
             byte[] bytes = JSON.writeValueAsBytes(section);
             if (bytes.length > MAX_SECTION_BYTES) {
-                throw wrong(lines, path, "has " + bytes.length + " bytes, and " + MAX_SECTION_BYTES
+                throw badDocument(lines, path, "has " + bytes.length + " bytes, and " + MAX_SECTION_BYTES
                         + " are the most");
             }
             return bytes;
@@ -122,17 +124,17 @@
         }
     }
 
-    private static Iterable<String> names(JsonNode object) {
+    private static Iterable<String> fieldNames(JsonNode object) {
         return object::fieldNames;
     }
 
-    private static BadDocumentException wrong(Map<String, Integer> lines, String path, String why) {
+    private static BadDocumentException badDocument(Map<String, Integer> lines, String path, String problem) {
         Integer line = lines.get(path);
-        return new BadDocumentException((line == null ? "" : "line " + line + ": ") + path + " " + why);
+        return new BadDocumentException((line == null ? "" : "line " + line + ": ") + path + " " + problem);
     }
 
     /** On which line each key is, by its path; those of the first four levels. */
-    private static Map<String, Integer> lines(byte[] bytes) throws BadDocumentException {
+    private static Map<String, Integer> lineNumbers(byte[] bytes) throws BadDocumentException {
         Map<String, Integer> lines = new HashMap<>();
         try (JsonParser parser = JSON.createParser(bytes)) {
             while (parser.nextToken() != null) {
--- a/src/main/java/cranedeal/fleet/config/ConfigFollower.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigFollower.java
@@ -24,12 +24,12 @@
 public final class ConfigFollower {
 
     /** What is known of so many others at most; of those that were not heard for longest, nothing. */
-    private static final int MOST_PEERS = 512;
-    private static final int LONGEST_REASON = 300;
+    private static final int MAX_PEERS = 512;
+    private static final int MAX_REASON_LENGTH = 300;
     /** Whom to ask first for a section: members of the service, near ones before, then coordinators. */
-    private static final int COORDINATOR = 2;
-    private static final int PERHAPS = 4;
-    private static final int NOBODY = 5;
+    private static final int RANK_COORDINATOR = 2;
+    private static final int RANK_OLDER_VERSION = 4;
+    private static final int RANK_NONE = 5;
 
     /**
      * How a member goes about it.
@@ -41,14 +41,14 @@
      * @param jitterMs it waits up to so long before it asks for a version
      * @param spreadMs it waits up to so long before it asks a coordinator for a section, which a member of
      *     its service may have by then
-     * @param patienceMs an answer is awaited for so long
+     * @param callTimeoutMs an answer is awaited for so long
      * @param backoffMs the longest wait after the first round of failures; it doubles with each
-     * @param mostBackoffMs and never gets longer
+     * @param maxBackoffMs and never gets longer
      * @param burst so many calls can be made at once
      * @param callsPerS and so many over time
      */
     public record Settings(String service, String zone, double pollMs, double jitterMs, double spreadMs,
-            double patienceMs, double backoffMs, double mostBackoffMs, double burst, double callsPerS) {
+            double callTimeoutMs, double backoffMs, double maxBackoffMs, double burst, double callsPerS) {
 
         /** Usual settings. */
         public static Settings defaults(String service, String zone) {
@@ -60,16 +60,16 @@
     interface Actions {
 
         /** Asks for the manifest of the newest version, if that is after one; answered by its number. */
-        void askManifest(long call, InetSocketAddress of, VersionId after);
+        void requestManifest(long call, InetSocketAddress address, VersionId after);
 
         /** Asks for a section. */
-        void askSection(long call, InetSocketAddress of, String checksum);
+        void requestSection(long call, InetSocketAddress address, String checksum);
 
-        /** Tries a section whole, null for none, and goes by it if that can be; see {@link #tried}. */
-        void tryOut(VersionId id, byte[] section);
+        /** Tries a section whole, null for none, and goes by it if that can be; see {@link #applied}. */
+        void apply(VersionId id, byte[] section);
 
         /** Keeps this on disk, if there is a folder. */
-        void keep(FollowerState state);
+        void persist(FollowerState state);
 
         /** Tells the others that this member has a version. */
         void advertise(VersionId id);
@@ -80,11 +80,11 @@
         void log(String line);
     }
 
-    private enum Phase { IDLE, CALLING, TRYING }
+    private enum Phase { IDLE, CALLING, APPLYING }
 
     private record Peer(String service, String zone, VersionId id) {
 
-        boolean hasAll() {
+        boolean isCoordinator() {
             return service.isEmpty();
         }
     }
@@ -102,28 +102,28 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<InetSocketAddress, Peer> eldest) {
-            return size() > MOST_PEERS;
+            return size() > MAX_PEERS;
         }
     };
-    private FollowerState state = FollowerState.NOTHING;
+    private FollowerState state = FollowerState.EMPTY;
     /** A version that is newer than the one held, while its section is still to come; else null. */
-    private Manifest wanted;
-    private final Set<InetSocketAddress> triedInVain = new HashSet<>();
+    private Manifest pendingManifest;
+    private final Set<InetSocketAddress> failedSources = new HashSet<>();
     private Phase phase = Phase.IDLE;
     /** What was in force when it last ran; null once it is settled whether it is again. */
-    private FollowerState lastGood;
+    private FollowerState previousState;
     /** Whether what is tried is what was in force when this member last ran. */
-    private boolean fallback;
+    private boolean applyingPrevious;
     private boolean started;
-    private long call;
-    private InetSocketAddress asked;
+    private long lastCall;
+    private InetSocketAddress calledPeer;
     private double deadline = Double.POSITIVE_INFINITY;
-    private double nextAt = Double.POSITIVE_INFINITY;
-    private double pollAt;
-    private boolean hasSpread;
+    private double nextStepAt = Double.POSITIVE_INFINITY;
+    private double nextPollAt;
+    private boolean spreadDone;
     /** Whether the last source that was found for a section is a coordinator. */
-    private boolean fromCoordinator;
-    private int rounds;
+    private boolean sourceIsCoordinator;
+    private int failedRounds;
     private double now;
     private long failures;
     private long damaged;
@@ -144,14 +144,14 @@
     void start(double time, FollowerState kept) {
         now = time;
         started = true;
-        pollAt = now + settings.pollMs() * random.nextDouble();
+        nextPollAt = now + settings.pollMs() * random.nextDouble();
         // Until it is tried, this process goes by its own file.
         state = new FollowerState(kept.held(), kept.section(), VersionId.NONE, null, kept.refusal());
-        lastGood = kept.held() == null ? null : kept;
+        previousState = kept.held() == null ? null : kept;
         actions.advertise(held());
         if (kept.held() != null) {
-            phase = Phase.TRYING;
-            actions.tryOut(held(), kept.section());
+            phase = Phase.APPLYING;
+            actions.apply(held(), kept.section());
         }
     }
 
@@ -177,67 +177,67 @@
     }
 
     Stats stats() {
-        return new Stats(held(), state.inForce(), call, failures, damaged,
+        return new Stats(held(), state.inForce(), lastCall, failures, damaged,
                 state.refusal() != null);
     }
 
     /** When {@link #tick} is next wanted. */
     double wakeAt() {
         return switch (phase) {
-            case IDLE -> Math.min(nextAt, pollAt);
+            case IDLE -> Math.min(nextStepAt, nextPollAt);
             case CALLING -> deadline;
-            case TRYING -> Double.POSITIVE_INFINITY;
+            case APPLYING -> Double.POSITIVE_INFINITY;
         };
     }
 
     // ---- Events ------------------------------------------------------------------------------------
 
     /** Another member has told which version it has. */
-    void noticed(double time, InetSocketAddress of, VersionNotice notice) {
+    void noticeReceived(double time, InetSocketAddress address, VersionNotice notice) {
         now = time;
-        peers.put(of, new Peer(notice.service(), notice.zone(), new VersionId(notice.epoch(),
+        peers.put(address, new Peer(notice.service(), notice.zone(), new VersionId(notice.epoch(),
                 notice.number())));
-        if (started && phase == Phase.IDLE && peers.get(of).id().isAfter(newestKnown())
-                && Double.isInfinite(nextAt)) {
-            nextAt = now + settings.jitterMs() * random.nextDouble();
+        if (started && phase == Phase.IDLE && peers.get(address).id().isAfter(newestKnown())
+                && Double.isInfinite(nextStepAt)) {
+            nextStepAt = now + settings.jitterMs() * random.nextDouble();
         }
     }
 
     private VersionId newestKnown() {
-        return wanted == null ? held() : wanted.id();
+        return pendingManifest == null ? held() : pendingManifest.id();
     }
 
     /** Does what is due. */
     void tick(double time) {
         now = time;
         if (phase == Phase.CALLING && now >= deadline) {
-            failed(time, call);
+            callFailed(time, lastCall);
         }
-        if (phase == Phase.IDLE && now >= nextAt) {
-            nextAt = Double.POSITIVE_INFINITY;
+        if (phase == Phase.IDLE && now >= nextStepAt) {
+            nextStepAt = Double.POSITIVE_INFINITY;
             advance();
         }
-        if (phase == Phase.IDLE && now >= pollAt) {
+        if (phase == Phase.IDLE && now >= nextPollAt) {
             poll();
         }
     }
 
-    /** An answer to {@link Actions#askManifest}; null if there is nothing newer. */
+    /** An answer to {@link Actions#requestManifest}; null if there is nothing newer. */
     void manifest(double time, long number, Manifest manifest) {
         now = time;
-        if (!ends(number)) {
+        if (!endCall(number)) {
             return;
         }
         if (manifest == null || !manifest.id().isAfter(newestKnown())) {
-            peers.computeIfPresent(asked, (key, peer) -> new Peer(peer.service(), peer.zone(),
+            peers.computeIfPresent(calledPeer, (key, peer) -> new Peer(peer.service(), peer.zone(),
                     VersionId.NONE));
-            soon(0);
+            scheduleNextStep(0);
             return;
         }
-        wanted = manifest;
-        triedInVain.clear();
-        rounds = 0;
-        hasSpread = false;
+        pendingManifest = manifest;
+        failedSources.clear();
+        failedRounds = 0;
+        spreadDone = false;
         Manifest.Section section = manifest.services().get(settings.service());
         byte[] known = section == null ? null : section(section.checksum());
         if (section == null || known != null) {
@@ -247,28 +247,28 @@
         }
     }
 
-    /** An answer to {@link Actions#askSection}. */
+    /** An answer to {@link Actions#requestSection}. */
     void section(double time, long number, byte[] bytes) {
         now = time;
-        if (number != call || phase != Phase.CALLING || wanted == null) {
+        if (number != lastCall || phase != Phase.CALLING || pendingManifest == null) {
             return;
         }
-        Manifest.Section section = wanted.services().get(settings.service());
+        Manifest.Section section = pendingManifest.services().get(settings.service());
         if (section == null || !Checksum.of(bytes).equals(section.checksum())) {
             damaged++;
-            failed(time, number);
-        } else if (ends(number)) {
+            callFailed(time, number);
+        } else if (endCall(number)) {
             adopt(bytes);
         }
     }
 
     /** A call came to nothing. */
-    void failed(double time, long number) {
+    void callFailed(double time, long number) {
         now = time;
-        if (ends(number)) {
+        if (endCall(number)) {
             failures++;
-            triedInVain.add(asked);
-            soon(0);
+            failedSources.add(calledPeer);
+            scheduleNextStep(0);
         }
     }
 
@@ -277,15 +277,15 @@
      *
      * @param refusal null if the section is in force now
      */
-    void tried(double time, VersionId id, FollowerState.Refusal refusal) {
+    void applied(double time, VersionId id, FollowerState.Refusal refusal) {
         now = time;
-        if (phase != Phase.TRYING) {
+        if (phase != Phase.APPLYING) {
             return;
         }
         phase = Phase.IDLE;
-        if (fallback) {
-            fallback = false;
-            lastGood = null;
+        if (applyingPrevious) {
+            applyingPrevious = false;
+            previousState = null;
             if (refusal != null) {
                 actions.log("refuses what was in force before as well, and goes by its own file: " + id
                         + ": " + refusal.reason());
@@ -294,37 +294,37 @@
             }
         } else if (refusal == null) {
             state = new FollowerState(state.held(), state.section(), id, state.section(), null);
-            lastGood = null;
+            previousState = null;
             actions.log("goes by version " + id + (state.section() == null ? ", which has no section for "
                     + settings.service() : ""));
         } else {
-            String reason = refusal.reason().length() <= LONGEST_REASON ? refusal.reason()
-                    : refusal.reason().substring(0, LONGEST_REASON);
+            String reason = refusal.reason().length() <= MAX_REASON_LENGTH ? refusal.reason()
+                    : refusal.reason().substring(0, MAX_REASON_LENGTH);
             state = new FollowerState(state.held(), state.section(), state.inForce(), state.inForceSection(),
                     new FollowerState.Refusal(refusal.key(), reason));
             actions.log("refuses version " + id + ", and goes on by "
-                    + (lastGood == null ? state.inForce() : lastGood.inForce()) + ": " + reason);
-            FollowerState before = lastGood;
+                    + (previousState == null ? state.inForce() : previousState.inForce()) + ": " + reason);
+            FollowerState before = previousState;
             if (before != null && !before.inForce().equals(VersionId.NONE)
                     && !Arrays.equals(before.inForceSection(), state.section())) {
-                fallback = true;
-                phase = Phase.TRYING;
+                applyingPrevious = true;
+                phase = Phase.APPLYING;
                 state = new FollowerState(state.held(), state.section(), before.inForce(),
                         before.inForceSection(), state.refusal());
-                actions.tryOut(before.inForce(), before.inForceSection());
+                actions.apply(before.inForce(), before.inForceSection());
                 return;
             }
-            lastGood = null;
+            previousState = null;
         }
-        actions.keep(state);
-        soon(0);
+        actions.persist(state);
+        scheduleNextStep(0);
     }
 
     // ---- What is done ------------------------------------------------------------------------------
 
     /** Whether a call that is under way has come to its end. */
-    private boolean ends(long number) {
-        if (number != call || phase != Phase.CALLING) {
+    private boolean endCall(long number) {
+        if (number != lastCall || phase != Phase.CALLING) {
             return false;
         }
         phase = Phase.IDLE;
@@ -333,59 +333,61 @@
     }
 
     /** Sees to it that it goes on, if there is anything to go on with. */
-    private void soon(double waitMs) {
-        if (wanted != null || isBehind()) {
-            nextAt = now + waitMs + settings.jitterMs() * random.nextDouble();
+    private void scheduleNextStep(double waitMs) {
+        if (pendingManifest != null || isBehind()) {
+            nextStepAt = now + waitMs + settings.jitterMs() * random.nextDouble();
         }
     }
 
     private void poll() {
-        pollAt = now + settings.pollMs() * (0.75 + 0.5 * random.nextDouble());
+        nextPollAt = now + settings.pollMs() * (0.75 + 0.5 * random.nextDouble());
         List<InetSocketAddress> coordinators = List.copyOf(actions.coordinators());
-        if (!coordinators.isEmpty() && wanted == null && budget.take(now)) {
-            ask(coordinators.get(random.nextInt(coordinators.size())));
-            actions.askManifest(call, asked, held());
+        if (!coordinators.isEmpty() && pendingManifest == null && budget.take(now)) {
+            startCall(coordinators.get(random.nextInt(coordinators.size())));
+            actions.requestManifest(lastCall, calledPeer, held());
         }
     }
 
-    private void ask(InetSocketAddress of) {
+    private void startCall(InetSocketAddress address) {
         phase = Phase.CALLING;
-        call++;
-        asked = of;
-        deadline = now + settings.patienceMs();
+        lastCall++;
+        calledPeer = address;
+        deadline = now + settings.callTimeoutMs();
     }
 
     /** Takes the next step towards the newest version. */
     private void advance() {
-        InetSocketAddress ahead = whoIsAhead();
-        InetSocketAddress source = ahead != null || wanted == null ? ahead : whoHasTheSection();
-        if (source == null && wanted == null && !isBehind()) {
-            triedInVain.clear();
+        InetSocketAddress newerPeer = findNewerPeer();
+        InetSocketAddress source = newerPeer != null || pendingManifest == null ? newerPeer
+                : findSectionSource();
+        if (source == null && pendingManifest == null && !isBehind()) {
+            failedSources.clear();
             return;
         }
         if (source == null) {
             // All were tried: once more, later.
-            triedInVain.clear();
-            rounds++;
-            double longest = Math.min(settings.mostBackoffMs(),
-                    settings.backoffMs() * Math.pow(2, Math.min(rounds, 16)));
-            nextAt = now + longest * (0.5 + 0.5 * random.nextDouble());
+            failedSources.clear();
+            failedRounds++;
+            double maxDelay = Math.min(settings.maxBackoffMs(),
+                    settings.backoffMs() * Math.pow(2, Math.min(failedRounds, 16)));
+            nextStepAt = now + maxDelay * (0.5 + 0.5 * random.nextDouble());
             return;
         }
-        if (ahead == null && !hasSpread && fromCoordinator) {
-            hasSpread = true;
-            nextAt = now + settings.spreadMs() * random.nextDouble();
+        if (newerPeer == null && !spreadDone && sourceIsCoordinator) {
+            spreadDone = true;
+            nextStepAt = now + settings.spreadMs() * random.nextDouble();
             return;
         }
         if (!budget.take(now)) {
-            nextAt = budget.nextAt(now) + settings.jitterMs() * random.nextDouble();
+            nextStepAt = budget.nextAt(now) + settings.jitterMs() * random.nextDouble();
             return;
         }
-        ask(source);
-        if (ahead != null) {
-            actions.askManifest(call, source, newestKnown());
+        startCall(source);
+        if (newerPeer != null) {
+            actions.requestManifest(lastCall, source, newestKnown());
         } else {
-            actions.askSection(call, source, wanted.services().get(settings.service()).checksum());
+            actions.requestSection(lastCall, source,
+                    pendingManifest.services().get(settings.service()).checksum());
         }
     }
 
@@ -394,11 +396,11 @@
     }
 
     /** Who has said to have a version that is newer than the newest that is known; null if nobody has. */
-    private InetSocketAddress whoIsAhead() {
+    private InetSocketAddress findNewerPeer() {
         VersionId best = newestKnown();
         InetSocketAddress found = null;
         for (Map.Entry<InetSocketAddress, Peer> one : peers.entrySet()) {
-            if (one.getValue().id().isAfter(best) && !triedInVain.contains(one.getKey())) {
+            if (one.getValue().id().isAfter(best) && !failedSources.contains(one.getKey())) {
                 best = one.getValue().id();
                 found = one.getKey();
             }
@@ -406,60 +408,60 @@
         return found;
     }
 
-    private InetSocketAddress whoHasTheSection() {
-        int best = NOBODY;
+    private InetSocketAddress findSectionSource() {
+        int best = RANK_NONE;
         List<InetSocketAddress> found = new ArrayList<>();
         Collection<InetSocketAddress> coordinators = actions.coordinators();
-        Map<InetSocketAddress, Peer> all = new LinkedHashMap<>(peers);
-        coordinators.forEach(one -> all.putIfAbsent(one, new Peer("", "", VersionId.NONE)));
-        for (Map.Entry<InetSocketAddress, Peer> each : all.entrySet()) {
-            InetSocketAddress one = each.getKey();
-            int rank = triedInVain.contains(one) ? NOBODY : rank(each.getValue());
+        Map<InetSocketAddress, Peer> candidates = new LinkedHashMap<>(peers);
+        coordinators.forEach(one -> candidates.putIfAbsent(one, new Peer("", "", VersionId.NONE)));
+        for (Map.Entry<InetSocketAddress, Peer> entry : candidates.entrySet()) {
+            InetSocketAddress one = entry.getKey();
+            int rank = failedSources.contains(one) ? RANK_NONE : rank(entry.getValue());
             if (rank < best) {
                 best = rank;
                 found.clear();
             }
-            if (rank == best && rank < NOBODY) {
+            if (rank == best && rank < RANK_NONE) {
                 found.add(one);
             }
         }
-        fromCoordinator = best == COORDINATOR || best == COORDINATOR + 1;
+        sourceIsCoordinator = best == RANK_COORDINATOR || best == RANK_COORDINATOR + 1;
         return found.isEmpty() ? null : found.get(random.nextInt(found.size()));
     }
 
     private int rank(Peer peer) {
         boolean near = peer.zone().equals(settings.zone());
-        if (peer.hasAll()) {
-            return near ? COORDINATOR : COORDINATOR + 1;
+        if (peer.isCoordinator()) {
+            return near ? RANK_COORDINATOR : RANK_COORDINATOR + 1;
         }
         if (!peer.service().equals(settings.service())) {
-            return NOBODY;
+            return RANK_NONE;
         }
-        return wanted.id().isAfter(peer.id()) ? PERHAPS : near ? 0 : 1;
+        return pendingManifest.id().isAfter(peer.id()) ? RANK_OLDER_VERSION : near ? 0 : 1;
     }
 
     private void adopt(byte[] bytes) {
         boolean wasRefused = state.refusal() != null && Arrays.equals(bytes, state.section());
-        VersionId id = wanted.id();
-        Manifest manifest = wanted;
-        wanted = null;
-        rounds = 0;
-        triedInVain.clear();
+        VersionId id = pendingManifest.id();
+        Manifest manifest = pendingManifest;
+        pendingManifest = null;
+        failedRounds = 0;
+        failedSources.clear();
         if (Arrays.equals(bytes, state.inForceSection())) {
             state = new FollowerState(manifest, state.inForceSection(), id, state.inForceSection(), null);
-            actions.keep(state);
-            soon(0);
+            actions.persist(state);
+            scheduleNextStep(0);
         } else if (wasRefused) {
             state = new FollowerState(manifest, bytes, state.inForce(), state.inForceSection(),
                     state.refusal());
-            actions.keep(state);
-            soon(0);
+            actions.persist(state);
+            scheduleNextStep(0);
         } else {
             state = new FollowerState(manifest, bytes, state.inForce(), state.inForceSection(), null);
-            phase = Phase.TRYING;
+            phase = Phase.APPLYING;
             // Before it is in force, so that no crash leads behind it.
-            actions.keep(state);
-            actions.tryOut(id, bytes);
+            actions.persist(state);
+            actions.apply(id, bytes);
         }
         actions.advertise(id);
     }
--- a/src/main/java/cranedeal/fleet/config/ConfigLog.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigLog.java
@@ -21,26 +21,26 @@
  * Made Simple, 2001). An election that needs no operator fits behind {@link #takeOver}.
  *
  * <p>Has no clock, socket or thread: events come in with a time in milliseconds, and {@link Actions} go out.
- * Its {@link LogKeeper} has what it was given on disk when it returns, so nothing is told before. Belongs to
+ * Its {@link LogStorage} has what it was given on disk when it returns, so nothing is told before. Belongs to
  * one thread.
  */
 final class ConfigLog {
 
     /** The most versions that are kept, and the bytes from which on they are fewer, but never below two. */
-    static final int MOST_VERSIONS = 64;
-    static final int MOST_BYTES = 8 << 20;
+    static final int MAX_VERSIONS = 64;
+    static final int MAX_BYTES = 8 << 20;
     /** What one answer to a new leader holds at most, so that it is a call of usual size. */
-    private static final int MOST_TOLD = 4 << 20;
-    private static final int MOST_WAITING = 16;
+    private static final int MAX_ANSWER_BYTES = 4 << 20;
+    private static final int MAX_QUEUED_CHANGES = 16;
     /** A coordinator that was not heard for so long is asked again; and one that is there, so often. */
     static final double RETRY_MS = 2_000;
     private static final double HEARTBEAT_MS = 1_000;
-    private static final double SOON_MS = 250;
+    private static final double FAST_RETRY_MS = 250;
     /** Until when a change has to be with a majority, or its author is told that it is not yet. */
-    static final double PATIENCE_MS = 3_000;
-    private static final int TAKE_OVER_TRIES = 3;
+    static final double CHANGE_TIMEOUT_MS = 3_000;
+    private static final int TAKE_OVER_ATTEMPTS = 3;
     /** A take-over that has not won after so long never does. */
-    private static final double OUTBID_MS = 2 * PATIENCE_MS;
+    private static final double HIGHER_PROMISE_TIMEOUT_MS = 2 * CHANGE_TIMEOUT_MS;
 
     /** How a publish, a rollback or a take-over came out. */
     enum Result {
@@ -69,10 +69,10 @@
     interface Actions {
 
         /** Sends a question to another coordinator, and hands its answer or its failure back. */
-        void prepare(String to, Replication.Prepare question);
+        void prepare(String to, Replication.Prepare request);
 
         /** Likewise. */
-        void append(String to, Replication.Append question);
+        void append(String to, Replication.Append request);
 
         /** A majority has a version, which is now the one that members are to go by. */
         void committed(Version version);
@@ -82,34 +82,34 @@
 
     /** A change that waits for its turn. */
     private record Change(String operation, String author, long timeMs, String note,
-            SortedMap<String, byte[]> sections, double until, Reply reply) { }
+            SortedMap<String, byte[]> sections, double deadline, Reply reply) { }
 
     /** What the leader knows of another coordinator. */
     private static final class Peer {
 
-        private boolean asked;
-        private double nextAt;
-        private Set<VersionId> have = new HashSet<>();
-        private boolean heard;
+        private boolean callInFlight;
+        private double nextSendAt;
+        private Set<VersionId> heldVersions = new HashSet<>();
+        private boolean reachable;
         /** Since when it refuses for an epoch that nobody leads; infinite if it does not. */
-        private double outbidSince = Double.POSITIVE_INFINITY;
+        private double higherPromiseSince = Double.POSITIVE_INFINITY;
     }
 
     /** A take-over that is under way. */
     private static final class Candidacy {
 
         private final long epoch;
-        private final double until;
-        private final int tries;
+        private final double deadline;
+        private final int attemptsLeft;
         private final Reply reply;
-        private final Set<String> promised = new HashSet<>();
-        private final Map<VersionId, Version> found = new HashMap<>();
+        private final Set<String> promisedBy = new HashSet<>();
+        private final Map<VersionId, Version> foundVersions = new HashMap<>();
         private VersionId committed = VersionId.NONE;
 
         Candidacy(long epoch, double until, int tries, Reply reply) {
             this.epoch = epoch;
-            this.until = until;
-            this.tries = tries;
+            this.deadline = until;
+            this.attemptsLeft = tries;
             this.reply = reply;
         }
     }
@@ -118,18 +118,18 @@
     private final Map<String, Peer> peers = new HashMap<>();
     private final int majority;
     private final LogState state;
-    private final LogKeeper keeper;
+    private final LogStorage storage;
     private final Actions actions;
     private final SplittableRandom random;
-    private final Deque<Change> waiting = new ArrayDeque<>();
+    private final Deque<Change> queuedChanges = new ArrayDeque<>();
     /** Who is to be told of the one version that is not committed yet. */
-    private final List<Change> pending = new ArrayList<>();
-    private long highestSeen;
+    private final List<Change> pendingChanges = new ArrayList<>();
+    private long highestEpochSeen;
     /** The highest epoch of which a leader was heard, which had a majority's promise by then. */
     private long electedEpoch;
     private Candidacy candidacy;
     /** The version of which it was last told that the disk can't take that it is committed. */
-    private VersionId notNoted = VersionId.NONE;
+    private VersionId lastUnrecordedCommit = VersionId.NONE;
     private double now;
 
     /**
@@ -140,15 +140,16 @@
      * @param state what it kept when it last ran; its own from here on
      * @param seed of whatever is drawn
      */
-    ConfigLog(String self, Set<String> others, LogState state, LogKeeper keeper, long seed, Actions actions) {
+    ConfigLog(String self, Set<String> others, LogState state, LogStorage keeper, long seed,
+            Actions actions) {
         this.self = self;
         others.stream().filter(other -> !other.equals(self)).forEach(other -> peers.put(other, new Peer()));
         majority = (peers.size() + 1) / 2 + 1;
         this.state = state;
-        this.keeper = keeper;
+        this.storage = keeper;
         this.actions = actions;
         random = new SplittableRandom(seed);
-        highestSeen = state.promised;
+        highestEpochSeen = state.promisedEpoch;
     }
 
     /** Begins; a leader goes on as the leader of its epoch. */
@@ -157,19 +158,19 @@
         if (state.current() != null) {
             actions.committed(state.current());
         }
-        if (leads()) {
+        if (isLeader()) {
             carryOver();
         }
     }
 
     // ---- What is known -----------------------------------------------------------------------------
 
-    boolean leads() {
+    boolean isLeader() {
         return state.elected && state.leader.equals(self);
     }
 
     long epoch() {
-        return state.promised;
+        return state.promisedEpoch;
     }
 
     /** The leader of {@link #epoch()}, as far as known; empty if there was none. */
@@ -188,10 +189,10 @@
     }
 
     /** The other coordinators that were heard at the last try; of use where this one leads. */
-    Set<String> heard() {
+    Set<String> reachablePeers() {
         Set<String> heard = new TreeSet<>();
         peers.forEach((name, peer) -> {
-            if (peer.heard) {
+            if (peer.reachable) {
                 heard.add(name);
             }
         });
@@ -200,17 +201,17 @@
 
     /** When {@link #tick} is next wanted. */
     double wakeAt() {
-        double next = candidacy == null ? Double.POSITIVE_INFINITY : candidacy.until;
-        if (leads()) {
+        double next = candidacy == null ? Double.POSITIVE_INFINITY : candidacy.deadline;
+        if (isLeader()) {
             for (Peer peer : peers.values()) {
-                next = Math.min(next, peer.nextAt);
+                next = Math.min(next, peer.nextSendAt);
             }
         }
-        for (Change change : pending) {
-            next = Math.min(next, change.until());
+        for (Change change : pendingChanges) {
+            next = Math.min(next, change.deadline());
         }
-        for (Change change : waiting) {
-            next = Math.min(next, change.until());
+        for (Change change : queuedChanges) {
+            next = Math.min(next, change.deadline());
         }
         return next;
     }
@@ -225,21 +226,22 @@
     void publish(double time, String operation, String author, long timeMs, String note,
             SortedMap<String, byte[]> sections, Reply reply) {
         now = time;
-        Change change = new Change(operation, author, timeMs, note, sections, now + PATIENCE_MS, reply);
-        if (!leads()) {
-            notLeader(change);
+        Change change = new Change(operation, author, timeMs, note, sections, now + CHANGE_TIMEOUT_MS, reply);
+        if (!isLeader()) {
+            replyNotLeader(change);
             return;
         }
-        Version known = byOperation(operation);
-        if (known != null && !known.id().isAfter(state.committed)) {
-            reply.done(Result.DONE, known.id(), "it was published before");
-        } else if (known != null) {
-            pending.add(change);
-        } else if (waiting.size() >= MOST_WAITING) {
-            reply.done(Result.REFUSED, VersionId.NONE, MOST_WAITING + " changes wait already; try again");
+        Version existing = findByOperation(operation);
+        if (existing != null && !existing.id().isAfter(state.committed)) {
+            reply.done(Result.DONE, existing.id(), "it was published before");
+        } else if (existing != null) {
+            pendingChanges.add(change);
+        } else if (queuedChanges.size() >= MAX_QUEUED_CHANGES) {
+            reply.done(Result.REFUSED, VersionId.NONE,
+                    MAX_QUEUED_CHANGES + " changes wait already; try again");
         } else {
-            waiting.add(change);
-            next();
+            queuedChanges.add(change);
+            startNextChange();
         }
     }
 
@@ -252,7 +254,7 @@
                 old = version;
             }
         }
-        if (leads() && old == null && byOperation(operation) == null) {
+        if (isLeader() && old == null && findByOperation(operation) == null) {
             reply.done(Result.REFUSED, VersionId.NONE, "version " + number + " is not kept; "
                     + (state.versions.isEmpty() ? "there is none" : state.versions.keySet().stream()
                     .map(id -> Long.toString(id.number())).toList() + " are"));
@@ -269,87 +271,88 @@
             reply.done(Result.REFUSED, VersionId.NONE, "a take-over is under way here");
             return;
         }
-        stand(TAKE_OVER_TRIES, reply);
+        startCandidacy(TAKE_OVER_ATTEMPTS, reply);
     }
 
-    private void stand(int tries, Reply reply) {
-        highestSeen = Math.max(highestSeen, state.promised) + 1;
-        stepDown(highestSeen, self);
+    private void startCandidacy(int tries, Reply reply) {
+        highestEpochSeen = Math.max(highestEpochSeen, state.promisedEpoch) + 1;
+        stepDown(highestEpochSeen, self);
         try {
-            keeper.promise(highestSeen, self, false);
+            storage.promise(highestEpochSeen, self, false);
         } catch (IOException e) {
             reply.done(Result.REFUSED, VersionId.NONE, "cannot keep the promise: " + e.getMessage());
             return;
         }
-        state.promise(highestSeen, self, false);
-        candidacy = new Candidacy(highestSeen, now + PATIENCE_MS, tries, reply);
-        candidacy.promised.add(self);
+        state.promise(highestEpochSeen, self, false);
+        candidacy = new Candidacy(highestEpochSeen, now + CHANGE_TIMEOUT_MS, tries, reply);
+        candidacy.promisedBy.add(self);
         candidacy.committed = state.committed;
         for (String peer : peers.keySet()) {
-            actions.prepare(peer, new Replication.Prepare(highestSeen, self, state.committed));
+            actions.prepare(peer, new Replication.Prepare(highestEpochSeen, self, state.committed));
         }
-        electedIfPromised();
+        becomeLeaderIfPromised();
     }
 
     /** The answer of another coordinator to {@link Actions#prepare}. */
-    void prepared(double time, String from, long epoch, Replication.Answer answer) {
+    void handlePrepareAnswer(double time, String from, long epoch, Replication.Answer answer) {
         now = time;
-        highestSeen = Math.max(highestSeen, answer.promised());
+        highestEpochSeen = Math.max(highestEpochSeen, answer.promisedEpoch());
         if (candidacy == null || candidacy.epoch != epoch) {
             return;
         }
         if (!answer.accepted()) {
-            Candidacy lost = candidacy;
+            Candidacy lostCandidacy = candidacy;
             candidacy = null;
-            if (lost.tries > 1) {
-                stand(lost.tries - 1, lost.reply);
+            if (lostCandidacy.attemptsLeft > 1) {
+                startCandidacy(lostCandidacy.attemptsLeft - 1, lostCandidacy.reply);
             } else {
-                lost.reply.done(Result.REFUSED, VersionId.NONE, "epoch " + answer.promised()
+                lostCandidacy.reply.done(Result.REFUSED, VersionId.NONE, "epoch " + answer.promisedEpoch()
                         + " was promised to " + answer.leader() + "; try again");
             }
             return;
         }
-        candidacy.promised.add(from);
-        answer.versions().forEach(version -> candidacy.found.put(version.id(), version));
+        candidacy.promisedBy.add(from);
+        answer.versions().forEach(version -> candidacy.foundVersions.put(version.id(), version));
         if (answer.committed().isAfter(candidacy.committed)) {
             candidacy.committed = answer.committed();
         }
-        electedIfPromised();
+        becomeLeaderIfPromised();
     }
 
-    private void electedIfPromised() {
-        if (candidacy == null || candidacy.promised.size() < majority) {
+    private void becomeLeaderIfPromised() {
+        if (candidacy == null || candidacy.promisedBy.size() < majority) {
             return;
         }
-        Candidacy won = candidacy;
+        Candidacy winner = candidacy;
         candidacy = null;
         try {
-            adopt(won);
-            keeper.promise(won.epoch, self, true);
+            adoptVersions(winner);
+            storage.promise(winner.epoch, self, true);
         } catch (IOException e) {
-            won.reply.done(Result.REFUSED, VersionId.NONE, "cannot keep what was found: " + e.getMessage());
+            winner.reply.done(Result.REFUSED, VersionId.NONE,
+                    "cannot keep what was found: " + e.getMessage());
             return;
         }
-        state.promise(won.epoch, self, true);
-        actions.log("leads with epoch " + won.epoch + ", promised by " + won.promised);
+        state.promise(winner.epoch, self, true);
+        actions.log("leads with epoch " + winner.epoch + ", promised by " + winner.promisedBy);
         peers.values().forEach(peer -> {
-            peer.asked = false;
-            peer.have = new HashSet<>();
-            peer.nextAt = now;
+            peer.callInFlight = false;
+            peer.heldVersions = new HashSet<>();
+            peer.nextSendAt = now;
         });
         if (state.newest() == null) {
-            won.reply.done(Result.DONE, VersionId.NONE, "leads with epoch " + won.epoch);
+            winner.reply.done(Result.DONE, VersionId.NONE, "leads with epoch " + winner.epoch);
         } else {
-            pending.add(new Change("", self, 0, "", null, now + PATIENCE_MS, won.reply));
+            pendingChanges.add(new Change("", self, 0, "", null, now + CHANGE_TIMEOUT_MS, winner.reply));
         }
         carryOver();
     }
 
     /** Takes the latest version that any of a majority has, and drops what was never committed. */
-    private void adopt(Candidacy won) throws IOException {
+    private void adoptVersions(Candidacy winner) throws IOException {
         Set<VersionId> lineage = new TreeSet<>();
         VersionId best = state.versions.isEmpty() ? VersionId.NONE : state.versions.lastKey();
-        for (VersionId id : won.found.keySet()) {
+        for (VersionId id : winner.foundVersions.keySet()) {
             best = id.isAfter(best) ? id : best;
         }
         for (VersionId id : state.versions.keySet()) {
@@ -357,17 +360,18 @@
                 lineage.add(id);
             }
         }
-        for (Version version : won.found.values()) {
-            if (!version.id().isAfter(won.committed) || version.id().equals(best)) {
+        for (Version version : winner.foundVersions.values()) {
+            if (!version.id().isAfter(winner.committed) || version.id().equals(best)) {
                 if (!state.versions.containsKey(version.id())) {
-                    keeper.put(version);
+                    storage.put(version);
                     state.versions.put(version.id(), version);
                 }
                 lineage.add(version.id());
             }
         }
-        VersionId committed = state.versions.containsKey(won.committed) ? won.committed : state.committed;
-        keeper.retain(lineage, committed);
+        VersionId committed = state.versions.containsKey(winner.committed) ? winner.committed
+                : state.committed;
+        storage.retain(lineage, committed);
         state.retain(lineage, committed);
     }
 
@@ -377,24 +381,25 @@
      */
     private void carryOver() {
         Version newest = state.newest();
-        if (newest != null && newest.id().epoch() < state.promised) {
-            VersionId id = new VersionId(state.promised, newest.id().number() + 1);
-            Manifest was = newest.manifest();
+        if (newest != null && newest.id().epoch() < state.promisedEpoch) {
+            VersionId id = new VersionId(state.promisedEpoch, newest.id().number() + 1);
+            Manifest manifest = newest.manifest();
             try {
-                write(newest.as(id, was.timeMs(), was.operation(), was.author(), "carried over from "
+                storeVersion(newest.withId(id, manifest.timeMs(), manifest.operation(), manifest.author(),
+                        "carried over from "
                         + newest.id()));
             } catch (IOException e) {
                 actions.log("cannot carry " + newest.id() + " over: " + e.getMessage());
-                pending.forEach(change -> change.reply().done(Result.REFUSED, VersionId.NONE,
+                pendingChanges.forEach(change -> change.reply().done(Result.REFUSED, VersionId.NONE,
                         "cannot carry the newest version over: " + e.getMessage()));
-                pending.clear();
+                pendingChanges.clear();
                 return;
             }
         }
-        send();
+        sendToAll();
     }
 
-    private Version byOperation(String operation) {
+    private Version findByOperation(String operation) {
         Version found = null;
         for (Version version : state.versions.values()) {
             if (version.manifest().operation().equals(operation)) {
@@ -404,111 +409,111 @@
         return found;
     }
 
-    private void notLeader(Change change) {
+    private void replyNotLeader(Change change) {
         change.reply().done(Result.NOT_LEADER, VersionId.NONE, state.leader.isEmpty()
                 ? "no coordinator leads; see fleet config take-over" : state.leader.equals(self)
                 ? "a take-over by this coordinator has not come to its end; see fleet config take-over"
-                : state.leader + " leads with epoch " + state.promised);
+                : state.leader + " leads with epoch " + state.promisedEpoch);
     }
 
     // ---- The leader --------------------------------------------------------------------------------
 
     /** Writes the next change, if none is under way. */
-    private void next() {
+    private void startNextChange() {
         Version newest = state.newest();
-        boolean idle = newest == null || newest.id().epoch() == state.promised
+        boolean idle = newest == null || newest.id().epoch() == state.promisedEpoch
                 && newest.id().equals(state.committed);
-        Change change = idle ? waiting.poll() : null;
+        Change change = idle ? queuedChanges.poll() : null;
         if (change == null) {
             return;
         }
-        Version again = byOperation(change.operation());
-        if (again != null) {
-            change.reply().done(Result.DONE, again.id(), "it was published before");
-            next();
+        Version existing = findByOperation(change.operation());
+        if (existing != null) {
+            change.reply().done(Result.DONE, existing.id(), "it was published before");
+            startNextChange();
             return;
         }
-        VersionId id = new VersionId(state.promised, newest == null ? 1 : newest.id().number() + 1);
+        VersionId id = new VersionId(state.promisedEpoch, newest == null ? 1 : newest.id().number() + 1);
         try {
-            write(Version.of(id, change.author(), change.timeMs(), change.operation(), change.note(),
+            storeVersion(Version.of(id, change.author(), change.timeMs(), change.operation(), change.note(),
                     change.sections()));
         } catch (IOException e) {
             actions.log("cannot keep version " + id + ": " + e.getMessage());
             change.reply().done(Result.REFUSED, VersionId.NONE, "it can't be kept: " + e.getMessage());
-            next();
+            startNextChange();
             return;
         }
-        pending.add(change);
-        send();
+        pendingChanges.add(change);
+        sendToAll();
     }
 
-    private void write(Version version) throws IOException {
-        keeper.put(version);
+    private void storeVersion(Version version) throws IOException {
+        storage.put(version);
         state.versions.put(version.id(), version);
     }
 
-    private void send() {
+    private void sendToAll() {
         commitIfMajority();
         peers.values().forEach(peer -> {
-            if (!peer.asked) {
-                peer.nextAt = now;
+            if (!peer.callInFlight) {
+                peer.nextSendAt = now;
             }
         });
         sendDue();
     }
 
     private void sendDue() {
-        if (!leads()) {
+        if (!isLeader()) {
             return;
         }
         peers.forEach((name, peer) -> {
-            if (now >= peer.nextAt) {
-                if (peer.asked) {
-                    peer.heard = false;
+            if (now >= peer.nextSendAt) {
+                if (peer.callInFlight) {
+                    peer.reachable = false;
                 }
-                peer.asked = true;
-                peer.nextAt = now + RETRY_MS;
-                actions.append(name, new Replication.Append(state.promised, self,
-                        new TreeSet<>(state.versions.keySet()), state.committed, lacking(peer)));
+                peer.callInFlight = true;
+                peer.nextSendAt = now + RETRY_MS;
+                actions.append(name, new Replication.Append(state.promisedEpoch, self,
+                        new TreeSet<>(state.versions.keySet()), state.committed, newestMissing(peer)));
             }
         });
     }
 
     /** The latest version that another coordinator lacks. */
-    private Version lacking(Peer peer) {
+    private Version newestMissing(Peer peer) {
         Version lacking = null;
-        if (peer.heard) {
+        if (peer.reachable) {
             for (Version version : state.versions.values()) {
-                lacking = peer.have.contains(version.id()) ? lacking : version;
+                lacking = peer.heldVersions.contains(version.id()) ? lacking : version;
             }
         }
         return lacking;
     }
 
     /** The answer of another coordinator to {@link Actions#append}. */
-    void appended(double time, String from, Replication.Answer answer) {
+    void handleAppendAnswer(double time, String from, Replication.Answer answer) {
         now = time;
         Peer peer = peers.get(from);
-        highestSeen = Math.max(highestSeen, answer.promised());
-        if (!leads() || peer == null) {
+        highestEpochSeen = Math.max(highestEpochSeen, answer.promisedEpoch());
+        if (!isLeader() || peer == null) {
             return;
         }
-        if (answer.promised() > state.promised && answer.elected()) {
-            actions.log("leads no longer: epoch " + answer.promised() + " of " + answer.leader());
-            follow(answer.promised(), answer.leader());
+        if (answer.promisedEpoch() > state.promisedEpoch && answer.elected()) {
+            actions.log("leads no longer: epoch " + answer.promisedEpoch() + " of " + answer.leader());
+            followLeader(answer.promisedEpoch(), answer.leader());
             return;
         }
-        peer.asked = false;
-        if (answer.promised() > state.promised) {
-            outbid(peer, answer);
+        peer.callInFlight = false;
+        if (answer.promisedEpoch() > state.promisedEpoch) {
+            handleHigherPromise(peer, answer);
             return;
         }
-        peer.outbidSince = Double.POSITIVE_INFINITY;
-        peer.heard = true;
-        peer.have = answer.have();
+        peer.higherPromiseSince = Double.POSITIVE_INFINITY;
+        peer.reachable = true;
+        peer.heldVersions = answer.heldVersions();
         // One that can't write, as on a full disk, is not asked at once again.
-        boolean more = lacking(peer) != null || answer.committed().compareTo(state.committed) < 0;
-        peer.nextAt = now + (!more ? HEARTBEAT_MS : answer.accepted() ? 0 : SOON_MS);
+        boolean more = newestMissing(peer) != null || answer.committed().compareTo(state.committed) < 0;
+        peer.nextSendAt = now + (!more ? HEARTBEAT_MS : answer.accepted() ? 0 : FAST_RETRY_MS);
         commitIfMajority();
         sendDue();
     }
@@ -517,74 +522,76 @@
      * Another coordinator has promised a higher epoch to one that a majority has not. That ends no leader,
      * but it can't follow this one any more; so this one takes over anew, once that other try is surely over.
      */
-    private void outbid(Peer peer, Replication.Answer answer) {
-        peer.nextAt = now + HEARTBEAT_MS;
-        if (Double.isInfinite(peer.outbidSince)) {
-            peer.outbidSince = now;
-        } else if (now - peer.outbidSince >= OUTBID_MS && candidacy == null) {
-            peer.outbidSince = Double.POSITIVE_INFINITY;
-            actions.log("takes over anew, as epoch " + answer.promised() + " was promised to "
+    private void handleHigherPromise(Peer peer, Replication.Answer answer) {
+        peer.nextSendAt = now + HEARTBEAT_MS;
+        if (Double.isInfinite(peer.higherPromiseSince)) {
+            peer.higherPromiseSince = now;
+        } else if (now - peer.higherPromiseSince >= HIGHER_PROMISE_TIMEOUT_MS && candidacy == null) {
+            peer.higherPromiseSince = Double.POSITIVE_INFINITY;
+            actions.log("takes over anew, as epoch " + answer.promisedEpoch() + " was promised to "
                     + answer.leader() + ", which does not lead");
-            stand(TAKE_OVER_TRIES, (result, id, why) -> actions.log("has taken over anew: " + result + ", "
+            startCandidacy(TAKE_OVER_ATTEMPTS, (result, id,
+                    why) -> actions.log("has taken over anew: " + result + ", "
                     + why));
         }
     }
 
     /** No answer came from another coordinator. */
-    void unreached(double time, String peer) {
+    void handleAppendFailure(double time, String peer) {
         now = time;
-        Peer its = peers.get(peer);
-        if (its != null && its.asked) {
-            its.asked = false;
-            its.heard = false;
-            its.nextAt = now + SOON_MS * (1 + random.nextDouble());
+        Peer peerState = peers.get(peer);
+        if (peerState != null && peerState.callInFlight) {
+            peerState.callInFlight = false;
+            peerState.reachable = false;
+            peerState.nextSendAt = now + FAST_RETRY_MS * (1 + random.nextDouble());
         }
     }
 
     private void commitIfMajority() {
         Version newest = state.newest();
-        if (!leads() || newest == null || newest.id().epoch() != state.promised
+        if (!isLeader() || newest == null || newest.id().epoch() != state.promisedEpoch
                 || !newest.id().isAfter(state.committed)) {
             return;
         }
-        long with = 1 + peers.values().stream().filter(peer -> peer.have.contains(newest.id())).count();
-        if (with < majority) {
+        long holders = 1 + peers.values().stream().filter(peer -> peer.heldVersions.contains(newest.id()))
+                .count();
+        if (holders < majority) {
             return;
         }
-        Set<VersionId> kept = kept();
+        Set<VersionId> kept = versionsToKeep();
         try {
-            keeper.retain(kept, newest.id());
+            storage.retain(kept, newest.id());
         } catch (IOException e) {
             // A majority has it all the same, which is found out again at the next answer. Told now, it could
             // be forgotten by a restart, and this coordinator would go back.
-            if (!newest.id().equals(notNoted)) {
-                notNoted = newest.id();
+            if (!newest.id().equals(lastUnrecordedCommit)) {
+                lastUnrecordedCommit = newest.id();
                 actions.log("cannot note that " + newest.id() + " is committed: " + e.getMessage());
             }
             return;
         }
         state.retain(kept, newest.id());
         actions.committed(newest);
-        List<Change> done = new ArrayList<>(pending);
-        pending.clear();
+        List<Change> done = new ArrayList<>(pendingChanges);
+        pendingChanges.clear();
         done.forEach(change -> change.reply().done(Result.DONE, newest.id(), newest.manifest().note()));
         peers.values().forEach(peer -> {
-            if (!peer.asked) {
-                peer.nextAt = now;
+            if (!peer.callInFlight) {
+                peer.nextSendAt = now;
             }
         });
-        next();
+        startNextChange();
         sendDue();
     }
 
-    private Set<VersionId> kept() {
+    private Set<VersionId> versionsToKeep() {
         Set<VersionId> kept = new TreeSet<>();
         long bytes = 0;
         List<Version> latestFirst = new ArrayList<>(state.versions.values());
         java.util.Collections.reverse(latestFirst);
         for (Version version : latestFirst) {
             bytes += version.size();
-            if (kept.size() < 2 || kept.size() < MOST_VERSIONS && bytes <= MOST_BYTES) {
+            if (kept.size() < 2 || kept.size() < MAX_VERSIONS && bytes <= MAX_BYTES) {
                 kept.add(version.id());
             }
         }
@@ -594,25 +601,26 @@
     /** Does what is due. */
     void tick(double time) {
         now = time;
-        if (candidacy != null && now >= candidacy.until) {
-            Candidacy lost = candidacy;
+        if (candidacy != null && now >= candidacy.deadline) {
+            Candidacy lostCandidacy = candidacy;
             candidacy = null;
-            lost.reply.done(Result.UNKNOWN, VersionId.NONE, "only " + lost.promised.size() + " of "
-                    + (peers.size() + 1) + " coordinators have promised epoch " + lost.epoch
+            lostCandidacy.reply.done(Result.UNKNOWN, VersionId.NONE,
+                    "only " + lostCandidacy.promisedBy.size() + " of "
+                    + (peers.size() + 1) + " coordinators have promised epoch " + lostCandidacy.epoch
                     + "; a majority is wanted");
         }
-        expire(pending);
-        expire(waiting);
+        expire(pendingChanges);
+        expire(queuedChanges);
         sendDue();
     }
 
     private void expire(Iterable<Change> changes) {
-        for (var each = changes.iterator(); each.hasNext();) {
-            Change change = each.next();
-            if (now >= change.until()) {
-                each.remove();
+        for (var iterator = changes.iterator(); iterator.hasNext();) {
+            Change change = iterator.next();
+            if (now >= change.deadline()) {
+                iterator.remove();
                 change.reply().done(Result.UNKNOWN, VersionId.NONE, "not on the disks of a majority yet ("
-                        + (heard().size() + 1) + " of " + (peers.size() + 1)
+                        + (reachablePeers().size() + 1) + " of " + (peers.size() + 1)
                         + " coordinators are there); it may still get there, and can be repeated");
             }
         }
@@ -621,17 +629,17 @@
     // ---- The others --------------------------------------------------------------------------------
 
     /** Another coordinator stands for leader. */
-    Replication.Answer prepare(double time, Replication.Prepare question) {
+    Replication.Answer handlePrepare(double time, Replication.Prepare request) {
         now = time;
-        highestSeen = Math.max(highestSeen, question.epoch());
-        if (question.epoch() <= state.promised) {
+        highestEpochSeen = Math.max(highestEpochSeen, request.epoch());
+        if (request.epoch() <= state.promisedEpoch) {
             return answer(false, List.of());
         }
-        if (leads()) {
-            actions.log("leads no longer: " + question.leader() + " takes over with epoch "
-                    + question.epoch());
+        if (isLeader()) {
+            actions.log("leads no longer: " + request.leader() + " takes over with epoch "
+                    + request.epoch());
         }
-        if (!follow(question.epoch(), question.leader())) {
+        if (!followLeader(request.epoch(), request.leader())) {
             return answer(false, List.of());
         }
         List<Version> lacking = new ArrayList<>();
@@ -640,7 +648,7 @@
         java.util.Collections.reverse(latestFirst);
         for (Version version : latestFirst) {
             bytes += version.size();
-            if (version.id().isAfter(question.newest()) && (lacking.isEmpty() || bytes <= MOST_TOLD)) {
+            if (version.id().isAfter(request.newest()) && (lacking.isEmpty() || bytes <= MAX_ANSWER_BYTES)) {
                 lacking.add(version);
             }
         }
@@ -648,33 +656,34 @@
     }
 
     /** The leader's word has come. */
-    Replication.Answer append(double time, Replication.Append question) {
+    Replication.Answer handleAppend(double time, Replication.Append request) {
         now = time;
-        highestSeen = Math.max(highestSeen, question.epoch());
-        electedEpoch = Math.max(electedEpoch, question.epoch());
-        boolean other = !question.leader().equals(state.leader);
-        if (question.epoch() < state.promised || question.epoch() == state.promised && other && leads()) {
+        highestEpochSeen = Math.max(highestEpochSeen, request.epoch());
+        electedEpoch = Math.max(electedEpoch, request.epoch());
+        boolean otherLeader = !request.leader().equals(state.leader);
+        if (request.epoch() < state.promisedEpoch || request.epoch() == state.promisedEpoch && otherLeader
+                && isLeader()) {
             return answer(false, List.of());
         }
-        if ((question.epoch() > state.promised || other)
-                && !follow(question.epoch(), question.leader())) {
+        if ((request.epoch() > state.promisedEpoch || otherLeader)
+                && !followLeader(request.epoch(), request.leader())) {
             return answer(false, List.of());
         }
         try {
-            if (question.version() != null && !state.versions.containsKey(question.version().id())) {
-                write(question.version());
+            if (request.version() != null && !state.versions.containsKey(request.version().id())) {
+                storeVersion(request.version());
             }
-            Set<VersionId> ids = new TreeSet<>(question.ids());
+            Set<VersionId> ids = new TreeSet<>(request.ids());
             ids.retainAll(state.versions.keySet());
-            VersionId committed = question.committed().isAfter(state.committed)
-                    && state.versions.containsKey(question.committed()) ? question.committed()
+            VersionId committed = request.committed().isAfter(state.committed)
+                    && state.versions.containsKey(request.committed()) ? request.committed()
                     : state.committed;
             if (state.current() != null && committed.equals(state.committed)) {
                 ids.add(committed);
             }
             if (!committed.equals(state.committed) || !ids.equals(state.versions.keySet())) {
                 boolean isNews = committed.isAfter(state.committed);
-                keeper.retain(ids, committed);
+                storage.retain(ids, committed);
                 state.retain(ids, committed);
                 if (isNews) {
                     actions.committed(state.current());
@@ -682,22 +691,22 @@
             }
             return answer(true, List.of());
         } catch (IOException e) {
-            actions.log("cannot keep what " + question.leader() + " says: " + e.getMessage());
+            actions.log("cannot keep what " + request.leader() + " says: " + e.getMessage());
             return answer(false, List.of());
         }
     }
 
     private Replication.Answer answer(boolean accepted, List<Version> versions) {
-        return new Replication.Answer(accepted, state.promised, state.leader,
-                leads() || electedEpoch == state.promised, state.committed,
+        return new Replication.Answer(accepted, state.promisedEpoch, state.leader,
+                isLeader() || electedEpoch == state.promisedEpoch, state.committed,
                 new TreeSet<>(state.versions.keySet()), versions);
     }
 
     /** Goes behind a leader of a higher epoch; whether that could be kept. */
-    private boolean follow(long epoch, String leader) {
+    private boolean followLeader(long epoch, String leader) {
         stepDown(epoch, leader);
         try {
-            keeper.promise(epoch, leader, false);
+            storage.promise(epoch, leader, false);
         } catch (IOException e) {
             actions.log("cannot keep the promise of epoch " + epoch + ": " + e.getMessage());
             return false;
@@ -709,17 +718,17 @@
     /** Leads no longer, and tells those who wait. */
     private void stepDown(long epoch, String leader) {
         state.elected = false;
-        List<Change> told = new ArrayList<>(pending);
-        told.addAll(waiting);
-        pending.clear();
-        waiting.clear();
-        told.forEach(change -> change.reply().done(Result.NOT_LEADER, VersionId.NONE, "epoch " + epoch
+        List<Change> abandoned = new ArrayList<>(pendingChanges);
+        abandoned.addAll(queuedChanges);
+        pendingChanges.clear();
+        queuedChanges.clear();
+        abandoned.forEach(change -> change.reply().done(Result.NOT_LEADER, VersionId.NONE, "epoch " + epoch
                 + " of " + leader + " has taken over; it may or may not have got there, and can be"
                 + " repeated there"));
         if (candidacy != null) {
-            Candidacy lost = candidacy;
+            Candidacy lostCandidacy = candidacy;
             candidacy = null;
-            lost.reply.done(Result.REFUSED, VersionId.NONE, "epoch " + epoch + " of " + leader
+            lostCandidacy.reply.done(Result.REFUSED, VersionId.NONE, "epoch " + epoch + " of " + leader
                     + " has taken over meanwhile");
         }
     }
--- a/src/main/java/cranedeal/fleet/config/ConfigMember.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigMember.java
@@ -29,7 +29,7 @@
 
     private static final Logger LOG = Logger.getLogger(ConfigMember.class.getPackageName());
     private static final double NANOS_PER_MS = 1e6;
-    private static final long IDLE_S = 5;
+    private static final long THREAD_IDLE_S = 5;
     /**
      * How many bytes one member serves others in a second, with a burst of as many: who has a version first
      * is asked by many at once, and the rest find it with others soon.
@@ -92,19 +92,19 @@
 
     private final FleetMember member;
     private final ConfigFollower.Settings settings;
-    private final StateStore book;
-    private final SectionApplier trial;
+    private final StateStore stateStore;
+    private final SectionApplier sectionApplier;
     private final Executor executor;
     private final ConfigFollower follower;
-    private final TokenBucket served = servingBudget();
-    private double armedFor = Double.POSITIVE_INFINITY;
+    private final TokenBucket servingBudget = servingBudget();
+    private double nextTickAt = Double.POSITIVE_INFINITY;
     private boolean started;
 
     /** The same with a thread of its own, which is there only while there is something to do. */
-    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore book,
-            SectionApplier trial,
+    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore stateStore,
+            SectionApplier sectionApplier,
             long seed) {
-        this(member, settings, book, trial, seed, ownThread());
+        this(member, settings, stateStore, sectionApplier, seed, newSingleThreadExecutor());
     }
 
     /**
@@ -113,45 +113,45 @@
      * @param seed of whatever is drawn, which must be another one in each process
      * @param executor does one thing at a time, in order
      */
-    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore book,
-            SectionApplier trial,
+    public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore stateStore,
+            SectionApplier sectionApplier,
             long seed, Executor executor) {
         this.member = member;
         this.settings = settings;
-        this.book = book;
-        this.trial = trial;
+        this.stateStore = stateStore;
+        this.sectionApplier = sectionApplier;
         this.executor = executor;
-        follower = new ConfigFollower(settings, seed, new Doing());
-        member.extend(this);
+        follower = new ConfigFollower(settings, seed, new FollowerActions());
+        member.setExtension(this);
     }
 
     static TokenBucket servingBudget() {
         return new TokenBucket(SERVED_BYTES_PER_S, SERVED_BYTES_PER_S);
     }
 
-    private static Executor ownThread() {
-        ThreadPoolExecutor one = new ThreadPoolExecutor(1, 1, IDLE_S, TimeUnit.SECONDS,
+    private static Executor newSingleThreadExecutor() {
+        ThreadPoolExecutor pool = new ThreadPoolExecutor(1, 1, THREAD_IDLE_S, TimeUnit.SECONDS,
                 new LinkedBlockingQueue<>(), new DefaultThreadFactory("config", true));
-        one.allowCoreThreadTimeOut(true);
-        return one;
+        pool.allowCoreThreadTimeOut(true);
+        return pool;
     }
 
     /** What was in force before is so again at once, also while an upgrade's other process is the member. */
     @Override
     public void starting() {
         executor.execute(() -> {
-            FollowerState kept = FollowerState.NOTHING;
+            FollowerState kept = FollowerState.EMPTY;
             try {
-                byte[] bytes = book.read();
+                byte[] bytes = stateStore.read();
                 kept = bytes == null ? kept : FollowerState.parse(bytes);
             } catch (IOException | RuntimeException e) {
                 LOG.warning("the configuration of before can't be read, so the fleet is asked for one: "
                         + e.getMessage());
             }
-            FollowerState before = kept;
+            FollowerState restored = kept;
             onLoop(() -> {
                 started = true;
-                follower.start(member.now(), before);
+                follower.start(member.now(), restored);
             });
         });
     }
@@ -169,47 +169,48 @@
     private void onLoop(Runnable task) {
         member.loop().execute(() -> {
             task.run();
-            arm();
+            scheduleTick();
         });
     }
 
-    private void arm() {
+    private void scheduleTick() {
         double next = follower.wakeAt();
-        if (started && next < armedFor) {
-            armedFor = next;
+        if (started && next < nextTickAt) {
+            nextTickAt = next;
             member.loop().schedule(() -> {
-                armedFor = Double.POSITIVE_INFINITY;
+                nextTickAt = Double.POSITIVE_INFINITY;
                 follower.tick(member.now());
-                arm();
+                scheduleTick();
             }, Math.max(0, (long) ((next - member.now()) * NANOS_PER_MS)), TimeUnit.NANOSECONDS);
         }
     }
 
     @Override
     public void noticeReceived(Member from, VersionNotice notice) {
-        follower.noticed(member.now(), from.address(), notice);
-        arm();
+        follower.noticeReceived(member.now(), from.address(), notice);
+        scheduleTick();
     }
 
     @Override
     public CompletionStage<CallReply> answer(String method, String uri, byte[] body) {
-        QueryStringDecoder asked = new QueryStringDecoder(uri);
-        boolean isKnown = asked.path().equals(ConfigCalls.STATUS) || asked.path().equals(ConfigCalls.MANIFEST)
-                || asked.path().equals(ConfigCalls.SECTION);
+        QueryStringDecoder query = new QueryStringDecoder(uri);
+        boolean isKnown = query.path().equals(ConfigCalls.STATUS) || query.path().equals(ConfigCalls.MANIFEST)
+                || query.path().equals(ConfigCalls.SECTION);
         if (!isKnown) {
             return null;
         }
         if (!method.equals("GET")) {
-            return ConfigCalls.done(CallReply.text(ConfigCalls.NOT_ALLOWED, "another method is wanted"));
+            return ConfigCalls.completed(CallReply.text(ConfigCalls.NOT_ALLOWED, "another method is wanted"));
         }
-        if (asked.path().equals(ConfigCalls.STATUS)) {
-            return ConfigCalls.done(CallReply.json(CallReply.OK, status().toString()
+        if (query.path().equals(ConfigCalls.STATUS)) {
+            return ConfigCalls.completed(CallReply.json(CallReply.OK, status().toString()
                     .getBytes(StandardCharsets.UTF_8)));
         }
-        CallReply reply = asked.path().equals(ConfigCalls.MANIFEST)
-                ? ConfigCalls.manifest(follower.state().held(), asked)
-                : ConfigCalls.section(follower.section(ConfigCalls.parameter(asked, "checksum")));
-        return ConfigCalls.done(served.takeAll(member.now(), CALL_BYTES + reply.body().length) ? reply
+        CallReply reply = query.path().equals(ConfigCalls.MANIFEST)
+                ? ConfigCalls.manifestReply(follower.state().held(), query)
+                : ConfigCalls.sectionReply(follower.section(ConfigCalls.parameter(query, "checksum")));
+        return ConfigCalls.completed(servingBudget.takeWithDebt(member.now(),
+                CALL_BYTES + reply.body().length) ? reply
                 : CallReply.text(ConfigCalls.UNAVAILABLE, "try again"));
     }
 
@@ -229,23 +230,23 @@
 
     @Override
     public Map<String, Long> metrics() {
-        ConfigFollower.Stats of = follower.stats();
+        ConfigFollower.Stats address = follower.stats();
         Map<String, Long> figures = new LinkedHashMap<>();
-        figures.put("fleet.config.epoch", of.inForce().epoch());
-        figures.put("fleet.config.number", of.inForce().number());
-        figures.put("fleet.config.held_number", of.held().number());
-        figures.put("fleet.config.refused", of.refused() ? 1L : 0L);
-        figures.put("fleet.config.calls", of.calls());
-        figures.put("fleet.config.failures", of.failures());
-        figures.put("fleet.config.damaged", of.damaged());
+        figures.put("fleet.config.epoch", address.inForce().epoch());
+        figures.put("fleet.config.number", address.inForce().number());
+        figures.put("fleet.config.held_number", address.held().number());
+        figures.put("fleet.config.refused", address.refused() ? 1L : 0L);
+        figures.put("fleet.config.calls", address.calls());
+        figures.put("fleet.config.failures", address.failures());
+        figures.put("fleet.config.damaged", address.damaged());
         return figures;
     }
 
-    private final class Doing implements ConfigFollower.Actions {
+    private final class FollowerActions implements ConfigFollower.Actions {
 
         @Override
-        public void askManifest(long call, InetSocketAddress of, VersionId after) {
-            member.call(of, "GET", ConfigCalls.MANIFEST + "?after=" + after, new byte[0])
+        public void requestManifest(long call, InetSocketAddress address, VersionId after) {
+            member.call(address, "GET", ConfigCalls.MANIFEST + "?after=" + after, new byte[0])
                     .whenComplete((reply, failure) -> onLoop(() -> manifest(call, reply)));
         }
 
@@ -257,31 +258,31 @@
                 } else if (reply != null && reply.status() == CallReply.OK) {
                     follower.manifest(now, call, Manifest.parse(reply.body()));
                 } else {
-                    follower.failed(now, call);
+                    follower.callFailed(now, call);
                 }
             } catch (IOException e) {
-                follower.failed(now, call);
+                follower.callFailed(now, call);
             }
         }
 
         @Override
-        public void askSection(long call, InetSocketAddress of, String checksum) {
-            member.call(of, "GET", ConfigCalls.SECTION + "?checksum=" + checksum, new byte[0])
+        public void requestSection(long call, InetSocketAddress address, String checksum) {
+            member.call(address, "GET", ConfigCalls.SECTION + "?checksum=" + checksum, new byte[0])
                     .whenComplete((reply, failure) -> onLoop(() -> {
                         if (reply != null && reply.status() == CallReply.OK) {
                             follower.section(member.now(), call, reply.body());
                         } else {
-                            follower.failed(member.now(), call);
+                            follower.callFailed(member.now(), call);
                         }
                     }));
         }
 
         @Override
-        public void tryOut(VersionId id, byte[] section) {
+        public void apply(VersionId id, byte[] section) {
             executor.execute(() -> {
                 FollowerState.Refusal refusal = null;
                 try {
-                    trial.apply(section);
+                    sectionApplier.apply(section);
                 } catch (RefusedException e) {
                     refusal = new FollowerState.Refusal(e.key, e.getMessage());
                 } catch (RuntimeException e) {
@@ -289,15 +290,15 @@
                     refusal = new FollowerState.Refusal("", e.toString());
                 }
                 FollowerState.Refusal why = refusal;
-                onLoop(() -> follower.tried(member.now(), id, why));
+                onLoop(() -> follower.applied(member.now(), id, why));
             });
         }
 
         @Override
-        public void keep(FollowerState state) {
+        public void persist(FollowerState state) {
             executor.execute(() -> {
                 try {
-                    book.write(state.bytes());
+                    stateStore.write(state.bytes());
                 } catch (IOException | RuntimeException e) {
                     LOG.warning("the configuration in force can't be kept: " + e.getMessage());
                 }
--- a/src/main/java/cranedeal/fleet/config/Coordinator.java
+++ b/src/main/java/cranedeal/fleet/config/Coordinator.java
@@ -43,12 +43,12 @@
     /** The role of coordinators among the members. */
     public static final String ROLE = "coordinator";
     /** How many calls of members one coordinator answers in a second; the rest are told to come again. */
-    static final int MOST_CALLS_PER_S = 200;
+    static final int MAX_CALLS_PER_S = 200;
     /** Calls may be as large as the largest answer to a new leader, in JSON, and as slow as a busy disk. */
     static final FleetMember.CallLimits LIMITS = new FleetMember.CallLimits(128, 8 << 20, 5_000);
     private static final Logger LOG = Logger.getLogger(Coordinator.class.getPackageName());
     private static final double NANOS_PER_MS = 1e6;
-    private static final int LONGEST_WORD = 64;
+    private static final int MAX_PARAMETER_LENGTH = 64;
 
     private final FleetMember member;
     private final String zone;
@@ -57,10 +57,10 @@
     private final ConfigLog log;
     private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(
             new DefaultThreadFactory("coordinator", true));
-    private final TokenBucket served = servingBudget();
+    private final TokenBucket servingBudget = servingBudget();
     private volatile Version current;
-    private ScheduledFuture<?> armed;
-    private double armedFor = Double.POSITIVE_INFINITY;
+    private ScheduledFuture<?> scheduledTick;
+    private double nextTickAt = Double.POSITIVE_INFINITY;
 
     /**
      * A coordinator that has not started. Throws {@link IOException} if its folder can't be used.
@@ -87,15 +87,17 @@
                 known.update(before -> bytes);
             }
         }, LIMITS);
-        this.peers = peers.stream().distinct().collect(Collectors.toMap(ConfigCalls::text, peer -> peer));
+        this.peers = peers.stream().distinct().collect(Collectors.toMap(ConfigCalls::formatAddress,
+                peer -> peer));
         Set<String> others = new TreeSet<>(this.peers.keySet());
-        log = new ConfigLog(ConfigCalls.text(config.advertise()), others, store.state(), store, config.seed(),
-                new Doing());
-        member.extend(this);
+        log = new ConfigLog(ConfigCalls.formatAddress(config.advertise()), others, store.state(), store,
+                config.seed(),
+                new LogActions());
+        member.setExtension(this);
     }
 
     static TokenBucket servingBudget() {
-        return new TokenBucket(MOST_CALLS_PER_S, MOST_CALLS_PER_S);
+        return new TokenBucket(MAX_CALLS_PER_S, MAX_CALLS_PER_S);
     }
 
     /** Starts it; what it takes goes on after this returns. */
@@ -119,56 +121,58 @@
     // ---- On the coordinator's thread ---------------------------------------------------------------
 
     /** Does something with the log, and sees to it that it is woken when it wants to be. */
-    private void onLog(Runnable task) {
+    private void executeOnLog(Runnable task) {
         if (executor.isShutdown()) {
             return;
         }
         executor.execute(() -> {
             task.run();
-            arm();
+            scheduleTick();
         });
     }
 
-    private void arm() {
+    private void scheduleTick() {
         double next = log.wakeAt();
-        if (next < armedFor && !executor.isShutdown()) {
-            if (armed != null) {
-                armed.cancel(false);
+        if (next < nextTickAt && !executor.isShutdown()) {
+            if (scheduledTick != null) {
+                scheduledTick.cancel(false);
             }
-            armedFor = next;
-            armed = executor.schedule(() -> {
-                armedFor = Double.POSITIVE_INFINITY;
+            nextTickAt = next;
+            scheduledTick = executor.schedule(() -> {
+                nextTickAt = Double.POSITIVE_INFINITY;
                 log.tick(member.now());
-                arm();
+                scheduleTick();
             }, Math.max(0, (long) ((next - member.now()) * NANOS_PER_MS)), TimeUnit.NANOSECONDS);
         }
     }
 
-    private final class Doing implements ConfigLog.Actions {
+    private final class LogActions implements ConfigLog.Actions {
 
         @Override
-        public void prepare(String to, Replication.Prepare question) {
-            call(to, ConfigCalls.PREPARE, question.json()).whenComplete((answer, failure) -> onLog(() -> {
+        public void prepare(String to, Replication.Prepare request) {
+            call(to, ConfigCalls.PREPARE, request.json()).whenComplete((answer,
+                    failure) -> executeOnLog(() -> {
                 if (answer != null) {
-                    log.prepared(member.now(), to, question.epoch(), answer);
+                    log.handlePrepareAnswer(member.now(), to, request.epoch(), answer);
                 }
             }));
         }
 
         @Override
-        public void append(String to, Replication.Append question) {
-            call(to, ConfigCalls.APPEND, question.json()).whenComplete((answer, failure) -> onLog(() -> {
+        public void append(String to, Replication.Append request) {
+            call(to, ConfigCalls.APPEND, request.json()).whenComplete((answer,
+                    failure) -> executeOnLog(() -> {
                 if (answer == null) {
-                    log.unreached(member.now(), to);
+                    log.handleAppendFailure(member.now(), to);
                 } else {
-                    log.appended(member.now(), to, answer);
+                    log.handleAppendAnswer(member.now(), to, answer);
                 }
             }));
         }
 
-        private CompletionStage<Replication.Answer> call(String to, String uri, ObjectNode question) {
+        private CompletionStage<Replication.Answer> call(String to, String uri, ObjectNode request) {
             return member.call(peers.get(to), "POST", uri + "?fleet=" + member.config().fleet(),
-                    question.toString().getBytes(StandardCharsets.UTF_8)).thenCompose(reply -> {
+                    request.toString().getBytes(StandardCharsets.UTF_8)).thenCompose(reply -> {
                         CompletableFuture<Replication.Answer> answer = new CompletableFuture<>();
                         try {
                             if (reply.status() != CallReply.OK) {
@@ -212,7 +216,7 @@
     @Override
     public void started() {
         advertise();
-        onLog(() -> log.start(member.now()));
+        executeOnLog(() -> log.start(member.now()));
     }
 
     @Override
@@ -231,35 +235,37 @@
 
     @Override
     public CompletionStage<CallReply> answer(String method, String uri, byte[] body) {
-        QueryStringDecoder asked = new QueryStringDecoder(uri);
-        String wanted = switch (asked.path()) {
+        QueryStringDecoder query = new QueryStringDecoder(uri);
+        String expectedMethod = switch (query.path()) {
             case ConfigCalls.STATUS, ConfigCalls.MANIFEST, ConfigCalls.SECTION -> "GET";
             case ConfigCalls.PUBLISH, ConfigCalls.ROLLBACK, ConfigCalls.TAKE_OVER, ConfigCalls.PREPARE,
                     ConfigCalls.APPEND -> "POST";
             default -> null;
         };
-        if (wanted == null) {
+        if (expectedMethod == null) {
             return null;
         }
-        if (!wanted.equals(method)) {
-            return ConfigCalls.done(CallReply.text(ConfigCalls.NOT_ALLOWED, "another method is wanted"));
+        if (!expectedMethod.equals(method)) {
+            return ConfigCalls.completed(CallReply.text(ConfigCalls.NOT_ALLOWED, "another method is wanted"));
         }
-        boolean often = asked.path().equals(ConfigCalls.MANIFEST) || asked.path().equals(ConfigCalls.SECTION);
-        if (often && !served.take(member.now())) {
-            return ConfigCalls.done(CallReply.text(ConfigCalls.UNAVAILABLE, "try again"));
+        boolean isFrequent = query.path().equals(ConfigCalls.MANIFEST)
+                || query.path().equals(ConfigCalls.SECTION);
+        if (isFrequent && !servingBudget.take(member.now())) {
+            return ConfigCalls.completed(CallReply.text(ConfigCalls.UNAVAILABLE, "try again"));
         }
         Version version = current;
-        return switch (asked.path()) {
-            case ConfigCalls.MANIFEST -> ConfigCalls.done(ConfigCalls.manifest(version == null ? null
-                    : version.manifest(), asked));
-            case ConfigCalls.SECTION -> ConfigCalls.done(ConfigCalls.section(version == null ? null
-                    : version.section(ConfigCalls.parameter(asked, "checksum"))));
-            case ConfigCalls.STATUS -> later(reply -> reply.complete(CallReply.json(CallReply.OK,
+        return switch (query.path()) {
+            case ConfigCalls.MANIFEST -> ConfigCalls.completed(ConfigCalls.manifestReply(version == null
+                    ? null
+                    : version.manifest(), query));
+            case ConfigCalls.SECTION -> ConfigCalls.completed(ConfigCalls.sectionReply(version == null ? null
+                    : version.section(ConfigCalls.parameter(query, "checksum"))));
+            case ConfigCalls.STATUS -> replyLater(reply -> reply.complete(CallReply.json(CallReply.OK,
                     bytes(status()))));
-            case ConfigCalls.PUBLISH -> publish(asked, body);
-            case ConfigCalls.ROLLBACK -> rollback(asked);
-            case ConfigCalls.TAKE_OVER -> later(reply -> log.takeOver(member.now(), told(reply)));
-            default -> replicate(asked, body);
+            case ConfigCalls.PUBLISH -> publish(query, body);
+            case ConfigCalls.ROLLBACK -> rollback(query);
+            case ConfigCalls.TAKE_OVER -> replyLater(reply -> log.takeOver(member.now(), replyTo(reply)));
+            default -> replicate(query, body);
         };
     }
 
@@ -269,9 +275,9 @@
     }
 
     /** Answers on the coordinator's thread. */
-    private CompletionStage<CallReply> later(Task task) {
+    private CompletionStage<CallReply> replyLater(Task task) {
         CompletableFuture<CallReply> reply = new CompletableFuture<>();
-        onLog(() -> {
+        executeOnLog(() -> {
             try {
                 task.run(reply);
             } catch (IOException | IllegalArgumentException e) {
@@ -281,46 +287,50 @@
         return reply;
     }
 
-    private CompletionStage<CallReply> replicate(QueryStringDecoder asked, byte[] body) {
-        return later(reply -> {
-            if (!ConfigCalls.parameter(asked, "fleet").equals(member.config().fleet())) {
+    private CompletionStage<CallReply> replicate(QueryStringDecoder query, byte[] body) {
+        return replyLater(reply -> {
+            if (!ConfigCalls.parameter(query, "fleet").equals(member.config().fleet())) {
                 throw new IOException("this is a coordinator of " + member.config().fleet());
             }
             var json = Manifest.JSON.readTree(body);
-            Replication.Answer answer = asked.path().equals(ConfigCalls.PREPARE)
-                    ? log.prepare(member.now(), Replication.Prepare.parse(json))
-                    : log.append(member.now(), Replication.Append.parse(json));
+            Replication.Answer answer = query.path().equals(ConfigCalls.PREPARE)
+                    ? log.handlePrepare(member.now(), Replication.Prepare.parse(json))
+                    : log.handleAppend(member.now(), Replication.Append.parse(json));
             reply.complete(CallReply.json(CallReply.OK, bytes(answer.json())));
         });
     }
 
-    private CompletionStage<CallReply> publish(QueryStringDecoder asked, byte[] body) {
-        return later(reply -> {
+    private CompletionStage<CallReply> publish(QueryStringDecoder query, byte[] body) {
+        return replyLater(reply -> {
             SortedMap<String, byte[]> sections;
             try {
                 sections = ConfigDocument.parse(body);
             } catch (ConfigDocument.BadDocumentException e) {
                 throw new IOException(e.getMessage(), e);
             }
-            log.publish(member.now(), word(asked, "operation"), word(asked, "author"),
-                    System.currentTimeMillis(), "", sections, told(reply));
+            log.publish(member.now(), requiredParameter(query, "operation"), requiredParameter(query,
+                    "author"),
+                    System.currentTimeMillis(), "", sections, replyTo(reply));
         });
     }
 
-    private CompletionStage<CallReply> rollback(QueryStringDecoder asked) {
-        return later(reply -> log.rollback(member.now(), Long.parseLong(word(asked, "number")),
-                word(asked, "operation"), word(asked, "author"), System.currentTimeMillis(), told(reply)));
+    private CompletionStage<CallReply> rollback(QueryStringDecoder query) {
+        return replyLater(reply -> log.rollback(member.now(), Long.parseLong(requiredParameter(query,
+                "number")),
+                requiredParameter(query, "operation"), requiredParameter(query, "author"),
+                System.currentTimeMillis(), replyTo(reply)));
     }
 
-    private static String word(QueryStringDecoder asked, String name) {
-        String word = ConfigCalls.parameter(asked, name);
-        if (word.isBlank() || word.length() > LONGEST_WORD) {
-            throw new IllegalArgumentException(name + " has to have 1 to " + LONGEST_WORD + " characters");
+    private static String requiredParameter(QueryStringDecoder query, String name) {
+        String value = ConfigCalls.parameter(query, name);
+        if (value.isBlank() || value.length() > MAX_PARAMETER_LENGTH) {
+            throw new IllegalArgumentException(name + " has to have 1 to " + MAX_PARAMETER_LENGTH
+                    + " characters");
         }
-        return word;
+        return value;
     }
 
-    private ConfigLog.Reply told(CompletableFuture<CallReply> reply) {
+    private ConfigLog.Reply replyTo(CompletableFuture<CallReply> reply) {
         return (result, id, why) -> {
             int status = switch (result) {
                 case DONE -> CallReply.OK;
@@ -343,7 +353,7 @@
     private ObjectNode status() {
         ObjectNode status = Manifest.JSON.createObjectNode().put("role", ROLE)
                 .put("name", member.config().name()).put("zone", zone).put("epoch", log.epoch())
-                .put("leader", log.leader()).put("leads", log.leads())
+                .put("leader", log.leader()).put("leads", log.isLeader())
                 .put("committed", (log.current() == null ? VersionId.NONE : log.current().id()).toString())
                 .put("coordinators", peers.size());
         ArrayNode versions = status.putArray("versions");
--- a/src/main/java/cranedeal/fleet/config/FollowerState.java
+++ b/src/main/java/cranedeal/fleet/config/FollowerState.java
@@ -16,14 +16,14 @@
 record FollowerState(Manifest held, byte[] section, VersionId inForce, byte[] inForceSection,
         Refusal refusal) {
 
-    static final FollowerState NOTHING = new FollowerState(null, null, VersionId.NONE, null, null);
-    private static final int FORM = 1;
+    static final FollowerState EMPTY = new FollowerState(null, null, VersionId.NONE, null, null);
+    private static final int FORMAT_VERSION = 1;
 
     /** Why a member refuses a version: the key, which may be empty, and the reason. */
     record Refusal(String key, String reason) { }
 
     byte[] bytes() throws IOException {
-        ObjectNode json = Manifest.JSON.createObjectNode().put("form", FORM).put("in_force",
+        ObjectNode json = Manifest.JSON.createObjectNode().put("form", FORMAT_VERSION).put("in_force",
                 inForce.toString());
         if (held != null) {
             json.set("held", held.json());
@@ -44,7 +44,7 @@
     /** Throws {@link IOException} for what is none, or is damaged. */
     static FollowerState parse(byte[] bytes) throws IOException {
         JsonNode json = Manifest.JSON.readTree(bytes);
-        if (json.path("form").asInt() != FORM) {
+        if (json.path("form").asInt() != FORMAT_VERSION) {
             throw new IOException("a configuration of form " + json.path("form").asInt() + " was kept");
         }
         try {
--- a/src/main/java/cranedeal/fleet/config/LogState.java
+++ b/src/main/java/cranedeal/fleet/config/LogState.java
@@ -7,15 +7,15 @@
 /** What a coordinator keeps, as it was read back or as it is now. */
 final class LogState {
 
-    long promised;
+    long promisedEpoch;
     String leader = "";
     boolean elected;
     VersionId committed = VersionId.NONE;
     final SortedMap<VersionId, Version> versions = new TreeMap<>();
 
-    void promise(long epoch, String to, boolean isElected) {
-        promised = epoch;
-        leader = to;
+    void promise(long epoch, String newLeader, boolean isElected) {
+        promisedEpoch = epoch;
+        leader = newLeader;
         elected = isElected;
     }
 
--- a/src/main/java/cranedeal/fleet/config/LogKeeper.java
+++ b/src/main/java/cranedeal/fleet/config/LogStorage.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** Where a coordinator's log is kept. What a method was given outlasts a power loss once it returns. */
-interface LogKeeper {
+interface LogStorage {
 
     /**
      * The highest epoch that was promised, and to whom.
--- a/src/main/java/cranedeal/fleet/config/LogStore.java
+++ b/src/main/java/cranedeal/fleet/config/LogStore.java
@@ -24,14 +24,14 @@
  * A coordinator's log in a store: each record is one step, and a snapshot has the steps to the state. A
  * section is written once, whichever versions have it.
  */
-final class LogStore implements LogKeeper, Closeable {
+final class LogStore implements LogStorage, Closeable {
 
     private static final int PROMISE = 1;
     private static final int PUT = 2;
     private static final int RETAIN = 3;
     /** A section: its checksum, and its bytes. */
     private static final int SECTION = 4;
-    private static final int CHECKSUM = 64;
+    private static final int CHECKSUM_CHARS = 64;
 
     private final Store store;
     private final Consumer<String> warn;
@@ -57,7 +57,7 @@
     /** A copy of what it holds. */
     LogState state() {
         LogState copy = new LogState();
-        copy.promise(state.promised, state.leader, state.elected);
+        copy.promise(state.promisedEpoch, state.leader, state.elected);
         copy.versions.putAll(state.versions);
         copy.committed = state.committed;
         return copy;
@@ -72,15 +72,15 @@
 
     @Override
     public void put(Version version) throws IOException {
-        Map<String, byte[]> fresh = new HashMap<>();
-        version.sections().values().forEach(section -> fresh.put(Checksum.of(section), section));
-        fresh.keySet().removeAll(sections.keySet());
-        for (Map.Entry<String, byte[]> one : fresh.entrySet()) {
-            store.append(SECTION, sectionBytes(one.getKey(), one.getValue()));
+        Map<String, byte[]> newSections = new HashMap<>();
+        version.sections().values().forEach(section -> newSections.put(Checksum.of(section), section));
+        newSections.keySet().removeAll(sections.keySet());
+        for (Map.Entry<String, byte[]> entry : newSections.entrySet()) {
+            store.append(SECTION, sectionBytes(entry.getKey(), entry.getValue()));
         }
         store.append(PUT, version.manifest().bytes());
         store.force();
-        sections.putAll(fresh);
+        sections.putAll(newSections);
         state.versions.put(version.id(), version);
     }
 
@@ -88,14 +88,14 @@
     public void retain(Set<VersionId> ids, VersionId committed) throws IOException {
         store.append(RETAIN, bytes(retainJson(ids, committed)));
         store.force();
-        retained(ids, committed);
+        applyRetain(ids, committed);
         long size = sections.values().stream().mapToLong(section -> section.length).sum();
         if (store.isSnapshotDue(size)) {
             replaceBySnapshot();
         }
     }
 
-    private void retained(Set<VersionId> ids, VersionId committed) {
+    private void applyRetain(Set<VersionId> ids, VersionId committed) {
         state.retain(ids, committed);
         Set<String> used = new HashSet<>();
         state.versions.values().forEach(version -> version.manifest().services().values()
@@ -106,14 +106,16 @@
     /** What was to be kept is kept by now, so it holds whether this succeeds or not. */
     private void replaceBySnapshot() {
         try (Store.Snapshot snapshot = store.snapshot()) {
-            snapshot.write(piece(PROMISE, bytes(promiseJson(state.promised, state.leader, state.elected))));
-            for (Map.Entry<String, byte[]> one : sections.entrySet()) {
-                snapshot.write(piece(SECTION, sectionBytes(one.getKey(), one.getValue())));
+            snapshot.write(snapshotPiece(PROMISE, bytes(promiseJson(state.promisedEpoch, state.leader,
+                    state.elected))));
+            for (Map.Entry<String, byte[]> entry : sections.entrySet()) {
+                snapshot.write(snapshotPiece(SECTION, sectionBytes(entry.getKey(), entry.getValue())));
             }
             for (Version version : state.versions.values()) {
-                snapshot.write(piece(PUT, version.manifest().bytes()));
+                snapshot.write(snapshotPiece(PUT, version.manifest().bytes()));
             }
-            snapshot.write(piece(RETAIN, bytes(retainJson(state.versions.keySet(), state.committed))));
+            snapshot.write(snapshotPiece(RETAIN, bytes(retainJson(state.versions.keySet(),
+                    state.committed))));
             snapshot.commit();
         } catch (IOException e) {
             warn.accept("what was kept can't be replaced by a snapshot: " + e.getMessage());
@@ -125,7 +127,7 @@
     }
 
     private static byte[] sectionBytes(String checksum, byte[] section) {
-        return ByteBuffer.allocate(CHECKSUM + section.length)
+        return ByteBuffer.allocate(CHECKSUM_CHARS + section.length)
                 .put(checksum.getBytes(StandardCharsets.US_ASCII)).put(section).array();
     }
 
@@ -141,7 +143,7 @@
         return json;
     }
 
-    private static byte[] piece(int type, byte[] payload) {
+    private static byte[] snapshotPiece(int type, byte[] payload) {
         return ByteBuffer.allocate(1 + payload.length).put((byte) type).put(payload).array();
     }
 
@@ -157,15 +159,15 @@
 
         @Override
         public void snapshotChunk(byte[] piece) {
-            take(piece[0], Arrays.copyOfRange(piece, 1, piece.length));
+            apply(piece[0], Arrays.copyOfRange(piece, 1, piece.length));
         }
 
         @Override
         public void record(Record record) {
-            take(record.type(), record.payload());
+            apply(record.type(), record.payload());
         }
 
-        private void take(int type, byte[] payload) {
+        private void apply(int type, byte[] payload) {
             if (failure != null) {
                 return;
             }
@@ -176,8 +178,9 @@
                         state.promise(json.path("epoch").asLong(), json.path("leader").asText(),
                                 json.path("elected").asBoolean());
                     }
-                    case SECTION -> sections.put(new String(payload, 0, CHECKSUM, StandardCharsets.US_ASCII),
-                            Arrays.copyOfRange(payload, CHECKSUM, payload.length));
+                    case SECTION -> sections.put(new String(payload, 0, CHECKSUM_CHARS,
+                            StandardCharsets.US_ASCII),
+                            Arrays.copyOfRange(payload, CHECKSUM_CHARS, payload.length));
                     case PUT -> {
                         Version version = Version.join(Manifest.parse(payload), sections::get);
                         state.versions.put(version.id(), version);
@@ -186,7 +189,7 @@
                         JsonNode json = Manifest.JSON.readTree(payload);
                         Set<VersionId> ids = new TreeSet<>();
                         json.path("ids").forEach(id -> ids.add(VersionId.parse(id.asText())));
-                        retained(ids, VersionId.parse(json.path("committed").asText()));
+                        applyRetain(ids, VersionId.parse(json.path("committed").asText()));
                     }
                     default -> throw new IOException("a step of kind " + type + " is of a later version");
                 }
--- a/src/main/java/cranedeal/fleet/config/Manifest.java
+++ b/src/main/java/cranedeal/fleet/config/Manifest.java
@@ -26,8 +26,8 @@
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
     /** The form that this version writes; one that is later is refused. */
-    private static final int FORM = 1;
-    private static final int LONGEST_WORD = 128;
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_TEXT_LENGTH = 128;
 
     /**
      * What a section is known by.
@@ -38,32 +38,32 @@
 
     /** Throws {@link IllegalArgumentException} for words that are too long. */
     public Manifest {
-        if (Math.max(Math.max(author.length(), operation.length()), note.length()) > LONGEST_WORD) {
-            throw new IllegalArgumentException("author, operation or note has more than " + LONGEST_WORD
+        if (Math.max(Math.max(author.length(), operation.length()), note.length()) > MAX_TEXT_LENGTH) {
+            throw new IllegalArgumentException("author, operation or note has more than " + MAX_TEXT_LENGTH
                     + " characters");
         }
         services = Collections.unmodifiableSortedMap(new TreeMap<>(services));
     }
 
-    private ObjectNode plain() {
-        ObjectNode json = JSON.createObjectNode().put("form", FORM).put("epoch", id.epoch())
+    private ObjectNode jsonWithoutChecksum() {
+        ObjectNode json = JSON.createObjectNode().put("form", FORMAT_VERSION).put("epoch", id.epoch())
                 .put("number", id.number()).put("author", author).put("time_ms", timeMs)
                 .put("operation", operation).put("note", note);
         ObjectNode sections = json.putObject("services");
-        for (Map.Entry<String, Section> one : services.entrySet()) {
-            sections.putObject(one.getKey()).put("checksum", one.getValue().checksum())
-                    .put("bytes", one.getValue().bytes());
+        for (Map.Entry<String, Section> entry : services.entrySet()) {
+            sections.putObject(entry.getKey()).put("checksum", entry.getValue().checksum())
+                    .put("bytes", entry.getValue().bytes());
         }
         return json;
     }
 
     /** Of all that it says. */
     public String checksum() {
-        return Checksum.of(plain().toString().getBytes(StandardCharsets.UTF_8));
+        return Checksum.of(jsonWithoutChecksum().toString().getBytes(StandardCharsets.UTF_8));
     }
 
     ObjectNode json() {
-        return plain().put("checksum", checksum());
+        return jsonWithoutChecksum().put("checksum", checksum());
     }
 
     byte[] bytes() {
@@ -76,14 +76,14 @@
 
     /** Throws {@link IOException} for what is none, or is damaged. */
     static Manifest parse(JsonNode json) throws IOException {
-        if (json == null || json.path("form").asInt() != FORM) {
-            throw new IOException("no manifest of form " + FORM);
+        if (json == null || json.path("form").asInt() != FORMAT_VERSION) {
+            throw new IOException("no manifest of form " + FORMAT_VERSION);
         }
         try {
             SortedMap<String, Section> services = new TreeMap<>();
-            for (Map.Entry<String, JsonNode> one : json.path("services").properties()) {
-                services.put(one.getKey(), new Section(one.getValue().path("checksum").asText(),
-                        one.getValue().path("bytes").asInt()));
+            for (Map.Entry<String, JsonNode> entry : json.path("services").properties()) {
+                services.put(entry.getKey(), new Section(entry.getValue().path("checksum").asText(),
+                        entry.getValue().path("bytes").asInt()));
             }
             Manifest manifest = new Manifest(new VersionId(json.path("epoch").asLong(),
                     json.path("number").asLong()), json.path("author").asText(),
--- a/src/main/java/cranedeal/fleet/config/Replication.java
+++ b/src/main/java/cranedeal/fleet/config/Replication.java
@@ -61,19 +61,19 @@
      * Answers both.
      *
      * @param accepted whether it was done, and what it holds is forced to disk
-     * @param promised the highest epoch that was promised, and to whom
+     * @param promisedEpoch the highest epoch that was promised, and to whom
      * @param elected whether a majority is known to have promised that one
-     * @param have the versions that it keeps
+     * @param heldVersions the versions that it keeps
      * @param versions those that a new leader lacks; empty but for {@link Prepare}
      */
-    record Answer(boolean accepted, long promised, String leader, boolean elected, VersionId committed,
-            Set<VersionId> have, List<Version> versions) {
+    record Answer(boolean accepted, long promisedEpoch, String leader, boolean elected, VersionId committed,
+            Set<VersionId> heldVersions, List<Version> versions) {
 
         ObjectNode json() {
             ObjectNode json = Manifest.JSON.createObjectNode().put("accepted", accepted)
-                    .put("promised", promised).put("leader", leader).put("elected", elected)
+                    .put("promised", promisedEpoch).put("leader", leader).put("elected", elected)
                     .put("committed", committed.toString());
-            writeIds(json, "have", have);
+            writeIds(json, "have", heldVersions);
             ArrayNode bodies = json.putArray("versions");
             versions.forEach(version -> bodies.add(version.json()));
             return json;
@@ -81,8 +81,8 @@
 
         static Answer parse(JsonNode json) throws IOException {
             List<Version> versions = new ArrayList<>();
-            for (JsonNode one : json.path("versions")) {
-                versions.add(Version.parse(one));
+            for (JsonNode item : json.path("versions")) {
+                versions.add(Version.parse(item));
             }
             return new Answer(json.path("accepted").asBoolean(), json.path("promised").asLong(),
                     json.path("leader").asText(), json.path("elected").asBoolean(), id(json, "committed"),
--- a/src/main/java/cranedeal/fleet/config/TokenBucket.java
+++ b/src/main/java/cranedeal/fleet/config/TokenBucket.java
@@ -5,15 +5,15 @@
 
     private static final double MS_PER_S = 1_000;
 
-    private final double most;
-    private final double perMs;
+    private final double capacity;
+    private final double refillPerMs;
     private double tokens;
-    private double at = Double.NEGATIVE_INFINITY;
+    private double refilledAt = Double.NEGATIVE_INFINITY;
 
-    TokenBucket(double most, double perSecond) {
-        this.most = most;
-        perMs = perSecond / MS_PER_S;
-        tokens = most;
+    TokenBucket(double capacity, double perSecond) {
+        this.capacity = capacity;
+        refillPerMs = perSecond / MS_PER_S;
+        tokens = capacity;
     }
 
     /** Takes one, if there is one. */
@@ -27,7 +27,7 @@
     }
 
     /** Takes so many if there is any left, and owes those that there are not. */
-    boolean takeAll(double now, double amount) {
+    boolean takeWithDebt(double now, double amount) {
         refill(now);
         if (tokens <= 0) {
             return false;
@@ -39,13 +39,14 @@
     /** When there is one again. */
     double nextAt(double now) {
         refill(now);
-        return now + Math.max(0, 1 - tokens) / perMs;
+        return now + Math.max(0, 1 - tokens) / refillPerMs;
     }
 
     private void refill(double now) {
-        if (now > at) {
-            tokens = Double.isInfinite(at) ? most : Math.min(most, tokens + (now - at) * perMs);
-            at = now;
+        if (now > refilledAt) {
+            tokens = Double.isInfinite(refilledAt) ? capacity : Math.min(capacity,
+                    tokens + (now - refilledAt) * refillPerMs);
+            refilledAt = now;
         }
     }
 }
--- a/src/main/java/cranedeal/fleet/config/Version.java
+++ b/src/main/java/cranedeal/fleet/config/Version.java
@@ -24,14 +24,14 @@
 
     static Version of(VersionId id, String author, long timeMs, String operation, String note,
             SortedMap<String, byte[]> sections) {
-        SortedMap<String, Manifest.Section> known = new TreeMap<>();
-        sections.forEach((service, bytes) -> known.put(service,
+        SortedMap<String, Manifest.Section> sectionInfo = new TreeMap<>();
+        sections.forEach((service, bytes) -> sectionInfo.put(service,
                 new Manifest.Section(Checksum.of(bytes), bytes.length)));
-        return new Version(new Manifest(id, author, timeMs, operation, note, known), sections);
+        return new Version(new Manifest(id, author, timeMs, operation, note, sectionInfo), sections);
     }
 
     /** The same document under another id. */
-    Version as(VersionId id, long timeMs, String operation, String author, String note) {
+    Version withId(VersionId id, long timeMs, String operation, String author, String note) {
         return new Version(new Manifest(id, author, timeMs, operation, note, manifest.services()), sections);
     }
 
@@ -54,9 +54,9 @@
 
     /** The section of a checksum; null if it has none. */
     byte[] section(String checksum) {
-        for (Map.Entry<String, Manifest.Section> one : manifest.services().entrySet()) {
-            if (one.getValue().checksum().equals(checksum)) {
-                return sections.get(one.getKey());
+        for (Map.Entry<String, Manifest.Section> entry : manifest.services().entrySet()) {
+            if (entry.getValue().checksum().equals(checksum)) {
+                return sections.get(entry.getKey());
             }
         }
         return null;
@@ -74,8 +74,8 @@
     /** Throws {@link IOException} for what is none, or is damaged in any part. */
     static Version parse(JsonNode json) throws IOException {
         Map<String, byte[]> bodies = new HashMap<>();
-        for (Map.Entry<String, JsonNode> one : json.path("sections").properties()) {
-            bodies.put(one.getKey(), one.getValue().binaryValue());
+        for (Map.Entry<String, JsonNode> entry : json.path("sections").properties()) {
+            bodies.put(entry.getKey(), entry.getValue().binaryValue());
         }
         return join(Manifest.parse(json.path("manifest")), bodies::get);
     }
@@ -83,13 +83,13 @@
     /** Joins a manifest and its sections by their checksums; throws {@link IOException} likewise. */
     static Version join(Manifest manifest, Function<String, byte[]> byChecksum) throws IOException {
         SortedMap<String, byte[]> sections = new TreeMap<>();
-        for (Map.Entry<String, Manifest.Section> one : manifest.services().entrySet()) {
-            byte[] bytes = byChecksum.apply(one.getValue().checksum());
-            if (bytes == null || !Checksum.of(bytes).equals(one.getValue().checksum())) {
-                throw new IOException("the section " + one.getKey() + " of version " + manifest.id()
+        for (Map.Entry<String, Manifest.Section> entry : manifest.services().entrySet()) {
+            byte[] bytes = byChecksum.apply(entry.getValue().checksum());
+            if (bytes == null || !Checksum.of(bytes).equals(entry.getValue().checksum())) {
+                throw new IOException("the section " + entry.getKey() + " of version " + manifest.id()
                         + " is damaged: its checksum is another");
             }
-            sections.put(one.getKey(), bytes);
+            sections.put(entry.getKey(), bytes);
         }
         return new Version(manifest, sections);
     }
--- a/src/main/java/cranedeal/fleet/config/VersionId.java
+++ b/src/main/java/cranedeal/fleet/config/VersionId.java
@@ -12,11 +12,11 @@
     /** Before all versions. */
     public static final VersionId NONE = new VersionId(0, 0);
     /** Numbers that JSON holds exactly. */
-    private static final long HIGHEST = (1L << 53) - 1;
+    private static final long MAX_VALUE = (1L << 53) - 1;
 
     /** Throws {@link IllegalArgumentException} for numbers that no version has. */
     public VersionId {
-        if (epoch < 0 || number < 0 || epoch > HIGHEST || number > HIGHEST) {
+        if (epoch < 0 || number < 0 || epoch > MAX_VALUE || number > MAX_VALUE) {
             throw new IllegalArgumentException("no version: " + epoch + "." + number);
         }
     }
--- a/src/main/java/cranedeal/fleet/membership/Actions.java
+++ b/src/main/java/cranedeal/fleet/membership/Actions.java
@@ -9,7 +9,7 @@
     void send(InetSocketAddress to, Message message);
 
     /** Exchanges all that is known with a member, and hands what comes back to {@link Membership#merge}. */
-    void sync(InetSocketAddress with);
+    void sync(InetSocketAddress address);
 
     /**
      * The view has changed.
@@ -28,5 +28,5 @@
     }
 
     /** A later process has taken this one's name; it is a member no longer. */
-    void superseded(Member by);
+    void superseded(Member successor);
 }
--- a/src/main/java/cranedeal/fleet/membership/Codec.java
+++ b/src/main/java/cranedeal/fleet/membership/Codec.java
@@ -22,15 +22,15 @@
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
     /** The form of messages that this version writes. */
-    static final int FORM = 1;
+    static final int FORMAT_VERSION = 1;
     /** The largest datagram, which passes any usual network in one piece. */
-    static final int LARGEST = 1_200;
+    static final int MAX_DATAGRAM_BYTES = 1_200;
     /** Of one item of news: brackets, commas, quotes, and the longest of address and numbers. */
-    private static final int ITEM = 20 + 21 + 20 + 17;
+    private static final int MAX_UPDATE_OVERHEAD = 20 + 21 + 20 + 17;
     /** The same of a message: keys, form, kind, digest, number and one address. */
-    private static final int HEAD = 75 + 21 + 2 * 20;
+    private static final int MAX_HEADER_OVERHEAD = 75 + 21 + 2 * 20;
     /** Of a notice: key, brackets, commas, quotes, and the longest of its numbers. */
-    private static final int NOTICE = 14 + 2 * 16;
+    private static final int MAX_NOTICE_OVERHEAD = 14 + 2 * 16;
 
     private final String fleet;
 
@@ -51,32 +51,33 @@
     }
 
     /** How many bytes an item of news takes in a message, at most. */
-    static int size(MemberUpdate news) {
-        Member member = news.member();
-        return ITEM + member.name().length() + member.role().length() + member.version().length()
-                + news.suspectedBy().length();
+    static int encodedSize(MemberUpdate updates) {
+        Member member = updates.member();
+        return MAX_UPDATE_OVERHEAD + member.name().length() + member.role().length() + member.version()
+                .length()
+                + updates.suspectedBy().length();
     }
 
     /** How many bytes a message without its news takes, at most. */
-    static int headSize(String fleet, String to, Member from) {
-        return HEAD + fleet.length() + to.length() + size(new MemberUpdate(from, ""));
+    static int headerSize(String fleet, String to, Member from) {
+        return MAX_HEADER_OVERHEAD + fleet.length() + to.length() + encodedSize(new MemberUpdate(from, ""));
     }
 
     /** How many bytes a notice takes in a message, at most. */
-    static int size(VersionNotice notice) {
-        return notice == null ? 0 : NOTICE + notice.service().length() + notice.zone().length();
+    static int encodedSize(VersionNotice notice) {
+        return notice == null ? 0 : MAX_NOTICE_OVERHEAD + notice.service().length() + notice.zone().length();
     }
 
     byte[] encode(Message message) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(LARGEST);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(MAX_DATAGRAM_BYTES);
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
-            writeHead(json);
+            writeHeader(json);
             json.writeStringField("t", message.kind().name().toLowerCase(Locale.ROOT));
             json.writeNumberField("n", message.sequence());
             json.writeStringField("to", message.target());
             if (message.targetAddress() != null) {
-                json.writeStringField("at", text(message.targetAddress()));
+                json.writeStringField("at", formatAddress(message.targetAddress()));
             }
             json.writeNumberField("d", message.digest());
             json.writeFieldName("m");
@@ -91,8 +92,8 @@
                 json.writeEndArray();
             }
             json.writeArrayFieldStart("news");
-            for (MemberUpdate news : message.updates()) {
-                write(json, news);
+            for (MemberUpdate updates : message.updates()) {
+                write(json, updates);
             }
             json.writeEndArray();
             json.writeEndObject();
@@ -102,10 +103,10 @@
 
     /** All that a member knows, for a full exchange. */
     byte[] encode(List<Member> members) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(LARGEST);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(MAX_DATAGRAM_BYTES);
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
-            writeHead(json);
+            writeHeader(json);
             json.writeArrayFieldStart("members");
             for (Member member : members) {
                 write(json, new MemberUpdate(member, ""));
@@ -116,56 +117,58 @@
         return bytes.toByteArray();
     }
 
-    private void writeHead(JsonGenerator json) throws IOException {
-        json.writeNumberField("v", FORM);
+    private void writeHeader(JsonGenerator json) throws IOException {
+        json.writeNumberField("v", FORMAT_VERSION);
         json.writeStringField("f", fleet);
     }
 
-    private static void write(JsonGenerator json, MemberUpdate news) throws IOException {
-        Member member = news.member();
+    private static void write(JsonGenerator json, MemberUpdate updates) throws IOException {
+        Member member = updates.member();
         json.writeStartArray();
         json.writeString(member.name());
-        json.writeString(text(member.address()));
+        json.writeString(formatAddress(member.address()));
         json.writeString(member.role());
         json.writeString(member.version());
         json.writeNumber(member.instance());
         json.writeNumber(member.incarnation());
         json.writeNumber(member.state().ordinal());
-        if (!news.suspectedBy().isEmpty()) {
-            json.writeString(news.suspectedBy());
+        if (!updates.suspectedBy().isEmpty()) {
+            json.writeString(updates.suspectedBy());
         }
         json.writeEndArray();
     }
 
     /** Throws {@link ForeignException} for another fleet's, {@link IOException} for what is no message. */
     Message decode(byte[] bytes) throws IOException {
-        JsonNode root = root(bytes);
+        JsonNode root = parseRoot(bytes);
         try {
             Message.Kind kind = Message.Kind.valueOf(root.path("t").asText().toUpperCase(Locale.ROOT));
-            List<MemberUpdate> news = new ArrayList<>();
+            List<MemberUpdate> updates = new ArrayList<>();
             for (JsonNode item : root.path("news")) {
-                news.add(news(item));
+                updates.add(parseUpdate(item));
             }
             String to = root.path("to").asText();
             if (!to.isEmpty()) {
                 Member.requireName(to);
             }
-            InetSocketAddress at = kind == Message.Kind.ASK ? address(root.path("at").asText()) : null;
-            return new Message(kind, root.path("n").asLong(), to, at, news(root.path("m")).member(),
-                    root.path("d").asLong(), List.copyOf(news), notice(root.path("c")));
+            InetSocketAddress targetAddress = kind == Message.Kind.ASK
+                    ? parseAddress(root.path("at").asText()) : null;
+            return new Message(kind, root.path("n").asLong(), to, targetAddress,
+                    parseUpdate(root.path("m")).member(),
+                    root.path("d").asLong(), List.copyOf(updates), parseNotice(root.path("c")));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
     /** Null where there is none, or one that this version does not understand: the rest still counts. */
-    private static VersionNotice notice(JsonNode given) {
-        if (!given.path(0).canConvertToLong() || !given.path(1).canConvertToLong()) {
+    private static VersionNotice parseNotice(JsonNode array) {
+        if (!array.path(0).canConvertToLong() || !array.path(1).canConvertToLong()) {
             return null;
         }
         try {
-            return new VersionNotice(given.path(0).longValue(), given.path(1).longValue(),
-                    given.path(2).asText(), given.path(3).asText());
+            return new VersionNotice(array.path(0).longValue(), array.path(1).longValue(),
+                    array.path(2).asText(), array.path(3).asText());
         } catch (IllegalArgumentException e) {
             return null;
         }
@@ -173,11 +176,11 @@
 
     /** What {@link #encode(List)} wrote; throws as {@link #decode} does. */
     List<Member> decodeMembers(byte[] bytes) throws IOException {
-        JsonNode root = root(bytes);
+        JsonNode root = parseRoot(bytes);
         try {
             List<Member> members = new ArrayList<>();
             for (JsonNode item : root.path("members")) {
-                members.add(news(item).member());
+                members.add(parseUpdate(item).member());
             }
             return members;
         } catch (IllegalArgumentException e) {
@@ -185,54 +188,55 @@
         }
     }
 
-    private JsonNode root(byte[] bytes) throws IOException {
+    private JsonNode parseRoot(byte[] bytes) throws IOException {
         JsonNode root = JSON.readTree(bytes);
-        int form = root == null ? 0 : root.path("v").asInt();
-        if (form == 0) {
+        int formatVersion = root == null ? 0 : root.path("v").asInt();
+        if (formatVersion == 0) {
             throw new IOException("no message");
         }
         if (!root.path("f").asText().equals(fleet)) {
             throw new ForeignException("of the fleet '" + root.path("f").asText() + "'");
         }
-        if (Math.abs(form - FORM) > 1) {
-            throw new ForeignException("of form " + form + ", this is " + FORM);
+        if (Math.abs(formatVersion - FORMAT_VERSION) > 1) {
+            throw new ForeignException("of form " + formatVersion + ", this is " + FORMAT_VERSION);
         }
         return root;
     }
 
-    private static MemberUpdate news(JsonNode item) {
+    private static MemberUpdate parseUpdate(JsonNode item) {
         JsonNode state = item.path(6);
         JsonNode incarnation = item.path(5);
         if (!state.isInt() || state.intValue() < 0 || state.intValue() >= State.values().length
                 || !incarnation.canConvertToLong() || !item.path(4).canConvertToLong()) {
-            throw new IllegalArgumentException("no member: " + shown(item));
+            throw new IllegalArgumentException("no member: " + truncated(item));
         }
-        Member member = new Member(item.path(0).asText(), address(item.path(1).asText()),
+        Member member = new Member(item.path(0).asText(), parseAddress(item.path(1).asText()),
                 item.path(4).longValue(), incarnation.longValue(), State.values()[state.intValue()],
                 item.path(2).asText(), item.path(3).asText());
-        String by = item.path(7).asText();
-        if (!by.isEmpty()) {
-            Member.requireName(by);
+        String suspectedBy = item.path(7).asText();
+        if (!suspectedBy.isEmpty()) {
+            Member.requireName(suspectedBy);
         }
-        return new MemberUpdate(member, by);
+        return new MemberUpdate(member, suspectedBy);
     }
 
-    private static String shown(JsonNode item) {
+    private static String truncated(JsonNode item) {
         String text = item.toString();
         return text.length() > 100 ? text.substring(0, 100) : text;
     }
 
-    static String text(InetSocketAddress address) {
+    static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** An address as text; only this machine's own, since members have no other. */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] ip = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(colon, 0)));
+        byte[] addressBytes = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(colon,
+                0)));
         try {
-            if (ip != null && InetAddress.getByAddress(ip).isLoopbackAddress()) {
-                return new InetSocketAddress(InetAddress.getByAddress(ip),
+            if (addressBytes != null && InetAddress.getByAddress(addressBytes).isLoopbackAddress()) {
+                return new InetSocketAddress(InetAddress.getByAddress(addressBytes),
                         Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | IllegalArgumentException e) {
--- a/src/main/java/cranedeal/fleet/membership/FleetMember.java
+++ b/src/main/java/cranedeal/fleet/membership/FleetMember.java
@@ -48,43 +48,43 @@
 
     private static final Logger LOG = Logger.getLogger(FleetMember.class.getPackageName());
     private static final double NANOS_PER_MS = 1e6;
-    private static final long BIND_AGAIN_MS = 100;
-    private static final long PUBLISH_MS = 500;
-    private static final long PERSIST_MS = 2_000;
-    private static final int MOST_KEPT = 200;
-    private static final int RECEIVED_AT_MOST = 2_048;
+    private static final long REBIND_DELAY_MS = 100;
+    private static final long METRICS_INTERVAL_MS = 500;
+    private static final long PERSIST_INTERVAL_MS = 2_000;
+    private static final int MAX_PERSISTED_MEMBERS = 200;
+    private static final int RECEIVE_BUFFER_BYTES = 2_048;
     /** Log lines on members in a while; beyond that they are only counted. */
-    private static final int MOST_LINES = 20;
-    private static final long LINES_MS = 10_000;
+    private static final int MAX_LOG_LINES = 20;
+    private static final long LOG_WINDOW_MS = 10_000;
 
     private final Config config;
-    private final PeerStore book;
+    private final PeerStore peerStore;
     private final Codec codec;
     private final EventLoop loop;
-    private final Executor disk;
+    private final Executor diskExecutor;
     /** What ends once the member has; shared ones are the caller's. */
-    private final Runnable release;
-    private final List<Future<?>> repeated = new ArrayList<>();
+    private final Runnable releaseResources;
+    private final List<Future<?>> periodicTasks = new ArrayList<>();
     private final MemberCalls calls;
-    private final long origin = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private Extension extension;
-    private Membership core;
-    private Channel datagrams;
-    private Channel listening;
-    private double armedFor = Double.POSITIVE_INFINITY;
+    private Membership membership;
+    private Channel datagramChannel;
+    private Channel serverChannel;
+    private double nextTickAt = Double.POSITIVE_INFINITY;
     private boolean ended;
-    private boolean toldWaiting;
+    private boolean waitLogged;
     private boolean persistDue;
-    private int arrivals;
-    private int departures;
-    private int untold;
-    private long sent;
-    private long received;
+    private int arrivalLines;
+    private int departureLines;
+    private int suppressedLines;
+    private long datagramsSent;
+    private long datagramsReceived;
     private long bytesSent;
     private long bytesReceived;
     private long dropped;
     private long foreign;
-    private volatile Map<String, Long> figures = Map.of();
+    private volatile Map<String, Long> metrics = Map.of();
 
     /**
      * What a member is, and where.
@@ -97,55 +97,56 @@
     /**
      * What a member spends on calls.
      *
-     * @param connections that are open to it at a time
-     * @param bodyBytes the largest body of a call
-     * @param patienceMs how long a call takes at most
+     * @param maxConnections that are open to it at a time
+     * @param maxBodyBytes the largest body of a call
+     * @param timeoutMs how long a call takes at most
      */
-    public record CallLimits(int connections, int bodyBytes, long patienceMs) {
+    public record CallLimits(int maxConnections, int maxBodyBytes, long timeoutMs) {
 
         /** Usual limits. */
         public static final CallLimits DEFAULTS = new CallLimits(16, 1 << 20, 2_000);
     }
 
     /** A member that has not started, on a loop and a disk's thread of its own. */
-    public FleetMember(Config config, PeerStore book) {
-        this(config, book, CallLimits.DEFAULTS);
+    public FleetMember(Config config, PeerStore peerStore) {
+        this(config, peerStore, CallLimits.DEFAULTS);
     }
 
     /** The same with other limits. */
-    public FleetMember(Config config, PeerStore book, CallLimits limits) {
-        this(config, book, limits, (EventLoop) new MultiThreadIoEventLoopGroup(1,
+    public FleetMember(Config config, PeerStore peerStore, CallLimits limits) {
+        this(config, peerStore, limits, (EventLoop) new MultiThreadIoEventLoopGroup(1,
                 new DefaultThreadFactory("member", true), NioIoHandler.newFactory()).next(),
                 Executors.newSingleThreadExecutor(new DefaultThreadFactory("member-disk", true)));
     }
 
-    private FleetMember(Config config, PeerStore book, CallLimits limits, EventLoop loop,
-            ExecutorService disk) {
-        this(config, book, limits, loop, disk, disk::shutdown);
+    private FleetMember(Config config, PeerStore peerStore, CallLimits limits, EventLoop loop,
+            ExecutorService diskExecutor) {
+        this(config, peerStore, limits, loop, diskExecutor, diskExecutor::shutdown);
     }
 
     /**
      * A member that has not started, beside others of its process on one loop. Neither that nor what writes
      * to the disk ends with it.
      */
-    public FleetMember(Config config, PeerStore book, EventLoop loop, Executor disk) {
-        this(config, book, CallLimits.DEFAULTS, loop, disk, () -> { });
+    public FleetMember(Config config, PeerStore peerStore, EventLoop loop, Executor diskExecutor) {
+        this(config, peerStore, CallLimits.DEFAULTS, loop, diskExecutor, () -> { });
     }
 
-    private FleetMember(Config config, PeerStore book, CallLimits limits, EventLoop loop, Executor disk,
-            Runnable release) {
+    private FleetMember(Config config, PeerStore peerStore, CallLimits limits, EventLoop loop,
+            Executor diskExecutor,
+            Runnable releaseResources) {
         this.config = config;
-        this.book = book;
+        this.peerStore = peerStore;
         this.loop = loop;
-        this.disk = disk;
-        this.release = release;
+        this.diskExecutor = diskExecutor;
+        this.releaseResources = releaseResources;
         codec = new Codec(config.fleet());
         calls = new MemberCalls(this, loop, limits);
     }
 
     /** Lets it do more than membership; before it starts. */
-    public void extend(Extension with) {
-        extension = with;
+    public void setExtension(Extension address) {
+        extension = address;
     }
 
     Extension extension() {
@@ -164,15 +165,16 @@
 
     /** Tells of the configuration that this member has, from now on; on its loop, once it has begun. */
     public void advertise(VersionNotice notice) {
-        if (core != null && !ended) {
-            core.advertise(now(), notice);
-            arm();
+        if (membership != null && !ended) {
+            membership.advertise(now(), notice);
+            scheduleTick();
         }
     }
 
     /** Those of a role that are present in its view; on its loop. */
     public List<Member> presentMembers(String role) {
-        return core == null ? List.of() : core.seen(now()).stream().map(Membership.Seen::member)
+        return membership == null ? List.of()
+                : membership.memberStatuses(now()).stream().map(Membership.MemberStatus::member)
                 .filter(member -> member.role().equals(role) && member.state().isPresent()).toList();
     }
 
@@ -192,50 +194,50 @@
             if (extension != null) {
                 extension.starting();
             }
-            repeat(this::publish, 0, PUBLISH_MS);
-            repeat(this::persist, PERSIST_MS, PERSIST_MS);
-            repeat(this::tellUntold, LINES_MS, LINES_MS);
+            schedulePeriodic(this::publishMetrics, 0, METRICS_INTERVAL_MS);
+            schedulePeriodic(this::persist, PERSIST_INTERVAL_MS, PERSIST_INTERVAL_MS);
+            schedulePeriodic(this::logSuppressedLines, LOG_WINDOW_MS, LOG_WINDOW_MS);
             bind();
         });
     }
 
-    private void repeat(Runnable task, long firstMs, long everyMs) {
+    private void schedulePeriodic(Runnable task, long firstMs, long everyMs) {
         if (!ended) {
-            repeated.add(loop.scheduleAtFixedRate(task, firstMs, everyMs, TimeUnit.MILLISECONDS));
+            periodicTasks.add(loop.scheduleAtFixedRate(task, firstMs, everyMs, TimeUnit.MILLISECONDS));
         }
     }
 
     /** Goes without a word, as another process goes on as this member; returns once the address is free. */
     public void handOver() {
-        end(() -> core.stop());
+        end(() -> membership.stop());
     }
 
     /** Tells the others that it leaves, and goes. */
     public void leave() {
-        end(() -> core.leave(now()));
+        end(() -> membership.leave(now()));
     }
 
-    private void end(Runnable last) {
+    private void end(Runnable finalAction) {
         loop.submit(() -> {
-            if (!ended && core != null) {
-                last.run();
+            if (!ended && membership != null) {
+                finalAction.run();
             }
             ended = true;
             // On a loop that others share they would go on for ever.
-            repeated.forEach(task -> task.cancel(false));
+            periodicTasks.forEach(task -> task.cancel(false));
             closeChannels();
         }).awaitUninterruptibly(1, TimeUnit.SECONDS);
-        release.run();
+        releaseResources.run();
     }
 
     /** The figures by their names, at most half a second old. */
     public Map<String, Long> metrics() {
-        return figures;
+        return metrics;
     }
 
     /** Milliseconds since some moment of this process. */
     public double now() {
-        return (System.nanoTime() - origin) / NANOS_PER_MS;
+        return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 
     // ---- Start -------------------------------------------------------------------------------------
@@ -246,82 +248,83 @@
         }
         ChannelFuture udp = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVED_AT_MOST))
-                .handler(new Arrivals()).bind(config.listen());
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
+                .handler(new DatagramHandler()).bind(config.listen());
         udp.addListener(done -> {
             if (!done.isSuccess()) {
-                bindAgain(done.cause());
+                scheduleRebind(done.cause());
                 return;
             }
-            datagrams = udp.channel();
+            datagramChannel = udp.channel();
             ChannelFuture tcp = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            calls.accepted(channel);
+                            calls.accept(channel);
                         }
                     }).bind(config.listen());
             tcp.addListener(bound -> {
-                listening = tcp.channel();
+                serverChannel = tcp.channel();
                 if (ended) {
                     // It was told to go while it took its address.
                     closeChannels();
                 } else if (bound.isSuccess()) {
-                    disk.execute(this::begin);
+                    diskExecutor.execute(this::startMembership);
                 } else {
                     closeChannels();
-                    bindAgain(bound.cause());
+                    scheduleRebind(bound.cause());
                 }
             });
         });
     }
 
-    private void bindAgain(Throwable why) {
-        if (!toldWaiting) {
-            toldWaiting = true;
-            LOG.info("waits for " + Codec.text(config.listen()) + " to be a member of " + config.fleet()
-                    + ": " + why.getMessage());
+    private void scheduleRebind(Throwable cause) {
+        if (!waitLogged) {
+            waitLogged = true;
+            LOG.info("waits for " + Codec.formatAddress(config.listen()) + " to be a member of "
+                    + config.fleet()
+                    + ": " + cause.getMessage());
         }
-        loop.schedule(this::bind, BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::bind, REBIND_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void closeChannels() {
-        if (datagrams != null) {
-            datagrams.close();
+        if (datagramChannel != null) {
+            datagramChannel.close();
         }
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
     }
 
     /** On the disk's thread. */
-    private void begin() {
+    private void startMembership() {
         List<Member> known = List.of();
         try {
-            byte[] kept = book.read();
-            known = kept == null ? known : codec.decodeMembers(kept);
+            byte[] persisted = peerStore.read();
+            known = persisted == null ? known : codec.decodeMembers(persisted);
         } catch (IOException | RuntimeException e) {
             LOG.warning("the members of before can't be read, so only seeds are tried: " + e.getMessage());
         }
         List<Member> before = known;
-        loop.execute(() -> begin(before));
+        loop.execute(() -> startMembership(before));
     }
 
-    private void begin(List<Member> before) {
+    private void startMembership(List<Member> before) {
         if (ended) {
             return;
         }
         long incarnation = 1 + before.stream().filter(member -> member.name().equals(config.name()))
                 .mapToLong(Member::incarnation).max().orElse(0);
-        core = new Membership(new Member(config.name(), config.advertise(), config.seed(),
+        membership = new Membership(new Member(config.name(), config.advertise(), config.seed(),
                 Math.min(incarnation, Member.MAX_INCARNATION / 2), State.ALIVE, config.role(),
-                config.version()), config.fleet(), config.settings(), config.seed(), new Sending());
-        core.start(now(), config.seeds(), before);
+                config.version()), config.fleet(), config.settings(), config.seed(), new MembershipActions());
+        membership.start(now(), config.seeds(), before);
         LOG.info("is " + config.name() + " of the fleet " + config.fleet() + " at "
-                + Codec.text(config.advertise()));
-        arm();
+                + Codec.formatAddress(config.advertise()));
+        scheduleTick();
         if (extension != null) {
             extension.started();
         }
@@ -330,40 +333,40 @@
     // ---- Events ------------------------------------------------------------------------------------
 
     /** Sees to it that the core is woken when it wants to be. */
-    private void arm() {
-        double next = core.wakeAt();
-        if (!ended && next < armedFor) {
-            armedFor = next;
+    private void scheduleTick() {
+        double next = membership.wakeAt();
+        if (!ended && next < nextTickAt) {
+            nextTickAt = next;
             loop.schedule(this::tick, Math.max(0, (long) ((next - now()) * NANOS_PER_MS)),
                     TimeUnit.NANOSECONDS);
         }
     }
 
     private void tick() {
-        armedFor = Double.POSITIVE_INFINITY;
+        nextTickAt = Double.POSITIVE_INFINITY;
         if (!ended) {
-            core.tick(now());
-            arm();
+            membership.tick(now());
+            scheduleTick();
         }
     }
 
-    private final class Arrivals extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             ByteBuf content = packet.content();
-            received++;
+            datagramsReceived++;
             bytesReceived += content.readableBytes();
-            if (core == null || ended) {
+            if (membership == null || ended) {
                 return;
             }
-            if (content.readableBytes() > Codec.LARGEST) {
+            if (content.readableBytes() > Codec.MAX_DATAGRAM_BYTES) {
                 dropped++;
                 return;
             }
             try {
-                core.received(now(), packet.sender(), codec.decode(ByteBufUtil.getBytes(content)));
-                arm();
+                membership.received(now(), packet.sender(), codec.decode(ByteBufUtil.getBytes(content)));
+                scheduleTick();
             } catch (Codec.ForeignException e) {
                 if (foreign++ == 0) {
                     LOG.warning("a datagram from " + packet.sender() + " is " + e.getMessage()
@@ -380,23 +383,23 @@
         }
     }
 
-    private final class Sending implements Actions {
+    private final class MembershipActions implements Actions {
 
         @Override
         public void send(InetSocketAddress to, Message message) {
             try {
                 byte[] bytes = codec.encode(message);
-                sent++;
+                datagramsSent++;
                 bytesSent += bytes.length;
-                datagrams.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to));
+                datagramChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to));
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void sync(InetSocketAddress with) {
-            calls.sync(with);
+        public void sync(InetSocketAddress address) {
+            calls.sync(address);
         }
 
         @Override
@@ -406,8 +409,8 @@
                 boolean suspicion = now != null && before != null && before.state().isPresent()
                         && now.state().isPresent();
                 if (!suspicion) {
-                    tell(now == null ? before.name() + " is forgotten" : now.name() + " at "
-                            + Codec.text(now.address()) + " is " + now.state().word(),
+                    logMemberChange(now == null ? before.name() + " is forgotten" : now.name() + " at "
+                            + Codec.formatAddress(now.address()) + " is " + now.state().label(),
                             now != null && now.state().isPresent());
                 }
             }
@@ -431,66 +434,67 @@
         }
 
         @Override
-        public void superseded(Member by) {
-            LOG.warning("another process, at " + Codec.text(by.address()) + ", has the name " + by.name()
+        public void superseded(Member successor) {
+            LOG.warning("another process, at " + Codec.formatAddress(successor.address()) + ", has the name "
+                    + successor.name()
                     + " now; this one is a member no longer, and serves on");
         }
     }
 
     /** Who comes must not use up the room for who goes. */
-    private void tell(String line, boolean comes) {
-        if ((comes ? arrivals++ : departures++) < MOST_LINES) {
+    private void logMemberChange(String line, boolean comes) {
+        if ((comes ? arrivalLines++ : departureLines++) < MAX_LOG_LINES) {
             LOG.info(line);
         } else {
-            untold++;
+            suppressedLines++;
         }
     }
 
-    private void tellUntold() {
-        arrivals = 0;
-        departures = 0;
-        if (untold > 0) {
-            LOG.info("and " + untold + " further changes of members");
-            untold = 0;
+    private void logSuppressedLines() {
+        arrivalLines = 0;
+        departureLines = 0;
+        if (suppressedLines > 0) {
+            LOG.info("and " + suppressedLines + " further changes of members");
+            suppressedLines = 0;
         }
     }
 
     // ---- What is kept, shown and exchanged ---------------------------------------------------------
 
     private void persist() {
-        if (!persistDue || ended || core == null) {
+        if (!persistDue || ended || membership == null) {
             return;
         }
         persistDue = false;
-        List<Member> kept = new ArrayList<>();
-        for (Member member : core.members()) {
-            if (member.state().isPresent() && kept.size() < MOST_KEPT) {
-                kept.add(member);
+        List<Member> persisted = new ArrayList<>();
+        for (Member member : membership.members()) {
+            if (member.state().isPresent() && persisted.size() < MAX_PERSISTED_MEMBERS) {
+                persisted.add(member);
             }
         }
-        disk.execute(() -> {
+        diskExecutor.execute(() -> {
             try {
-                book.write(codec.encode(kept));
+                peerStore.write(codec.encode(persisted));
             } catch (IOException | RuntimeException e) {
                 LOG.warning("the known members can't be kept: " + e.getMessage());
             }
         });
     }
 
-    private void publish() {
+    private void publishMetrics() {
         Map<String, Long> now = new LinkedHashMap<>();
-        if (core != null) {
-            Membership.Stats of = core.stats();
-            now.put("fleet.members", (long) of.members());
-            now.put("fleet.suspect", (long) of.suspects());
-            now.put("fleet.faulty", (long) of.faulty());
-            now.put("fleet.agreeing", (long) of.agreeing());
-            now.put("fleet.isolated", of.isolated() ? 1L : 0L);
-            now.put("fleet.health", (long) of.health());
-            now.put("fleet.refused", of.refused());
+        if (membership != null) {
+            Membership.Stats stats = membership.stats();
+            now.put("fleet.members", (long) stats.members());
+            now.put("fleet.suspect", (long) stats.suspects());
+            now.put("fleet.faulty", (long) stats.faulty());
+            now.put("fleet.agreeing", (long) stats.agreeing());
+            now.put("fleet.isolated", stats.isolated() ? 1L : 0L);
+            now.put("fleet.health", (long) stats.health());
+            now.put("fleet.refused", stats.refused());
         }
-        now.put("fleet.datagrams_sent", sent);
-        now.put("fleet.datagrams_received", received);
+        now.put("fleet.datagrams_sent", datagramsSent);
+        now.put("fleet.datagrams_received", datagramsReceived);
         now.put("fleet.bytes_sent", bytesSent);
         now.put("fleet.bytes_received", bytesReceived);
         now.put("fleet.dropped", dropped);
@@ -502,47 +506,48 @@
         }
         now.put("fleet.call_bytes_sent", calls.bytesSent());
         now.put("fleet.call_bytes_received", calls.bytesReceived());
-        figures = now;
+        metrics = now;
     }
 
     /** The view, for operators; null before it has begun. */
-    ObjectNode view() {
-        if (core == null || ended) {
+    ObjectNode viewJson() {
+        if (membership == null || ended) {
             return null;
         }
         ObjectNode view = Codec.JSON.createObjectNode().put("fleet", config.fleet())
-                .put("name", config.name()).put("digest", Long.toHexString(core.digest()))
-                .put("isolated", core.isIsolated());
+                .put("name", config.name()).put("digest", Long.toHexString(membership.digest()))
+                .put("isolated", membership.isIsolated());
         var members = view.putArray("members");
-        add(members.addObject(), new Membership.Seen(core.self(), now(), 0));
-        core.seen(now()).forEach(seen -> add(members.addObject(), seen));
+        addMember(members.addObject(), new Membership.MemberStatus(membership.self(), now(), 0));
+        membership.memberStatuses(now()).forEach(seen -> addMember(members.addObject(), seen));
         return view;
     }
 
-    private static void add(ObjectNode to, Membership.Seen seen) {
+    private static void addMember(ObjectNode to, Membership.MemberStatus seen) {
         Member member = seen.member();
-        to.put("name", member.name()).put("address", Codec.text(member.address())).put("role", member.role())
+        to.put("name", member.name()).put("address", Codec.formatAddress(member.address())).put("role",
+                member.role())
                 .put("version", member.version()).put("incarnation", member.incarnation())
                 .put("instance", Long.toHexString(member.instance()))
-                .put("state", member.state().word())
+                .put("state", member.state().label())
                 .put("since_ms", Math.round(seen.sinceMs())).put("differs_ms", Math.round(seen.differsMs()));
     }
 
     /** All that is known, for a full exchange; null before it has begun. */
-    byte[] known() throws IOException {
-        return core == null || ended ? null : codec.encode(core.members());
+    byte[] encodeMembers() throws IOException {
+        return membership == null || ended ? null : codec.encode(membership.members());
     }
 
     /** Takes what another member knows. */
-    void merge(byte[] theirs) throws IOException {
-        List<Member> members = codec.decodeMembers(theirs);
-        if (core != null && !ended) {
-            core.merge(now(), members);
-            arm();
+    void merge(byte[] encodedMembers) throws IOException {
+        List<Member> members = codec.decodeMembers(encodedMembers);
+        if (membership != null && !ended) {
+            membership.merge(now(), members);
+            scheduleTick();
         }
     }
 
-    InetSocketAddress own() {
+    InetSocketAddress listenAddress() {
         return config.listen();
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/GossipQueue.java
+++ b/src/main/java/cranedeal/fleet/membership/GossipQueue.java
@@ -11,26 +11,26 @@
 final class GossipQueue {
 
     /** Beyond this what was told most often is dropped; a full exchange makes up for it. */
-    static final int MOST = 256;
+    static final int MAX_ITEMS = 256;
 
-    private record Item(MemberUpdate news, boolean important, int sends, long number) { }
+    private record Item(MemberUpdate update, boolean important, int sends, long sequence) { }
 
-    private static final Comparator<Item> LEAST_TOLD = Comparator.comparingInt(Item::sends)
+    private static final Comparator<Item> FEWEST_SENDS_FIRST = Comparator.comparingInt(Item::sends)
             .thenComparing(Item::important, Comparator.reverseOrder())
-            .thenComparing(Comparator.comparingLong(Item::number).reversed());
+            .thenComparing(Comparator.comparingLong(Item::sequence).reversed());
 
     private final Map<String, Item> byName = new HashMap<>();
-    private final TreeSet<Item> items = new TreeSet<>(LEAST_TOLD);
-    private long count;
+    private final TreeSet<Item> items = new TreeSet<>(FEWEST_SENDS_FIRST);
+    private long nextSequence;
 
     /**
      * Takes what is new of a member, in place of what there was of it.
      *
      * @param important whether it is to reach everybody by this way
      */
-    void add(MemberUpdate news, boolean important) {
-        put(new Item(news, important, 0, count++));
-        if (items.size() > MOST) {
+    void add(MemberUpdate update, boolean important) {
+        put(new Item(update, important, 0, nextSequence++));
+        if (items.size() > MAX_ITEMS) {
             remove(items.last());
         }
     }
@@ -42,37 +42,37 @@
     /** Takes what fits into so many bytes, in a fleet of so many members. */
     List<MemberUpdate> take(int bytes, int members) {
         List<Item> taken = new ArrayList<>();
-        int left = bytes;
+        int remaining = bytes;
         for (Item item : items) {
-            int size = Codec.size(item.news());
-            if (size > left) {
+            int size = Codec.encodedSize(item.update());
+            if (size > remaining) {
                 break;
             }
-            left -= size;
+            remaining -= size;
             taken.add(item);
         }
-        List<MemberUpdate> news = new ArrayList<>(taken.size());
+        List<MemberUpdate> update = new ArrayList<>(taken.size());
         for (Item item : taken) {
-            news.add(item.news());
-            if (item.sends() + 1 < Settings.sends(members, item.important())) {
-                put(new Item(item.news(), item.important(), item.sends() + 1, item.number()));
+            update.add(item.update());
+            if (item.sends() + 1 < Settings.maxSends(members, item.important())) {
+                put(new Item(item.update(), item.important(), item.sends() + 1, item.sequence()));
             } else {
                 remove(item);
             }
         }
-        return news;
+        return update;
     }
 
     private void put(Item item) {
-        Item before = byName.put(item.news().member().name(), item);
-        if (before != null) {
-            items.remove(before);
+        Item previous = byName.put(item.update().member().name(), item);
+        if (previous != null) {
+            items.remove(previous);
         }
         items.add(item);
     }
 
     private void remove(Item item) {
         items.remove(item);
-        byName.remove(item.news().member().name());
+        byName.remove(item.update().member().name());
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/LocalHealth.java
+++ b/src/main/java/cranedeal/fleet/membership/LocalHealth.java
@@ -6,27 +6,27 @@
  */
 final class LocalHealth {
 
-    private static final int WORST = 8;
+    private static final int MAX_SCORE = 8;
 
-    private final boolean inUse;
+    private final boolean enabled;
     private int score;
 
     LocalHealth(boolean inUse) {
-        this.inUse = inUse;
+        this.enabled = inUse;
     }
 
     /** By what probes take longer than in good health. */
-    int factor() {
+    int multiplier() {
         return 1 + score;
     }
 
-    void worse(int by) {
-        if (inUse) {
-            score = Math.min(WORST, score + by);
+    void worsen(int points) {
+        if (enabled) {
+            score = Math.min(MAX_SCORE, score + points);
         }
     }
 
-    void better() {
+    void improve() {
         score = Math.max(0, score - 1);
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/Member.java
+++ b/src/main/java/cranedeal/fleet/membership/Member.java
@@ -18,8 +18,8 @@
 
     /** The highest incarnation, which JSON's numbers still hold exactly. */
     public static final long MAX_INCARNATION = (1L << 53) - 1;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
-    private static final Pattern WORD = Pattern.compile("[A-Za-z0-9._+-]{1,32}");
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
+    private static final Pattern LABEL_PATTERN = Pattern.compile("[A-Za-z0-9._+-]{1,32}");
 
     /** Throws {@link IllegalArgumentException} for what can't be told in a datagram. */
     public Member {
@@ -30,26 +30,26 @@
         if (incarnation < 0 || incarnation > MAX_INCARNATION) {
             throw new IllegalArgumentException("an incarnation of " + incarnation);
         }
-        if (!WORD.matcher(role).matches() || !WORD.matcher(version).matches()) {
+        if (!LABEL_PATTERN.matcher(role).matches() || !LABEL_PATTERN.matcher(version).matches()) {
             throw new IllegalArgumentException("no role or version: '" + role + "', '" + version + "'");
         }
     }
 
     /** Throws {@link IllegalArgumentException} for what is no name of a member or a fleet. */
     public static void requireName(String name) {
-        if (!NAME.matcher(name).matches()) {
+        if (!NAME_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException("'" + name + "' is no name: 1 to 64 letters, digits and ._-");
         }
     }
 
     /** The same in another state. */
-    Member in(State other) {
-        return new Member(name, address, instance, incarnation, other, role, version);
+    Member withState(State newState) {
+        return new Member(name, address, instance, incarnation, newState, role, version);
     }
 
     /** The same, alive, in another incarnation. */
-    Member reborn(long other) {
-        return new Member(name, address, instance, other, State.ALIVE, role, version);
+    Member aliveWithIncarnation(long newState) {
+        return new Member(name, address, instance, newState, State.ALIVE, role, version);
     }
 
     /**
--- a/src/main/java/cranedeal/fleet/membership/MemberCalls.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberCalls.java
@@ -39,23 +39,23 @@
 
     private static final String SYNC = "/fleet/sync";
     /** Calls of this member that are under way at a time. */
-    private static final int MOST_CALLS = 16;
+    private static final int MAX_CONCURRENT_CALLS = 16;
     /** Full exchanges that are answered in a second; the rest are told to come again. */
-    private static final int MOST_SYNCS = 20;
-    private static final double SECOND = 1_000;
+    private static final int MAX_SYNCS_PER_SECOND = 20;
+    private static final double SECOND_MS = 1_000;
 
     private final FleetMember member;
     private final EventLoop loop;
     private final FleetMember.CallLimits limits;
-    private int open;
-    private int calling;
-    private long refused;
-    private boolean syncing;
+    private int openConnections;
+    private int callsInFlight;
+    private long refusedConnections;
+    private boolean syncInFlight;
     private long syncs;
     private long bytesSent;
     private long bytesReceived;
-    private int answered;
-    private double countedFrom = Double.NEGATIVE_INFINITY;
+    private int syncsAnswered;
+    private double windowStartedAt = Double.NEGATIVE_INFINITY;
 
     MemberCalls(FleetMember member, EventLoop loop, FleetMember.CallLimits limits) {
         this.member = member;
@@ -65,7 +65,7 @@
 
     /** Connections that were closed at once, as too many were open. */
     long refused() {
-        return refused;
+        return refusedConnections;
     }
 
     long syncs() {
@@ -81,34 +81,34 @@
         return bytesReceived;
     }
 
-    private void limit(Channel channel) {
+    private void closeAfterTimeout(Channel channel) {
         loop.schedule(() -> {
             channel.close();
-        }, limits.patienceMs(), TimeUnit.MILLISECONDS);
+        }, limits.timeoutMs(), TimeUnit.MILLISECONDS);
     }
 
     // ---- Served ------------------------------------------------------------------------------------
 
-    void accepted(Channel channel) {
-        if (open >= limits.connections()) {
-            refused++;
+    void accept(Channel channel) {
+        if (openConnections >= limits.maxConnections()) {
+            refusedConnections++;
             channel.close();
             return;
         }
-        open++;
-        channel.closeFuture().addListener(closed -> open--);
-        limit(channel);
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(limits.bodyBytes()),
+        openConnections++;
+        channel.closeFuture().addListener(closed -> openConnections--);
+        closeAfterTimeout(channel);
+        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(limits.maxBodyBytes()),
                 new SimpleChannelInboundHandler<FullHttpRequest>() {
 
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
                         bytesReceived += request.content().readableBytes();
-                        CompletionStage<CallReply> later = extended(request);
-                        if (later == null) {
+                        CompletionStage<CallReply> pendingReply = answerByExtension(request);
+                        if (pendingReply == null) {
                             write(ctx, answer(request));
                         } else {
-                            later.whenComplete((reply, failure) -> loop.execute(() -> write(ctx,
+                            pendingReply.whenComplete((reply, failure) -> loop.execute(() -> write(ctx,
                                     failure == null ? response(reply) : text(
                                     HttpResponseStatus.INTERNAL_SERVER_ERROR, failure + "\n"))));
                         }
@@ -128,7 +128,7 @@
     }
 
     /** What the extension answers; null if that has no such call. */
-    private CompletionStage<CallReply> extended(FullHttpRequest request) {
+    private CompletionStage<CallReply> answerByExtension(FullHttpRequest request) {
         return member.extension() == null || !request.decoderResult().isSuccess() ? null
                 : member.extension().answer(request.method().name(), request.uri(),
                 ByteBufUtil.getBytes(request.content()));
@@ -142,43 +142,43 @@
     }
 
     private FullHttpResponse answer(FullHttpRequest request) {
-        boolean asks = request.uri().equals(FleetMember.VIEW_PATH);
+        boolean isViewRequest = request.uri().equals(FleetMember.VIEW_PATH);
         if (!request.decoderResult().isSuccess()) {
             return text(HttpResponseStatus.BAD_REQUEST, "malformed HTTP\n");
         }
-        if (!asks && !request.uri().equals(SYNC)) {
+        if (!isViewRequest && !request.uri().equals(SYNC)) {
             return text(HttpResponseStatus.NOT_FOUND, "no such call\n");
         }
-        if (!request.method().equals(asks ? HttpMethod.GET : HttpMethod.POST)) {
+        if (!request.method().equals(isViewRequest ? HttpMethod.GET : HttpMethod.POST)) {
             return text(HttpResponseStatus.METHOD_NOT_ALLOWED, "another method is wanted\n");
         }
         try {
-            return asks ? view() : sync(ByteBufUtil.getBytes(request.content()));
+            return isViewRequest ? view() : sync(ByteBufUtil.getBytes(request.content()));
         } catch (IOException e) {
             return text(HttpResponseStatus.BAD_REQUEST, e.getMessage() + "\n");
         }
     }
 
     private FullHttpResponse view() throws IOException {
-        ObjectNode view = member.view();
-        return view == null ? later() : json(Codec.JSON.writeValueAsBytes(view));
+        ObjectNode view = member.viewJson();
+        return view == null ? tryAgain() : json(Codec.JSON.writeValueAsBytes(view));
     }
 
-    private FullHttpResponse sync(byte[] theirs) throws IOException {
+    private FullHttpResponse sync(byte[] encodedMembers) throws IOException {
         double now = member.now();
-        if (now - countedFrom >= SECOND) {
-            countedFrom = now;
-            answered = 0;
+        if (now - windowStartedAt >= SECOND_MS) {
+            windowStartedAt = now;
+            syncsAnswered = 0;
         }
-        byte[] known = member.known();
-        if (known == null || ++answered > MOST_SYNCS) {
-            return later();
+        byte[] known = member.encodeMembers();
+        if (known == null || ++syncsAnswered > MAX_SYNCS_PER_SECOND) {
+            return tryAgain();
         }
-        member.merge(theirs);
+        member.merge(encodedMembers);
         return json(known);
     }
 
-    private static FullHttpResponse later() {
+    private static FullHttpResponse tryAgain() {
         FullHttpResponse response = text(HttpResponseStatus.SERVICE_UNAVAILABLE, "try again\n");
         response.headers().set("Retry-After", "1");
         return response;
@@ -201,25 +201,25 @@
     // ---- Called ------------------------------------------------------------------------------------
 
     /** Exchanges all with a member, one at a time; what comes back is merged. */
-    void sync(InetSocketAddress with) {
-        if (syncing) {
+    void sync(InetSocketAddress address) {
+        if (syncInFlight) {
             return;
         }
         byte[] known;
         try {
-            known = member.known();
+            known = member.encodeMembers();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
         if (known == null) {
             return;
         }
-        syncing = true;
+        syncInFlight = true;
         syncs++;
         CompletableFuture<CallReply> reply = new CompletableFuture<>();
-        call(with, "POST", SYNC, known, reply);
+        call(address, "POST", SYNC, known, reply);
         reply.whenComplete((answer, failure) -> {
-            syncing = false;
+            syncInFlight = false;
             try {
                 if (answer != null && answer.status() == CallReply.OK) {
                     member.merge(answer.body());
@@ -233,47 +233,47 @@
     /** Calls another process, and tells what it answers, or that it does not. */
     void call(InetSocketAddress to, String method, String uri, byte[] body,
             CompletableFuture<CallReply> reply) {
-        if (calling >= MOST_CALLS) {
-            reply.completeExceptionally(new IOException(MOST_CALLS + " calls are under way"));
+        if (callsInFlight >= MAX_CONCURRENT_CALLS) {
+            reply.completeExceptionally(new IOException(MAX_CONCURRENT_CALLS + " calls are under way"));
             return;
         }
-        calling++;
+        callsInFlight++;
         ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limits.patienceMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limits.timeoutMs())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(),
-                                new HttpObjectAggregator(limits.bodyBytes()), new Answer(reply));
+                                new HttpObjectAggregator(limits.maxBodyBytes()), new ReplyHandler(reply));
                     }
                 })
                 // From the address by which others know this member.
-                .connect(to, new InetSocketAddress(member.own().getAddress(), 0));
+                .connect(to, new InetSocketAddress(member.listenAddress().getAddress(), 0));
         connected.channel().closeFuture().addListener(closed -> {
-            calling--;
-            reply.completeExceptionally(new IOException("no answer from " + Codec.text(to)));
+            callsInFlight--;
+            reply.completeExceptionally(new IOException("no answer from " + Codec.formatAddress(to)));
         });
         connected.addListener(done -> {
             if (!done.isSuccess()) {
                 connected.channel().close();
                 return;
             }
-            limit(connected.channel());
+            closeAfterTimeout(connected.channel());
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.valueOf(method), uri, Unpooled.wrappedBuffer(body));
-            request.headers().set("Host", Codec.text(to)).set("Content-Type", "application/json")
+            request.headers().set("Host", Codec.formatAddress(to)).set("Content-Type", "application/json")
                     .set("Content-Length", body.length).set("Connection", "close");
             bytesSent += body.length;
             connected.channel().writeAndFlush(request);
         });
     }
 
-    private final class Answer extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ReplyHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private final CompletableFuture<CallReply> reply;
 
-        Answer(CompletableFuture<CallReply> reply) {
+        ReplyHandler(CompletableFuture<CallReply> reply) {
             this.reply = reply;
         }
 
--- a/src/main/java/cranedeal/fleet/membership/Entry.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberEntry.java
@@ -1,24 +1,24 @@
 package cranedeal.fleet.membership;
 
 /** What one process knows of another. */
-final class Entry {
+final class MemberEntry {
 
     Member member;
     /** When it came into this state. */
-    double since;
+    double stateSince;
     /** Its place among those that are present, or among the faulty ones. */
-    int index;
+    int listIndex;
     /** Not null while it is suspected. */
     Suspicion suspicion;
     /** When it was last heard of by itself; and the digest of its view then. */
-    double heardAt = Double.NEGATIVE_INFINITY;
+    double lastHeardAt = Double.NEGATIVE_INFINITY;
     long digest;
     /** When its view last was the same as this one's. */
-    double agreedAt;
+    double lastAgreedAt;
 
-    Entry(Member member, double now) {
+    MemberEntry(Member member, double now) {
         this.member = member;
-        since = now;
-        agreedAt = now;
+        stateSince = now;
+        lastAgreedAt = now;
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/MemberUpdate.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberUpdate.java
@@ -8,7 +8,7 @@
 public record MemberUpdate(Member member, String suspectedBy) {
 
     /** What is now said of a member; {@code by} counts only if it is suspected. */
-    static MemberUpdate of(Member member, String by) {
-        return new MemberUpdate(member, member.state() == State.SUSPECT ? by : "");
+    static MemberUpdate of(Member member, String suspectedBy) {
+        return new MemberUpdate(member, member.state() == State.SUSPECT ? suspectedBy : "");
     }
 }
