--- a/src/main/java/cranedeal/fleet/membership/Membership.java
+++ b/src/main/java/cranedeal/fleet/membership/Membership.java
@@ -20,37 +20,37 @@
 public final class Membership {
 
     /** Probes and pings for others that are under way at a time. */
-    private static final int MOST_PROBES = 16;
-    private static final int MOST_RELAYS = 64;
+    private static final int MAX_PROBES = 16;
+    private static final int MAX_RELAYS = 64;
     /** News that raises an incarnation by more than this is forged, unless it is the member's own word. */
-    private static final long LARGEST_LEAP = 1L << 32;
+    private static final long MAX_INCARNATION_JUMP = 1L << 32;
     /** With so much news waiting, full exchanges are quicker. */
-    private static final int MUCH_NEWS = 32;
+    private static final int LONG_QUEUE = 32;
     /** A member in bad health waits longer for answers, but probes no more seldom than by this factor. */
-    private static final int SLOWEST = 3;
+    private static final int MAX_PROBE_SLOWDOWN = 3;
     /** How many faulty members one tries at a time that has lost most of them. */
-    private static final int TRIES_WHEN_ISOLATED = 3;
-    private static final int SEEDS_AT_A_TIME = 3;
+    private static final int FAULTY_PINGS_WHEN_ISOLATED = 3;
+    private static final int SEEDS_PER_ROUND = 3;
     /** How many suspects are asked for their last word in a period. */
-    private static final int MOST_REMINDERS = 4;
+    private static final int MAX_REMINDERS_PER_PERIOD = 4;
     /** Times that are closer are the same, but for rounding. */
-    private static final double SAME_MS = 1e-3;
-    private static final double SWEEPS = 10;
+    private static final double TIME_TOLERANCE_MS = 1e-3;
+    private static final double SWEEPS_PER_FORGET_TIME = 10;
 
     /** A member that was pinged and has not answered yet. */
     private static final class Probe {
 
-        private final Entry target;
-        private int asked;
+        private final MemberEntry target;
+        private int helpersAsked;
         private int nacks;
 
-        Probe(Entry target) {
+        Probe(MemberEntry target) {
             this.target = target;
         }
     }
 
     /** A ping for another member. */
-    private record Relay(InetSocketAddress origin, long number, String target) { }
+    private record Relay(InetSocketAddress origin, long originSequence, String target) { }
 
     private final Settings settings;
     private final String fleet;
@@ -58,7 +58,7 @@
     private final SplittableRandom random;
     private final View view;
     private final Timers timers = new Timers();
-    private final GossipQueue news = new GossipQueue();
+    private final GossipQueue gossipQueue = new GossipQueue();
     private final LocalHealth health;
     private final Map<Long, Probe> probes = new HashMap<>();
     private final Map<Long, Relay> relays = new HashMap<>();
@@ -66,25 +66,25 @@
     private Member self;
     /** The time, without what this process was stopped. */
     private double now;
-    private double stopped;
-    private double begunAt;
-    private double changedAt;
+    private double stoppedMs;
+    private double startedAt;
+    private double lastChangeAt;
     /** When any other member was last heard. */
-    private double heardAt;
-    private double syncedAt = Double.NEGATIVE_INFINITY;
-    private long number;
-    private int seed;
-    private int turn;
-    private int reminders;
-    private boolean gossiping;
+    private double lastHeardAt;
+    private double lastSyncAt = Double.NEGATIVE_INFINITY;
+    private long lastSequence;
+    private int nextSeed;
+    private int probeTurn;
+    private int remindersSent;
+    private boolean gossipScheduled;
     /** What is told of the configuration in each datagram; null if nothing is. */
     private VersionNotice notice;
     /** How many rounds of news are owed to it. */
-    private int noticeRounds;
-    private boolean over;
+    private int noticeRoundsLeft;
+    private boolean ended;
     private boolean isolated;
-    private long refused;
-    private long declared;
+    private long refusedUpdates;
+    private long declaredFaulty;
 
     /**
      * A member that has not begun.
@@ -114,22 +114,22 @@
      * @param sinceMs how long it has been in this state
      * @param differsMs how long its view has not been the same as this one, as far as heard; 0 if it is
      */
-    public record Seen(Member member, double sinceMs, double differsMs) { }
+    public record MemberStatus(Member member, double sinceMs, double differsMs) { }
 
     // ---- Events ------------------------------------------------------------------------------------
 
     /**
      * Begins.
      *
-     * @param given where others may be; some may be down, wrong, or this process
+     * @param seedAddresses where others may be; some may be down, wrong, or this process
      * @param lastKnown the members that this one knew when it last ran
      */
-    public void start(double time, List<InetSocketAddress> given, Collection<Member> lastKnown) {
+    public void start(double time, List<InetSocketAddress> seedAddresses, Collection<Member> lastKnown) {
         now = time;
-        begunAt = time;
-        changedAt = time;
-        heardAt = time;
-        seeds.addAll(new LinkedHashSet<>(given));
+        startedAt = time;
+        lastChangeAt = time;
+        lastHeardAt = time;
+        seeds.addAll(new LinkedHashSet<>(seedAddresses));
         for (Member known : lastKnown) {
             if (!known.name().equals(self.name()) && view.size() < settings.maxMembers()) {
                 // Any word of it is newer than this.
@@ -137,41 +137,42 @@
                         known.version()), now);
             }
         }
-        lookWhetherIsolated();
-        every(settings.periodMs(), this::probeNext);
-        every(settings.retryMs(), this::tryFaulty);
-        timers.at(now, this::trySeeds);
-        timers.at(now, this::tryFaulty);
-        every(Math.max(settings.periodMs(), settings.forgetMs() / SWEEPS), this::sweep);
+        updateIsolation();
+        schedulePeriodic(settings.periodMs(), this::probeNext);
+        schedulePeriodic(settings.faultyRetryMs(), this::pingFaulty);
+        timers.schedule(now, this::pingSeeds);
+        timers.schedule(now, this::pingFaulty);
+        schedulePeriodic(Math.max(settings.periodMs(), settings.forgetMs() / SWEEPS_PER_FORGET_TIME),
+                this::forgetOldMembers);
     }
 
     /** When {@link #tick} is next wanted; may be in the past. */
     public double wakeAt() {
-        return timers.next() + stopped;
+        return timers.nextDue() + stoppedMs;
     }
 
     /** Does what is due. */
     public void tick(double time) {
-        begin(time);
-        while (!over && timers.runOne(now + SAME_MS)) {
+        advanceTime(time);
+        while (!ended && timers.runNextDue(now + TIME_TOLERANCE_MS)) {
             // Until nothing is due.
         }
     }
 
     /** A datagram has come. */
     public void received(double time, InetSocketAddress source, Message message) {
-        begin(time);
+        advanceTime(time);
         Member sender = message.from();
-        if (over || sender.name().equals(self.name()) && sender.instance() == self.instance()) {
+        if (ended || sender.name().equals(self.name()) && sender.instance() == self.instance()) {
             return;
         }
-        boolean wasAlone = view.present() == 0;
-        heardAt = now;
-        hear(source, message);
+        boolean wasAlone = view.presentCount() == 0;
+        lastHeardAt = now;
+        processMessage(source, message);
         switch (message.kind()) {
-            case PING -> answer(source, message);
-            case ACK -> acknowledged(message);
-            case ASK -> relay(source, message);
+            case PING -> answerPing(source, message);
+            case ACK -> handleAck(message);
+            case ASK -> relayPing(source, message);
             case NACK -> {
                 Probe probe = probes.get(message.sequence());
                 if (probe != null) {
@@ -180,56 +181,56 @@
             }
             default -> { }
         }
-        if (message.digest() != digest() && isPresent(sender) && wantsSync(wasAlone)) {
-            syncedAt = now;
+        if (message.digest() != digest() && isPresent(sender) && isSyncDue(wasAlone)) {
+            lastSyncAt = now;
             actions.sync(sender.address());
         }
     }
 
     /** Takes what another member knows. */
-    public void merge(double time, Collection<Member> theirs) {
-        begin(time);
-        for (Member member : theirs) {
-            if (!over) {
-                take(MemberUpdate.of(member, member.name()), false);
+    public void merge(double time, Collection<Member> members) {
+        advanceTime(time);
+        for (Member member : members) {
+            if (!ended) {
+                applyUpdate(MemberUpdate.of(member, member.name()), false);
             }
         }
     }
 
     /** Takes others for members as if it had always known them; for simulations. */
     public void addKnownMembers(double time, Collection<Member> others) {
-        begin(time);
+        advanceTime(time);
         others.stream().filter(member -> !member.name().equals(self.name()))
                 .forEach(member -> view.add(member, now));
     }
 
     /** Tells of the configuration that this member has, from now on; one that is later is news. */
-    public void advertise(double time, VersionNotice given) {
-        begin(time);
-        boolean isNews = given != null && given.number() > 0 && given.isLaterThan(notice);
-        notice = given;
-        if (isNews && !over) {
-            noticeRounds = Settings.noticeRounds(view.present() + 1);
-            gossipSoon();
+    public void advertise(double time, VersionNotice newNotice) {
+        advanceTime(time);
+        boolean isNewer = newNotice != null && newNotice.number() > 0 && newNotice.isLaterThan(notice);
+        notice = newNotice;
+        if (isNewer && !ended) {
+            noticeRoundsLeft = Settings.noticeRounds(view.presentCount() + 1);
+            scheduleGossip();
         }
     }
 
     /** Tells the others that this member leaves, and does nothing more. */
     public void leave(double time) {
-        begin(time);
-        if (over) {
+        advanceTime(time);
+        if (ended) {
             return;
         }
-        self = self.in(State.LEFT);
-        news.add(new MemberUpdate(self, ""), true);
-        int told = Settings.sends(view.present() + 1, true);
-        view.some(told, null).forEach(entry -> send(Message.Kind.NEWS, 0, "", null, entry));
+        self = self.withState(State.LEFT);
+        gossipQueue.add(new MemberUpdate(self, ""), true);
+        int receivers = Settings.maxSends(view.presentCount() + 1, true);
+        view.randomPresent(receivers, null).forEach(entry -> send(Message.Kind.NEWS, 0, "", null, entry));
         stop();
     }
 
     /** Does nothing more, without a word: another process goes on as this member. */
     public void stop() {
-        over = true;
+        ended = true;
         timers.clear();
     }
 
@@ -259,21 +260,22 @@
     }
 
     /** The others, as they are seen now. */
-    public List<Seen> seen(double time) {
-        double at = time - stopped;
-        return view.entries().stream().map(entry -> new Seen(entry.member, at - entry.since,
-                !entry.member.state().isPresent() || agrees(entry) ? 0 : at - entry.agreedAt)).toList();
+    public List<MemberStatus> memberStatuses(double time) {
+        double address = time - stoppedMs;
+        return view.entries().stream().map(entry -> new MemberStatus(entry.member, address - entry.stateSince,
+                !entry.member.state().isPresent() || agrees(entry) ? 0
+                : address - entry.lastAgreedAt)).toList();
     }
 
     /** What is known of a name; null if nothing is. */
     public State stateOf(String name) {
-        Entry entry = view.get(name);
+        MemberEntry entry = view.get(name);
         return entry == null ? null : entry.member.state();
     }
 
     /** How many members are present in the view, with this one. */
     public int presentCount() {
-        return view.present() + 1;
+        return view.presentCount() + 1;
     }
 
     /** Whether this member reaches less than half of those it knows. */
@@ -284,21 +286,22 @@
     /** The figures. */
     public Stats stats() {
         int agreeing = 0;
-        for (Entry entry : view.entries()) {
+        for (MemberEntry entry : view.entries()) {
             if (entry.member.state().isPresent() && agrees(entry)) {
                 agreeing++;
             }
         }
-        return new Stats(view.present() + 1, view.suspects(), view.faulty(), isolated, agreeing, refused,
-                declared, health.factor() - 1);
+        return new Stats(view.presentCount() + 1, view.suspectCount(), view.faultyCount(), isolated, agreeing,
+                refusedUpdates,
+                declaredFaulty, health.multiplier() - 1);
     }
 
-    private boolean agrees(Entry entry) {
+    private boolean agrees(MemberEntry entry) {
         return entry.digest == digest();
     }
 
     private boolean isPresent(Member member) {
-        Entry entry = view.get(member.name());
+        MemberEntry entry = view.get(member.name());
         return entry != null && entry.member.state().isPresent()
                 && entry.member.instance() == member.instance();
     }
@@ -309,21 +312,21 @@
      * A timer that is much too late tells that this process was stopped: what the others would have said
      * meanwhile was not heard, so no time has passed for any of them.
      */
-    private void begin(double time) {
-        double late = time - stopped - timers.next();
-        if (settings.detectsPauses() && late > settings.lateMs()) {
-            stopped += late;
-            health.worse(1);
+    private void advanceTime(double time) {
+        double lateMs = time - stoppedMs - timers.nextDue();
+        if (settings.detectsPauses() && lateMs > settings.pauseThresholdMs()) {
+            stoppedMs += lateMs;
+            health.worsen(1);
         }
-        now = Math.max(now, time - stopped);
+        now = Math.max(now, time - stoppedMs);
     }
 
     /** Does a task each time, beginning somewhere in the first, so that members don't do it together. */
-    private void every(double ms, Runnable task) {
-        timers.at(now + ms * random.nextDouble(), new Runnable() {
+    private void schedulePeriodic(double ms, Runnable task) {
+        timers.schedule(now + ms * random.nextDouble(), new Runnable() {
             @Override
             public void run() {
-                timers.at(now + ms, this);
+                timers.schedule(now + ms, this);
                 task.run();
             }
         });
@@ -332,347 +335,359 @@
     // ---- Probes ------------------------------------------------------------------------------------
 
     private void probeNext() {
-        reminders = 0;
-        lookWhetherIsolated();
+        remindersSent = 0;
+        updateIsolation();
         // A member in bad health probes less often.
-        turn++;
-        if (turn % Math.min(health.factor(), SLOWEST) == 0) {
-            Entry target = view.nextInRing();
+        probeTurn++;
+        if (probeTurn % Math.min(health.multiplier(), MAX_PROBE_SLOWDOWN) == 0) {
+            MemberEntry target = view.nextToProbe();
             if (target != null) {
                 probe(target);
             }
         }
     }
 
-    private void probe(Entry target) {
-        if (probes.size() >= MOST_PROBES) {
+    private void probe(MemberEntry target) {
+        if (probes.size() >= MAX_PROBES) {
             return;
         }
-        long its = ++number;
+        long sequence = ++lastSequence;
         Probe probe = new Probe(target);
-        probes.put(its, probe);
-        send(Message.Kind.PING, its, target.member.name(), null, target);
-        timers.at(now + settings.directMs() * health.factor(), () -> askOthers(its, probe));
-        timers.at(now + settings.wholeMs() * health.factor(), () -> giveUp(its, probe));
+        probes.put(sequence, probe);
+        send(Message.Kind.PING, sequence, target.member.name(), null, target);
+        timers.schedule(now + settings.directTimeoutMs() * health.multiplier(),
+                () -> probeIndirectly(sequence, probe));
+        timers.schedule(now + settings.probeTimeoutMs() * health.multiplier(), () -> probeFailed(sequence,
+                probe));
     }
 
-    private void askOthers(long its, Probe probe) {
-        if (probes.get(its) == probe) {
+    private void probeIndirectly(long sequence, Probe probe) {
+        if (probes.get(sequence) == probe) {
             Member target = probe.target.member;
             // Where a datagram was merely lost, a second one does more than all others together.
-            send(Message.Kind.PING, its, target.name(), null, probe.target);
-            for (Entry other : view.some(Settings.OTHERS, probe.target)) {
-                probe.asked++;
-                send(Message.Kind.ASK, its, target.name(), target.address(), other);
+            send(Message.Kind.PING, sequence, target.name(), null, probe.target);
+            for (MemberEntry other : view.randomPresent(Settings.INDIRECT_PROBES, probe.target)) {
+                probe.helpersAsked++;
+                send(Message.Kind.ASK, sequence, target.name(), target.address(), other);
             }
         }
     }
 
-    private void giveUp(long its, Probe probe) {
-        if (!probes.remove(its, probe)) {
+    private void probeFailed(long sequence, Probe probe) {
+        if (!probes.remove(sequence, probe)) {
             return;
         }
         // Where those who were asked did not answer either, it may be this member that is not reached.
-        health.worse(probe.asked == 0 ? 1 : probe.asked - Math.min(probe.nacks, probe.asked));
-        Entry target = probe.target;
+        health.worsen(probe.helpersAsked == 0 ? 1 : probe.helpersAsked - Math.min(probe.nacks,
+                probe.helpersAsked));
+        MemberEntry target = probe.target;
         if (target.member.state() == State.ALIVE && view.get(target.member.name()) == target) {
-            replace(target, target.member.in(State.SUSPECT), self.name(), true);
+            replace(target, target.member.withState(State.SUSPECT), self.name(), true);
         } else if (target.suspicion != null) {
             confirm(target, self.name());
         }
     }
 
-    private void acknowledged(Message message) {
+    private void handleAck(Message message) {
         Probe probe = probes.get(message.sequence());
         if (probe != null && probe.target.member.name().equals(message.target())) {
             probes.remove(message.sequence());
-            health.better();
+            health.improve();
         }
         Relay relay = relays.get(message.sequence());
         if (relay != null && relay.target().equals(message.target())) {
             relays.remove(message.sequence());
-            send(Message.Kind.ACK, relay.number(), relay.target(), null, relay.origin(), List.of());
+            send(Message.Kind.ACK, relay.originSequence(), relay.target(), null, relay.origin(), List.of());
         }
     }
 
-    private void relay(InetSocketAddress source, Message message) {
-        if (relays.size() >= MOST_RELAYS || message.target().equals(self.name())) {
+    private void relayPing(InetSocketAddress source, Message message) {
+        if (relays.size() >= MAX_RELAYS || message.target().equals(self.name())) {
             return;
         }
-        long its = ++number;
+        long sequence = ++lastSequence;
         Relay relay = new Relay(source, message.sequence(), message.target());
-        relays.put(its, relay);
-        send(Message.Kind.PING, its, message.target(), null, message.targetAddress(), List.of());
-        timers.at(now + settings.relayMs(), () -> {
-            if (relays.remove(its, relay)) {
-                send(Message.Kind.NACK, relay.number(), relay.target(), null, relay.origin(), List.of());
+        relays.put(sequence, relay);
+        send(Message.Kind.PING, sequence, message.target(), null, message.targetAddress(), List.of());
+        timers.schedule(now + settings.relayTimeoutMs(), () -> {
+            if (relays.remove(sequence, relay)) {
+                send(Message.Kind.NACK, relay.originSequence(), relay.target(), null, relay.origin(),
+                        List.of());
             }
         });
     }
 
     /** Answers a ping for this member; one that is for whoever had this address before gets none. */
-    private void answer(InetSocketAddress source, Message message) {
+    private void answerPing(InetSocketAddress source, Message message) {
         if (message.target().isEmpty() || message.target().equals(self.name())) {
             send(Message.Kind.ACK, message.sequence(), self.name(), null, source,
-                    contradicted(message.from()));
+                    correctionFor(message.from()));
         }
     }
 
     /** What overrides a member's own word, which it has to know. */
-    private List<MemberUpdate> contradicted(Member sender) {
-        Entry entry = view.get(sender.name());
+    private List<MemberUpdate> correctionFor(Member sender) {
+        MemberEntry entry = view.get(sender.name());
         return entry != null && entry.member.overrides(sender)
                 ? List.of(MemberUpdate.of(entry.member, self.name())) : List.of();
     }
 
-    private void tryFaulty() {
-        for (Entry entry : view.someFaulty(isolated ? TRIES_WHEN_ISOLATED : 1)) {
+    private void pingFaulty() {
+        for (MemberEntry entry : view.randomFaulty(isolated ? FAULTY_PINGS_WHEN_ISOLATED : 1)) {
             ping(entry);
         }
     }
 
     /** Asks for a word, and counts nothing if none comes. */
-    private void ping(Entry entry) {
-        send(Message.Kind.PING, ++number, entry.member.name(), null, entry);
-    }
-
-    private void trySeeds() {
-        timers.at(now + (view.present() == 0 ? settings.periodMs() : settings.seedsMs()), this::trySeeds);
-        for (int i = 0; i < Math.min(SEEDS_AT_A_TIME, seeds.size()); i++) {
-            InetSocketAddress at = seeds.get(seed++ % seeds.size());
-            boolean known = at.equals(self.address()) || view.present() > 0 && view.entries().stream()
-                    .anyMatch(entry -> entry.member.state().isPresent() && entry.member.address().equals(at));
+    private void ping(MemberEntry entry) {
+        send(Message.Kind.PING, ++lastSequence, entry.member.name(), null, entry);
+    }
+
+    private void pingSeeds() {
+        timers.schedule(now + (view.presentCount() == 0 ? settings.periodMs() : settings.seedRetryMs()),
+                this::pingSeeds);
+        for (int i = 0; i < Math.min(SEEDS_PER_ROUND, seeds.size()); i++) {
+            InetSocketAddress address = seeds.get(nextSeed++ % seeds.size());
+            boolean known = address.equals(self.address()) || view.presentCount() > 0
+                    && view.entries().stream()
+                    .anyMatch(entry -> entry.member.state().isPresent()
+                    && entry.member.address().equals(address));
             if (!known) {
-                send(Message.Kind.PING, ++number, "", null, at, List.of());
+                send(Message.Kind.PING, ++lastSequence, "", null, address, List.of());
             }
         }
     }
 
     // ---- News --------------------------------------------------------------------------------------
 
-    private void hear(InetSocketAddress source, Message message) {
+    private void processMessage(InetSocketAddress source, Message message) {
         Member sender = message.from();
-        boolean itself = source.equals(sender.address());
-        take(new MemberUpdate(sender, ""), itself);
-        Entry entry = view.get(sender.name());
-        if (entry != null && entry.member.instance() == sender.instance() && itself) {
-            entry.heardAt = now;
+        boolean firstHand = source.equals(sender.address());
+        applyUpdate(new MemberUpdate(sender, ""), firstHand);
+        MemberEntry entry = view.get(sender.name());
+        if (entry != null && entry.member.instance() == sender.instance() && firstHand) {
+            entry.lastHeardAt = now;
             entry.digest = message.digest();
             if (agrees(entry)) {
-                entry.agreedAt = now;
+                entry.lastAgreedAt = now;
             }
             if (message.notice() != null) {
                 actions.noticeReceived(entry.member, message.notice());
             }
         }
-        for (MemberUpdate item : message.updates()) {
-            if (!over) {
-                take(item, false);
+        for (MemberUpdate update : message.updates()) {
+            if (!ended) {
+                applyUpdate(update, false);
             }
         }
     }
 
     /** Takes something that is said of a member; {@code itself} if it says so, from where it says it is. */
-    private void take(MemberUpdate item, boolean itself) {
-        Member said = item.member();
-        if (said.name().equals(self.name())) {
-            ofThisMember(said);
+    private void applyUpdate(MemberUpdate update, boolean firstHand) {
+        Member reported = update.member();
+        if (reported.name().equals(self.name())) {
+            applyUpdateOfSelf(reported);
             return;
         }
-        Entry entry = view.get(said.name());
+        MemberEntry entry = view.get(reported.name());
         long known = entry == null ? 0 : entry.member.incarnation();
-        if (!itself && said.incarnation() - known > LARGEST_LEAP) {
-            refused++;
+        if (!firstHand && reported.incarnation() - known > MAX_INCARNATION_JUMP) {
+            refusedUpdates++;
         } else if (entry == null) {
-            meet(item);
-        } else if (said.state() == State.SUSPECT && entry.suspicion != null
-                && said.incarnation() == known) {
-            confirm(entry, item.suspectedBy());
-        } else if (said.overrides(entry.member)) {
-            boolean doubted = said.state() == State.FAULTY && entry.member.state() == State.ALIVE
-                    && now - entry.heardAt < settings.periodMs();
-            replace(entry, doubted ? said.in(State.SUSPECT) : said, item.suspectedBy(), true);
+            addMember(update);
+        } else if (reported.state() == State.SUSPECT && entry.suspicion != null
+                && reported.incarnation() == known) {
+            confirm(entry, update.suspectedBy());
+        } else if (reported.overrides(entry.member)) {
+            boolean doubted = reported.state() == State.FAULTY && entry.member.state() == State.ALIVE
+                    && now - entry.lastHeardAt < settings.periodMs();
+            replace(entry, doubted ? reported.withState(State.SUSPECT) : reported, update.suspectedBy(),
+                    true);
         }
     }
 
-    private void meet(MemberUpdate item) {
-        Member said = item.member();
-        if (!said.state().isPresent()) {
+    private void addMember(MemberUpdate update) {
+        Member reported = update.member();
+        if (!reported.state().isPresent()) {
             return;
         }
         if (view.size() >= settings.maxMembers()) {
-            refused++;
+            refusedUpdates++;
             return;
         }
-        Entry entry = view.add(said, now);
-        changed(null, entry, item.suspectedBy(), true);
+        MemberEntry entry = view.add(reported, now);
+        stateChanged(null, entry, update.suspectedBy(), true);
     }
 
     /** Puts a member into another state, and tells of it. */
-    private void replace(Entry entry, Member member, String by, boolean tell) {
+    private void replace(MemberEntry entry, Member member, String suspectedBy, boolean gossip) {
         Member before = entry.member;
         view.replace(entry, member, now);
-        changed(before, entry, by, tell);
+        stateChanged(before, entry, suspectedBy, gossip);
     }
 
-    private void changed(Member before, Entry entry, String by, boolean tell) {
+    private void stateChanged(Member before, MemberEntry entry, String suspectedBy, boolean gossip) {
         boolean important = before == null
                 || before.state().isPresent() != entry.member.state().isPresent();
         if (important) {
-            changedAt = now;
+            lastChangeAt = now;
         }
         if (entry.member.state() == State.SUSPECT) {
-            suspected(entry, by);
+            startSuspicion(entry, suspectedBy);
         }
-        lookWhetherIsolated();
-        if (tell) {
-            tell(MemberUpdate.of(entry.member, by), important);
+        updateIsolation();
+        if (gossip) {
+            enqueue(MemberUpdate.of(entry.member, suspectedBy), important);
         }
         actions.memberChanged(before, entry.member);
     }
 
-    private void tell(MemberUpdate item, boolean important) {
-        news.add(item, important);
-        gossipSoon();
+    private void enqueue(MemberUpdate update, boolean important) {
+        gossipQueue.add(update, important);
+        scheduleGossip();
     }
 
-    private void gossipSoon() {
-        if (!gossiping) {
-            gossiping = true;
-            timers.at(now + settings.gossipMs() * random.nextDouble(), this::gossip);
+    private void scheduleGossip() {
+        if (!gossipScheduled) {
+            gossipScheduled = true;
+            timers.schedule(now + settings.gossipIntervalMs() * random.nextDouble(), this::gossip);
         }
     }
 
     private void gossip() {
-        boolean owed = noticeRounds > 0;
-        gossiping = news.size() > 0 || owed;
-        if (gossiping) {
-            noticeRounds = Math.max(0, noticeRounds - 1);
-            timers.at(now + settings.gossipMs(), this::gossip);
-            for (Entry entry : view.some(Settings.FAN_OUT, null)) {
-                if (news.size() > 0 || owed) {
+        boolean sendState = noticeRoundsLeft > 0;
+        gossipScheduled = gossipQueue.size() > 0 || sendState;
+        if (gossipScheduled) {
+            noticeRoundsLeft = Math.max(0, noticeRoundsLeft - 1);
+            timers.schedule(now + settings.gossipIntervalMs(), this::gossip);
+            for (MemberEntry entry : view.randomPresent(Settings.FAN_OUT, null)) {
+                if (gossipQueue.size() > 0 || sendState) {
                     send(Message.Kind.NEWS, 0, "", null, entry);
                 }
             }
         }
     }
 
-    private void suspected(Entry entry, String by) {
-        int members = view.present() + 1;
-        int wanted = settings.lifeguard() ? Math.max(0, Math.min(Settings.CONFIRMATIONS, members - 2)) : 0;
-        entry.suspicion = new Suspicion(now, settings.leastSuspicionMs(members),
-                settings.longestSuspicionMs(members), wanted, by);
-        watch(entry);
+    private void startSuspicion(MemberEntry entry, String suspectedBy) {
+        int members = view.presentCount() + 1;
+        int confirmationsWanted = settings.lifeguard() ? Math.max(0, Math.min(Settings.CONFIRMATIONS,
+                members - 2)) : 0;
+        entry.suspicion = new Suspicion(now, settings.minSuspicionMs(members),
+                settings.maxSuspicionMs(members), confirmationsWanted, suspectedBy);
+        scheduleDeadline(entry);
         if (settings.lifeguard()) {
-            remind(entry, entry.suspicion);
+            scheduleReminder(entry, entry.suspicion);
         }
         // If the member is dead indeed, a few second opinions make that certain soon.
-        if (wanted > 0 && !by.equals(self.name()) && news.size() < MUCH_NEWS
-                && random.nextDouble() * members < Settings.SECOND_OPINIONS) {
+        if (confirmationsWanted > 0 && !suspectedBy.equals(self.name()) && gossipQueue.size() < LONG_QUEUE
+                && random.nextDouble() * members < Settings.CONFIRMING_PROBES) {
             probe(entry);
         }
     }
 
     /** Asks who is suspected for its last word, as what it said to others may not have come here. */
-    private void remind(Entry entry, Suspicion suspicion) {
-        timers.at(now + settings.periodMs(), () -> {
+    private void scheduleReminder(MemberEntry entry, Suspicion suspicion) {
+        timers.schedule(now + settings.periodMs(), () -> {
             if (entry.suspicion == suspicion) {
-                if (reminders++ < MOST_REMINDERS) {
+                if (remindersSent++ < MAX_REMINDERS_PER_PERIOD) {
                     ping(entry);
                 }
-                remind(entry, suspicion);
+                scheduleReminder(entry, suspicion);
             }
         });
     }
 
-    private void watch(Entry entry) {
+    private void scheduleDeadline(MemberEntry entry) {
         Suspicion suspicion = entry.suspicion;
-        timers.at(Math.max(now, suspicion.deadline()), () -> {
-            if (entry.suspicion == suspicion && now >= suspicion.deadline() - SAME_MS) {
-                declared++;
+        timers.schedule(Math.max(now, suspicion.deadline()), () -> {
+            if (entry.suspicion == suspicion && now >= suspicion.deadline() - TIME_TOLERANCE_MS) {
+                declaredFaulty++;
                 boolean trusts = !isolated;
-                replace(entry, entry.member.in(State.FAULTY), "", trusts);
+                replace(entry, entry.member.withState(State.FAULTY), "", trusts);
             }
         });
     }
 
-    private void confirm(Entry entry, String by) {
-        if (entry.suspicion.confirm(by)) {
-            watch(entry);
-            tell(new MemberUpdate(entry.member, by), false);
+    private void confirm(MemberEntry entry, String suspectedBy) {
+        if (entry.suspicion.confirm(suspectedBy)) {
+            scheduleDeadline(entry);
+            enqueue(new MemberUpdate(entry.member, suspectedBy), false);
         }
     }
 
     /** Something is said of this member, or of another process that has its name. */
-    private void ofThisMember(Member said) {
-        if (said.incarnation() - self.incarnation() > LARGEST_LEAP
-                || said.incarnation() == Member.MAX_INCARNATION) {
-            refused++;
+    private void applyUpdateOfSelf(Member reported) {
+        if (reported.incarnation() - self.incarnation() > MAX_INCARNATION_JUMP
+                || reported.incarnation() == Member.MAX_INCARNATION) {
+            refusedUpdates++;
             return;
         }
-        if (!said.overrides(self)) {
+        if (!reported.overrides(self)) {
             return;
         }
-        boolean gone = !said.state().isPresent() || said.address().equals(self.address());
-        if (said.instance() == self.instance() || gone || now - begunAt < settings.joinMs()) {
-            if (said.instance() == self.instance()) {
-                health.worse(1);
+        boolean expired = !reported.state().isPresent() || reported.address().equals(self.address());
+        if (reported.instance() == self.instance() || expired || now - startedAt < settings.joinWindowMs()) {
+            if (reported.instance() == self.instance()) {
+                health.worsen(1);
             }
-            self = self.reborn(said.incarnation() + 1);
-            tell(new MemberUpdate(self, ""), !said.state().isPresent() || said.instance() != self.instance());
+            self = self.aliveWithIncarnation(reported.incarnation() + 1);
+            enqueue(new MemberUpdate(self, ""), !reported.state().isPresent()
+                    || reported.instance() != self.instance());
         } else {
             stop();
-            actions.superseded(said);
+            actions.superseded(reported);
         }
     }
 
     // ---- The whole ---------------------------------------------------------------------------------
 
-    private boolean wantsSync(boolean wasAlone) {
-        return now - syncedAt >= settings.syncMs()
-                && (wasAlone || news.size() >= MUCH_NEWS || now - changedAt >= settings.settleMs()
-                || now - syncedAt >= settings.joinMs());
+    private boolean isSyncDue(boolean wasAlone) {
+        return now - lastSyncAt >= settings.minSyncIntervalMs()
+                && (wasAlone || gossipQueue.size() >= LONG_QUEUE || now - lastChangeAt >= settings.settleMs()
+                || now - lastSyncAt >= settings.joinWindowMs());
     }
 
-    private void lookWhetherIsolated() {
-        int reached = view.present() + 1;
+    private void updateIsolation() {
+        int presentMembers = view.presentCount() + 1;
         // Who is cut off need not find that out member by member.
-        boolean cutOff = view.present() > 0 && now - heardAt > settings.silenceMs();
-        boolean is = cutOff || 2 * reached < reached + view.faulty();
-        if (is != isolated) {
-            isolated = is;
-            actions.isolationChanged(is);
+        boolean cutOff = view.presentCount() > 0 && now - lastHeardAt > settings.silenceTimeoutMs();
+        boolean isNowIsolated = cutOff || 2 * presentMembers < presentMembers + view.faultyCount();
+        if (isNowIsolated != isolated) {
+            isolated = isNowIsolated;
+            actions.isolationChanged(isNowIsolated);
         }
     }
 
-    private void sweep() {
-        List<Entry> gone = view.entries().stream().filter(entry -> !entry.member.state().isPresent()
-                && now - entry.since >= settings.forgetMs()).toList();
-        for (Entry entry : gone) {
+    private void forgetOldMembers() {
+        List<MemberEntry> expired = view.entries().stream().filter(entry -> !entry.member.state().isPresent()
+                && now - entry.stateSince >= settings.forgetMs()).toList();
+        for (MemberEntry entry : expired) {
             view.forget(entry);
             actions.memberChanged(entry.member, null);
         }
-        lookWhetherIsolated();
+        updateIsolation();
     }
 
-    private void send(Message.Kind kind, long its, String to, InetSocketAddress at, Entry entry) {
+    private void send(Message.Kind kind, long sequence, String target, InetSocketAddress address,
+            MemberEntry entry) {
         Member member = entry.member;
         // Whoever is suspected hears of it first, and can contradict.
-        boolean owed = member.state() == State.FAULTY
+        boolean sendState = member.state() == State.FAULTY
                 || settings.lifeguard() && member.state() == State.SUSPECT;
-        send(kind, its, to, at, member.address(), owed && member.incarnation() > 0
+        send(kind, sequence, target, address, member.address(), sendState && member.incarnation() > 0
                 ? List.of(MemberUpdate.of(member, self.name())) : List.of());
     }
 
-    private void send(Message.Kind kind, long its, String to, InetSocketAddress at,
-            InetSocketAddress address, List<MemberUpdate> first) {
-        int left = Codec.LARGEST - Codec.headSize(fleet, to, self) - Codec.size(notice);
-        for (MemberUpdate item : first) {
-            left -= Codec.size(item);
+    private void send(Message.Kind kind, long sequence, String target, InetSocketAddress address,
+            InetSocketAddress receiver, List<MemberUpdate> priorityUpdates) {
+        int remainingBytes = Codec.MAX_DATAGRAM_BYTES - Codec.headerSize(fleet, target,
+                self) - Codec.encodedSize(notice);
+        for (MemberUpdate update : priorityUpdates) {
+            remainingBytes -= Codec.encodedSize(update);
         }
-        List<MemberUpdate> all = new ArrayList<>(first);
-        all.addAll(news.take(left, view.present() + 1));
-        actions.send(address, new Message(kind, its, to, at, self, digest(), List.copyOf(all),
+        List<MemberUpdate> all = new ArrayList<>(priorityUpdates);
+        all.addAll(gossipQueue.take(remainingBytes, view.presentCount() + 1));
+        actions.send(receiver, new Message(kind, sequence, target, address, self, digest(), List.copyOf(all),
                 notice));
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/Message.java
+++ b/src/main/java/cranedeal/fleet/membership/Message.java
@@ -20,9 +20,10 @@
         List<MemberUpdate> updates, VersionNotice notice) {
 
     /** A message that says nothing of any configuration. */
-    public Message(Kind kind, long number, String to, InetSocketAddress at, Member from, long digest,
-            List<MemberUpdate> news) {
-        this(kind, number, to, at, from, digest, news, null);
+    public Message(Kind kind, long sequence, String target, InetSocketAddress targetAddress, Member from,
+            long digest,
+            List<MemberUpdate> updates) {
+        this(kind, sequence, target, targetAddress, from, digest, updates, null);
     }
 
     /** How many bytes it takes, in a fleet of that name. */
--- a/src/main/java/cranedeal/fleet/membership/Settings.java
+++ b/src/main/java/cranedeal/fleet/membership/Settings.java
@@ -18,22 +18,22 @@
     public static final Settings DEFAULTS = new Settings(1_000, 24 * 3_600_000.0, 10_000, true, true);
 
     /** Through how many others a member is probed that does not answer. */
-    static final int OTHERS = 3;
+    static final int INDIRECT_PROBES = 3;
     /** How many independent confirmations shorten a suspicion to its least. */
     static final int CONFIRMATIONS = 3;
     /** To how many members news is sent at a time. */
     static final int FAN_OUT = 3;
     /** How many second opinions are wanted of a suspicion that is new. */
-    static final double SECOND_OPINIONS = 2.0 * CONFIRMATIONS;
+    static final double CONFIRMING_PROBES = 2.0 * CONFIRMATIONS;
     /**
      * News is sent so many times the decimal logarithm of the number of members: who is there has to reach
      * everybody; a suspicion and what contradicts it may miss one, who then asks the suspect itself.
      */
-    private static final double SENDS = 3;
-    private static final double SENDS_OF_SUSPICION = 2;
+    private static final double SENDS_FACTOR = 3;
+    private static final double SUSPICION_SENDS_FACTOR = 2;
     /** The least time of a suspicion, in periods, times that logarithm; it is never less than a period. */
-    private static final double LEAST_SUSPICION = 0.5;
-    private static final double LONGEST_SUSPICION = 5;
+    private static final double MIN_SUSPICION_FACTOR = 0.5;
+    private static final double MAX_SUSPICION_FACTOR = 5;
 
     /** Throws {@link IllegalArgumentException} for what no member can go by. */
     public Settings {
@@ -44,42 +44,42 @@
     }
 
     /** Until when an answer is awaited before others are asked. */
-    double directMs() {
+    double directTimeoutMs() {
         return 0.25 * periodMs;
     }
 
     /** Until when those whom a probe asks have to answer. */
-    double relayMs() {
+    double relayTimeoutMs() {
         return 0.3 * periodMs;
     }
 
     /** When a probe without an answer has failed. */
-    double wholeMs() {
+    double probeTimeoutMs() {
         return 0.7 * periodMs;
     }
 
     /** How often news goes out while there is any. */
-    double gossipMs() {
+    double gossipIntervalMs() {
         return 0.1 * periodMs;
     }
 
     /** How often faulty members are tried. */
-    double retryMs() {
+    double faultyRetryMs() {
         return 2 * periodMs;
     }
 
     /** How often seeds are tried that are no members, by one that has found others. */
-    double seedsMs() {
+    double seedRetryMs() {
         return 30 * periodMs;
     }
 
     /** How long a new process may take over its name from another address. */
-    double joinMs() {
+    double joinWindowMs() {
         return 10 * periodMs;
     }
 
     /** The least time between two full exchanges that this member begins. */
-    double syncMs() {
+    double minSyncIntervalMs() {
         return 0.5 * periodMs;
     }
 
@@ -89,18 +89,19 @@
     }
 
     /** Who hears nobody for so long is cut off, and need not find that out one by one. */
-    double silenceMs() {
+    double silenceTimeoutMs() {
         return 10 * periodMs;
     }
 
     /** A timer that is so late tells that the process was stopped. */
-    double lateMs() {
+    double pauseThresholdMs() {
         return 0.2 * periodMs;
     }
 
     /** How often news is sent on, in a fleet of {@code members}. */
-    static int sends(int members, boolean important) {
-        return (int) Math.ceil((important ? SENDS : SENDS_OF_SUSPICION) * Math.log10(members + 1.0));
+    static int maxSends(int members, boolean important) {
+        return (int) Math.ceil((important ? SENDS_FACTOR
+                : SUSPICION_SENDS_FACTOR) * Math.log10(members + 1.0));
     }
 
     /** In how many rounds of news a member tells of a version of the configuration that it has now. */
@@ -109,12 +110,12 @@
     }
 
     /** How long a suspicion lasts at least. */
-    double leastSuspicionMs(int members) {
-        return periodMs * Math.max(1, LEAST_SUSPICION * Math.log10(members));
+    double minSuspicionMs(int members) {
+        return periodMs * Math.max(1, MIN_SUSPICION_FACTOR * Math.log10(members));
     }
 
     /** How long a suspicion lasts that nobody else shares. */
-    double longestSuspicionMs(int members) {
-        return (lifeguard ? LONGEST_SUSPICION : 1) * leastSuspicionMs(members);
+    double maxSuspicionMs(int members) {
+        return (lifeguard ? MAX_SUSPICION_FACTOR : 1) * minSuspicionMs(members);
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/State.java
+++ b/src/main/java/cranedeal/fleet/membership/State.java
@@ -14,7 +14,7 @@
     LEFT;
 
     /** The word for it in logs and views. */
-    String word() {
+    String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/cranedeal/fleet/membership/Suspicion.java
+++ b/src/main/java/cranedeal/fleet/membership/Suspicion.java
@@ -9,36 +9,37 @@
  */
 final class Suspicion {
 
-    private final double begunAt;
-    private final double leastMs;
-    private final double longestMs;
-    private final int wanted;
-    private final Set<String> by = new LinkedHashSet<>();
+    private final double startedAt;
+    private final double minMs;
+    private final double maxMs;
+    private final int confirmationsWanted;
+    private final Set<String> suspectedBy = new LinkedHashSet<>();
 
     /**
      * A suspicion that one member has.
      *
-     * @param wanted how many confirmations shorten it to its least; 0 if nobody else could give one
+     * @param confirmationsWanted the confirmations that shorten the timeout to its minimum; 0 if no
+     *     other member could give one
      */
-    Suspicion(double begunAt, double leastMs, double longestMs, int wanted, String by) {
-        this.begunAt = begunAt;
-        this.leastMs = leastMs;
-        this.longestMs = longestMs;
-        this.wanted = wanted;
-        this.by.add(by);
+    Suspicion(double startedAt, double minMs, double maxMs, int confirmationsWanted, String suspectedBy) {
+        this.startedAt = startedAt;
+        this.minMs = minMs;
+        this.maxMs = maxMs;
+        this.confirmationsWanted = confirmationsWanted;
+        this.suspectedBy.add(suspectedBy);
     }
 
     /** Whether this is a confirmation that counts. */
     boolean confirm(String name) {
-        return by.size() <= wanted && by.add(name);
+        return suspectedBy.size() <= confirmationsWanted && suspectedBy.add(name);
     }
 
     /** When the member is taken for dead. */
     double deadline() {
-        if (wanted == 0) {
-            return begunAt + leastMs;
+        if (confirmationsWanted == 0) {
+            return startedAt + minMs;
         }
-        double share = Math.log(by.size()) / Math.log(wanted + 1.0);
-        return begunAt + Math.max(leastMs, longestMs - (longestMs - leastMs) * share);
+        double share = Math.log(suspectedBy.size()) / Math.log(confirmationsWanted + 1.0);
+        return startedAt + Math.max(minMs, maxMs - (maxMs - minMs) * share);
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/Timers.java
+++ b/src/main/java/cranedeal/fleet/membership/Timers.java
@@ -6,24 +6,24 @@
 /** What is to be done at some time. */
 final class Timers {
 
-    private record Timer(double due, long number, Runnable task) { }
+    private record Timer(double due, long sequence, Runnable task) { }
 
     private final PriorityQueue<Timer> queue = new PriorityQueue<>(
-            Comparator.comparingDouble(Timer::due).thenComparingLong(Timer::number));
-    private long count;
+            Comparator.comparingDouble(Timer::due).thenComparingLong(Timer::sequence));
+    private long nextSequence;
 
-    void at(double due, Runnable task) {
-        queue.add(new Timer(due, count++, task));
+    void schedule(double due, Runnable task) {
+        queue.add(new Timer(due, nextSequence++, task));
     }
 
     /** When the next one is due; infinite if there is none. */
-    double next() {
+    double nextDue() {
         return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().due();
     }
 
     /** Does one thing that is due; whether there was any. */
-    boolean runOne(double now) {
-        if (next() > now) {
+    boolean runNextDue(double now) {
+        if (nextDue() > now) {
             return false;
         }
         queue.poll().task().run();
--- a/src/main/java/cranedeal/fleet/membership/View.java
+++ b/src/main/java/cranedeal/fleet/membership/View.java
@@ -14,12 +14,12 @@
 final class View {
 
     private final RandomGenerator random;
-    private final Map<String, Entry> entries = new HashMap<>();
+    private final Map<String, MemberEntry> entries = new HashMap<>();
     /** The members that are present, in the order in which they are probed. */
-    private final List<Entry> ring = new ArrayList<>();
-    private final List<Entry> faulty = new ArrayList<>();
+    private final List<MemberEntry> probeRing = new ArrayList<>();
+    private final List<MemberEntry> faulty = new ArrayList<>();
     /** The place in the ring of the next to be probed. */
-    private int next;
+    private int nextProbeIndex;
     private int suspects;
     private long digest;
 
@@ -27,11 +27,11 @@
         this.random = random;
     }
 
-    Entry get(String name) {
+    MemberEntry get(String name) {
         return entries.get(name);
     }
 
-    Collection<Entry> entries() {
+    Collection<MemberEntry> entries() {
         return Collections.unmodifiableCollection(entries.values());
     }
 
@@ -39,15 +39,15 @@
         return entries.size();
     }
 
-    int present() {
-        return ring.size();
+    int presentCount() {
+        return probeRing.size();
     }
 
-    int faulty() {
+    int faultyCount() {
         return faulty.size();
     }
 
-    int suspects() {
+    int suspectCount() {
         return suspects;
     }
 
@@ -56,76 +56,77 @@
         return digest;
     }
 
-    Entry add(Member member, double now) {
-        Entry entry = new Entry(member, now);
+    MemberEntry add(Member member, double now) {
+        MemberEntry entry = new MemberEntry(member, now);
         entries.put(member.name(), entry);
-        enter(entry);
+        addToLists(entry);
         return entry;
     }
 
-    void replace(Entry entry, Member member, double now) {
-        boolean stays = entry.member.state().isPresent() && member.state().isPresent();
-        if (!stays) {
-            leave(entry);
+    void replace(MemberEntry entry, Member member, double now) {
+        boolean staysPresent = entry.member.state().isPresent() && member.state().isPresent();
+        if (!staysPresent) {
+            removeFromLists(entry);
         } else {
-            count(entry, -1);
+            updateTotals(entry, -1);
         }
         if (entry.member.state() != member.state()) {
-            entry.since = now;
+            entry.stateSince = now;
         }
         entry.member = member;
         entry.suspicion = null;
-        if (!stays) {
-            enter(entry);
+        if (!staysPresent) {
+            addToLists(entry);
         } else {
-            count(entry, 1);
+            updateTotals(entry, 1);
         }
     }
 
-    void forget(Entry entry) {
-        leave(entry);
+    void forget(MemberEntry entry) {
+        removeFromLists(entry);
         entries.remove(entry.member.name());
     }
 
-    private void count(Entry entry, int by) {
-        digest += by * entry.member.fingerprint();
+    private void updateTotals(MemberEntry entry, int delta) {
+        digest += delta * entry.member.fingerprint();
         if (entry.member.state() == State.SUSPECT) {
-            suspects += by;
+            suspects += delta;
         }
     }
 
-    private void enter(Entry entry) {
+    private void addToLists(MemberEntry entry) {
         if (entry.member.state().isPresent()) {
-            count(entry, 1);
-            put(ring, ring.size(), entry);
+            updateTotals(entry, 1);
+            put(probeRing, probeRing.size(), entry);
             // Among those that are still to be probed in this turn, at any place.
-            swap(ring, entry.index, next + random.nextInt(ring.size() - next));
+            swap(probeRing, entry.listIndex,
+                    nextProbeIndex + random.nextInt(probeRing.size() - nextProbeIndex));
         } else if (entry.member.state() == State.FAULTY) {
             put(faulty, faulty.size(), entry);
         }
     }
 
-    private void leave(Entry entry) {
+    private void removeFromLists(MemberEntry entry) {
         if (entry.member.state().isPresent()) {
-            count(entry, -1);
-            if (entry.index < next) {
+            updateTotals(entry, -1);
+            if (entry.listIndex < nextProbeIndex) {
                 // Those that were probed in this turn stay before those that were not.
-                next--;
-                swap(ring, entry.index, next);
+                nextProbeIndex--;
+                swap(probeRing, entry.listIndex, nextProbeIndex);
             }
-            removeLast(ring, entry);
+            removeLast(probeRing, entry);
         } else if (entry.member.state() == State.FAULTY) {
             removeLast(faulty, entry);
         }
     }
 
-    private static void removeLast(List<Entry> list, Entry entry) {
-        swap(list, entry.index, list.size() - 1);
+    private static void removeLast(List<MemberEntry> list, MemberEntry entry) {
+        swap(list, entry.listIndex, list.size() - 1);
         list.remove(list.size() - 1);
     }
 
-    private static void put(List<Entry> list, int index, Entry entry) {
-        entry.index = index;
+    private static void put(List<MemberEntry> list, int index, MemberEntry entry) {
+        entry.listIndex = index;
         if (index == list.size()) {
             list.add(entry);
         } else {
@@ -133,44 +134,44 @@
         }
     }
 
-    private static void swap(List<Entry> list, int one, int other) {
-        Entry moved = list.get(one);
-        put(list, one, list.get(other));
-        put(list, other, moved);
+    private static void swap(List<MemberEntry> list, int first, int second) {
+        MemberEntry moved = list.get(first);
+        put(list, first, list.get(second));
+        put(list, second, moved);
     }
 
     /** The next to be probed: each once in a turn, in an order that is drawn for each turn; null for none. */
-    Entry nextInRing() {
-        if (next >= ring.size()) {
-            next = 0;
-            for (int i = ring.size() - 1; i > 0; i--) {
-                swap(ring, i, random.nextInt(i + 1));
+    MemberEntry nextToProbe() {
+        if (nextProbeIndex >= probeRing.size()) {
+            nextProbeIndex = 0;
+            for (int i = probeRing.size() - 1; i > 0; i--) {
+                swap(probeRing, i, random.nextInt(i + 1));
             }
         }
-        return ring.isEmpty() ? null : ring.get(next++);
+        return probeRing.isEmpty() ? null : probeRing.get(nextProbeIndex++);
     }
 
     /** Up to so many members that are present, at random, without one. */
-    Collection<Entry> some(int count, Entry but) {
-        if (ring.size() <= count + 1) {
-            return ring.stream().filter(entry -> entry != but).limit(count).toList();
+    Collection<MemberEntry> randomPresent(int count, MemberEntry excluded) {
+        if (probeRing.size() <= count + 1) {
+            return probeRing.stream().filter(entry -> entry != excluded).limit(count).toList();
         }
-        Set<Entry> some = new LinkedHashSet<>();
-        while (some.size() < count) {
-            Entry entry = ring.get(random.nextInt(ring.size()));
-            if (entry != but) {
-                some.add(entry);
+        Set<MemberEntry> selected = new LinkedHashSet<>();
+        while (selected.size() < count) {
+            MemberEntry entry = probeRing.get(random.nextInt(probeRing.size()));
+            if (entry != excluded) {
+                selected.add(entry);
             }
         }
-        return some;
+        return selected;
     }
 
     /** Up to so many faulty members, at random. */
-    Set<Entry> someFaulty(int count) {
-        Set<Entry> some = new LinkedHashSet<>();
+    Set<MemberEntry> randomFaulty(int count) {
+        Set<MemberEntry> selected = new LinkedHashSet<>();
         for (int i = 0; i < count && !faulty.isEmpty(); i++) {
-            some.add(faulty.get(random.nextInt(faulty.size())));
+            selected.add(faulty.get(random.nextInt(faulty.size())));
         }
-        return some;
+        return selected;
     }
 }
--- a/src/test/java/cranedeal/fleet/config/ConfigDocumentTest.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigDocumentTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void sectionsAreOneFormOfTheirBytesHoweverTheyAreWritten() throws Exception {
+    void equalSectionsHaveEqualBytesRegardlessOfWhitespace() throws Exception {
         SortedMap<String, byte[]> sections = parse(GOOD);
         assertEquals(java.util.Set.of("front", "back"), sections.keySet());
         assertEquals("{\"settings\":{\"limits\":{\"attemptsCap\":3}},\"discovery\":\"127.0.0.1:9000\"}",
@@ -58,15 +58,15 @@
         "\"back\": {}|\"front\": {}|line 8, column",
         "\"back\": {}|\"back\": {|column",
         "3}},|3}|line 6, column"})
-    void whatIsWrongIsToldByLineAndKey(String from, String to, String told) {
+    void errorNamesLineAndKey(String from, String to, String expectedMessage) {
         String bad = GOOD.replace(from, to == null ? "" : to);
         assertTrue(!bad.equals(GOOD));
         Exception e = assertThrows(ConfigDocument.BadDocumentException.class, () -> parse(bad));
-        assertTrue(e.getMessage().contains(told), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
-    void itIsBounded() {
+    void oversizedOrEmptyDocumentIsRejected() {
         String large = GOOD.replace("\"back\": {}", "\"back\": {\"settings\": {\"is\": \""
                 + "x".repeat(ConfigDocument.MAX_SECTION_BYTES) + "\"}}");
         Exception e = assertThrows(ConfigDocument.BadDocumentException.class, () -> parse(large));
--- a/src/test/java/cranedeal/fleet/config/ConfigLogTest.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigLogTest.java
@@ -25,31 +25,34 @@
         private int times;
 
         @Override
-        public void done(Result its, VersionId version, String reason) {
-            result = its;
+        public void done(Result newResult, VersionId version, String reason) {
+            result = newResult;
             id = version;
             why = reason;
             times++;
         }
     }
 
-    private static Outcome takeOver(Coordinators world, Coordinators.Node node) {
+    private static Outcome takeOver(CoordinatorSimulation simulation, CoordinatorSimulation.Node node) {
         Outcome outcome = new Outcome();
-        world.run(node, () -> node.log.takeOver(world.now, outcome));
+        simulation.run(node, () -> node.log.takeOver(simulation.now, outcome));
         return outcome;
     }
 
-    private static Outcome publish(Coordinators world, Coordinators.Node node, String operation) {
+    private static Outcome publish(CoordinatorSimulation simulation, CoordinatorSimulation.Node node,
+            String operation) {
         Outcome outcome = new Outcome();
-        world.run(node, () -> node.log.publish(world.now, operation, "me", 1, "", Coordinators.document(
+        simulation.run(node, () -> node.log.publish(simulation.now, operation, "me", 1, "",
+                CoordinatorSimulation.document(
                 operation), outcome));
         return outcome;
     }
 
-    private static Outcome rollback(Coordinators world, Coordinators.Node node, long number,
+    private static Outcome rollback(CoordinatorSimulation simulation, CoordinatorSimulation.Node node,
+            long number,
             String operation) {
         Outcome outcome = new Outcome();
-        world.run(node, () -> node.log.rollback(world.now, number, operation, "me", 1, outcome));
+        simulation.run(node, () -> node.log.rollback(simulation.now, number, operation, "me", 1, outcome));
         return outcome;
     }
 
@@ -58,280 +61,285 @@
     }
 
     private static String text(String operation) {
-        return new String(Coordinators.document(operation).get("front"), StandardCharsets.UTF_8);
+        return new String(CoordinatorSimulation.document(operation).get("front"), StandardCharsets.UTF_8);
     }
 
-    private static void assertAllHave(Coordinators world, String operation) {
-        for (Coordinators.Node node : world.all()) {
+    private static void assertCurrentOnAll(CoordinatorSimulation simulation, String operation) {
+        for (CoordinatorSimulation.Node node : simulation.all()) {
             assertEquals(text(operation), text(node.log.current()), node.name);
-            assertEquals(world.all().get(0).log.current().id(), node.log.current().id());
+            assertEquals(simulation.all().get(0).log.current().id(), node.log.current().id());
         }
     }
 
     @Test
-    void aChangeNeedsALeaderAndIsOnceOnAllThoughItIsRepeated() {
-        Coordinators world = new Coordinators(3, 1);
-        Outcome none = publish(world, world.all().get(0), "a");
-        world.pass(100);
+    void repeatedChangeIsPublishedOnceAndOnlyByLeader() {
+        CoordinatorSimulation simulation = new CoordinatorSimulation(3, 1);
+        Outcome none = publish(simulation, simulation.all().get(0), "a");
+        simulation.runFor(100);
         assertEquals(Result.NOT_LEADER, none.result);
         assertTrue(none.why.contains("no coordinator leads"), none.why);
 
-        Outcome led = takeOver(world, world.all().get(0));
-        world.pass(5_000);
-        assertEquals(Result.DONE, led.result);
-        Outcome first = publish(world, world.all().get(0), "a");
-        Outcome again = publish(world, world.all().get(0), "a");
-        world.pass(5_000);
-        Outcome later = publish(world, world.all().get(0), "a");
-        world.pass(5_000);
+        Outcome takenOver = takeOver(simulation, simulation.all().get(0));
+        simulation.runFor(5_000);
+        assertEquals(Result.DONE, takenOver.result);
+        Outcome first = publish(simulation, simulation.all().get(0), "a");
+        Outcome again = publish(simulation, simulation.all().get(0), "a");
+        simulation.runFor(5_000);
+        Outcome later = publish(simulation, simulation.all().get(0), "a");
+        simulation.runFor(5_000);
         assertEquals(new VersionId(1, 1), first.id);
         assertEquals(first.id, again.id);
         assertEquals(first.id, later.id);
         assertEquals(1, first.times + again.times - 1);
-        assertAllHave(world, "a");
-        Outcome elsewhere = publish(world, world.all().get(1), "b");
-        world.pass(100);
+        assertCurrentOnAll(simulation, "a");
+        Outcome elsewhere = publish(simulation, simulation.all().get(1), "b");
+        simulation.runFor(100);
         assertEquals(Result.NOT_LEADER, elsewhere.result);
         assertTrue(elsewhere.why.contains("c0 leads with epoch 1"), elsewhere.why);
     }
 
     @Test
-    void aRollbackIsANewVersionAndOneThatIsNotKeptIsRefused() {
-        Coordinators world = new Coordinators(3, 2);
-        Coordinators.Node leader = world.all().get(0);
-        takeOver(world, leader);
-        world.pass(5_000);
-        publish(world, leader, "a");
-        publish(world, leader, "b");
+    void rollbackCreatesNewVersionAndUnknownVersionIsRefused() {
+        CoordinatorSimulation simulation = new CoordinatorSimulation(3, 2);
+        CoordinatorSimulation.Node leader = simulation.all().get(0);
+        takeOver(simulation, leader);
+        simulation.runFor(5_000);
+        publish(simulation, leader, "a");
+        publish(simulation, leader, "b");
         // Asked for while its change is still on its way.
-        Outcome back = rollback(world, leader, 1, "back");
-        world.pass(20_000);
+        Outcome back = rollback(simulation, leader, 1, "back");
+        simulation.runFor(20_000);
         assertEquals(Result.REFUSED, back.result, "1 was not committed by then: " + back.why);
-        back = rollback(world, leader, 1, "back");
-        Outcome missing = rollback(world, leader, 77, "missing");
-        world.pass(5_000);
+        back = rollback(simulation, leader, 1, "back");
+        Outcome missing = rollback(simulation, leader, 77, "missing");
+        simulation.runFor(5_000);
         assertEquals(new VersionId(1, 3), back.id);
         assertEquals(Result.REFUSED, missing.result);
         assertTrue(missing.why.contains("77 is not kept"), missing.why);
-        assertAllHave(world, "a");
+        assertCurrentOnAll(simulation, "a");
     }
 
     @Test
-    void withoutAMajorityNothingIsAnsweredAndOfTwoLeadersTheLowerEpochLosesVisibly() {
-        Coordinators world = new Coordinators(3, 3);
-        Coordinators.Node old = world.all().get(0);
-        takeOver(world, old);
-        world.pass(5_000);
-        publish(world, old, "a");
-        world.pass(5_000);
-        world.open = (from, to) -> !from.equals("c0") && !to.equals("c0");
-        Outcome lonely = publish(world, old, "lonely");
-        Outcome led = takeOver(world, world.all().get(1));
-        world.pass(10_000);
-        assertEquals(Result.UNKNOWN, lonely.result);
-        assertEquals(Result.DONE, led.result);
-        assertTrue(old.log.leads(), "it can't know");
-        Outcome fresh = publish(world, world.all().get(1), "fresh");
-        world.pass(5_000);
+    void changeWithoutMajorityIsUnknownAndLeaderOfLowerEpochStepsDown() {
+        CoordinatorSimulation simulation = new CoordinatorSimulation(3, 3);
+        CoordinatorSimulation.Node old = simulation.all().get(0);
+        takeOver(simulation, old);
+        simulation.runFor(5_000);
+        publish(simulation, old, "a");
+        simulation.runFor(5_000);
+        simulation.canReach = (from, to) -> !from.equals("c0") && !to.equals("c0");
+        Outcome isolatedChange = publish(simulation, old, "lonely");
+        Outcome takenOver = takeOver(simulation, simulation.all().get(1));
+        simulation.runFor(10_000);
+        assertEquals(Result.UNKNOWN, isolatedChange.result);
+        assertEquals(Result.DONE, takenOver.result);
+        assertTrue(old.log.isLeader(), "it can't know");
+        Outcome fresh = publish(simulation, simulation.all().get(1), "fresh");
+        simulation.runFor(5_000);
         assertEquals(Result.DONE, fresh.result);
-        world.open = (from, to) -> true;
-        world.pass(10_000);
-        assertFalse(old.log.leads());
-        Outcome refused = publish(world, old, "late");
-        world.pass(5_000);
+        simulation.canReach = (from, to) -> true;
+        simulation.runFor(10_000);
+        assertFalse(old.log.isLeader());
+        Outcome refused = publish(simulation, old, "late");
+        simulation.runFor(5_000);
         assertEquals(Result.NOT_LEADER, refused.result);
         assertTrue(refused.why.contains("c1 leads with epoch 2"), refused.why);
-        assertAllHave(world, "fresh");
+        assertCurrentOnAll(simulation, "fresh");
     }
 
     @Test
-    void whatWasNeverAnsweredMayBeEitherAndIsNeverBoth() {
+    void unansweredChangeIsEitherCommittedOrDropped() {
         // Killed between its write and the answer, and then replaced or started again.
-        for (int wayOn = 0; wayOn < 2; wayOn++) {
-            Coordinators world = new Coordinators(3, 4);
-            Coordinators.Node leader = world.all().get(0);
-            takeOver(world, leader);
-            world.pass(5_000);
-            publish(world, leader, "a");
-            world.pass(5_000);
-            leader.killedAtWrite = 1;
-            Outcome lost = publish(world, leader, "lost");
-            world.pass(5_000);
+        for (int scenario = 0; scenario < 2; scenario++) {
+            CoordinatorSimulation simulation = new CoordinatorSimulation(3, 4);
+            CoordinatorSimulation.Node leader = simulation.all().get(0);
+            takeOver(simulation, leader);
+            simulation.runFor(5_000);
+            publish(simulation, leader, "a");
+            simulation.runFor(5_000);
+            leader.writesUntilKilled = 1;
+            Outcome lost = publish(simulation, leader, "lost");
+            simulation.runFor(5_000);
             assertFalse(leader.up);
             assertEquals(0, lost.times);
-            if (wayOn == 0) {
+            if (scenario == 0) {
                 leader.start();
-                world.pass(10_000);
-                assertAllHave(world, "lost");
-                Outcome again = publish(world, leader, "lost");
-                world.pass(5_000);
+                simulation.runFor(10_000);
+                assertCurrentOnAll(simulation, "lost");
+                Outcome again = publish(simulation, leader, "lost");
+                simulation.runFor(5_000);
                 assertEquals(new VersionId(1, 2), again.id, "repeated without harm");
             } else {
-                takeOver(world, world.all().get(1));
-                world.pass(5_000);
+                takeOver(simulation, simulation.all().get(1));
+                simulation.runFor(5_000);
                 leader.start();
-                world.pass(10_000);
-                assertAllHave(world, "a");
-                Outcome again = publish(world, world.all().get(1), "lost");
-                world.pass(5_000);
+                simulation.runFor(10_000);
+                assertCurrentOnAll(simulation, "a");
+                Outcome again = publish(simulation, simulation.all().get(1), "lost");
+                simulation.runFor(5_000);
                 assertEquals(Result.DONE, again.result);
-                assertAllHave(world, "lost");
+                assertCurrentOnAll(simulation, "lost");
             }
         }
     }
 
     @Test
-    void aFullDiskRefusesAndLosesNothing() {
-        Coordinators world = new Coordinators(3, 5);
-        Coordinators.Node leader = world.all().get(0);
-        takeOver(world, leader);
-        world.pass(5_000);
-        publish(world, leader, "a");
-        world.pass(5_000);
-        leader.full = true;
-        Outcome refused = publish(world, leader, "b");
-        world.pass(5_000);
+    void fullDiskRefusesChangeAndLosesNothing() {
+        CoordinatorSimulation simulation = new CoordinatorSimulation(3, 5);
+        CoordinatorSimulation.Node leader = simulation.all().get(0);
+        takeOver(simulation, leader);
+        simulation.runFor(5_000);
+        publish(simulation, leader, "a");
+        simulation.runFor(5_000);
+        leader.diskFull = true;
+        Outcome refused = publish(simulation, leader, "b");
+        simulation.runFor(5_000);
         assertEquals(Result.REFUSED, refused.result);
         assertTrue(refused.why.contains("No space left"), refused.why);
-        leader.full = false;
-        world.all().get(1).full = true;
-        Outcome done = publish(world, leader, "c");
-        world.pass(5_000);
+        leader.diskFull = false;
+        simulation.all().get(1).diskFull = true;
+        Outcome done = publish(simulation, leader, "c");
+        simulation.runFor(5_000);
         assertEquals(Result.DONE, done.result, "two of three are enough");
-        world.all().get(1).full = false;
-        world.pass(5_000);
-        assertAllHave(world, "c");
+        simulation.all().get(1).diskFull = false;
+        simulation.runFor(5_000);
+        assertCurrentOnAll(simulation, "c");
     }
 
     @Test
-    void aTakeOverThatNeverWonEndsNoLeaderAndIsOvercome() {
-        Coordinators world = new Coordinators(3, 7);
-        Coordinators.Node leader = world.all().get(0);
-        takeOver(world, leader);
-        world.pass(5_000);
-        world.open = (from, to) -> !from.equals("c2") && !to.equals("c2");
-        Outcome lonely = takeOver(world, world.all().get(2));
-        world.pass(10_000);
-        assertEquals(Result.UNKNOWN, lonely.result);
-        assertTrue(lonely.why.contains("only 1 of 3"), lonely.why);
-        world.open = (from, to) -> true;
-        world.pass(1_500);
-        Outcome done = publish(world, leader, "a");
-        world.pass(2_000);
+    void lostTakeOverDoesNotEndLeaderWhichTakesOverAgain() {
+        CoordinatorSimulation simulation = new CoordinatorSimulation(3, 7);
+        CoordinatorSimulation.Node leader = simulation.all().get(0);
+        takeOver(simulation, leader);
+        simulation.runFor(5_000);
+        simulation.canReach = (from, to) -> !from.equals("c2") && !to.equals("c2");
+        Outcome isolatedChange = takeOver(simulation, simulation.all().get(2));
+        simulation.runFor(10_000);
+        assertEquals(Result.UNKNOWN, isolatedChange.result);
+        assertTrue(isolatedChange.why.contains("only 1 of 3"), isolatedChange.why);
+        simulation.canReach = (from, to) -> true;
+        simulation.runFor(1_500);
+        Outcome done = publish(simulation, leader, "a");
+        simulation.runFor(2_000);
         assertEquals(Result.DONE, done.result, done.why);
-        world.pass(20_000);
-        assertTrue(leader.log.leads() && leader.log.epoch() > 2);
-        assertAllHave(world, "a");
+        simulation.runFor(20_000);
+        assertTrue(leader.log.isLeader() && leader.log.epoch() > 2);
+        assertCurrentOnAll(simulation, "a");
     }
 
     @Test
-    void whatIsKeptIsBounded() {
-        Coordinators world = new Coordinators(3, 6);
-        Coordinators.Node leader = world.all().get(0);
-        takeOver(world, leader);
-        world.pass(5_000);
-        for (int i = 0; i < 2 * ConfigLog.MOST_VERSIONS; i++) {
-            publish(world, leader, "o" + i);
-            world.pass(5_000);
+    void keptVersionsAreBounded() {
+        CoordinatorSimulation simulation = new CoordinatorSimulation(3, 6);
+        CoordinatorSimulation.Node leader = simulation.all().get(0);
+        takeOver(simulation, leader);
+        simulation.runFor(5_000);
+        for (int i = 0; i < 2 * ConfigLog.MAX_VERSIONS; i++) {
+            publish(simulation, leader, "o" + i);
+            simulation.runFor(5_000);
         }
-        assertAllHave(world, "o" + (2 * ConfigLog.MOST_VERSIONS - 1));
-        for (Coordinators.Node node : world.all()) {
-            assertEquals(ConfigLog.MOST_VERSIONS, node.log.versions().size());
-            assertEquals(Coordinators.ids(leader.log), Coordinators.ids(node.log));
+        assertCurrentOnAll(simulation, "o" + (2 * ConfigLog.MAX_VERSIONS - 1));
+        for (CoordinatorSimulation.Node node : simulation.all()) {
+            assertEquals(ConfigLog.MAX_VERSIONS, node.log.versions().size());
+            assertEquals(CoordinatorSimulation.ids(leader.log), CoordinatorSimulation.ids(node.log));
         }
     }
 
     /** A publish or a rollback of the random plays. */
-    private record Asked(String operation, double at, Outcome outcome, double[] answeredAt) { }
+    private record ChangeRequest(String operation, double requestedAt, Outcome outcome,
+            double[] answeredAt) { }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void nothingAnsweredIsLostWhateverFails(int size) {
+    void noAnsweredChangeIsLostUnderRandomFaults(int size) {
         int answered = 0;
         int unanswered = 0;
         int takenOver = 0;
         int plays = Integer.getInteger("config.plays", 300);
         for (int seed = 1; seed <= plays; seed++) {
-            Coordinators world = new Coordinators(size, 1_000L * size + seed);
+            CoordinatorSimulation simulation = new CoordinatorSimulation(size, 1_000L * size + seed);
             SplittableRandom random = new SplittableRandom(seed);
-            List<Asked> asked = new ArrayList<>();
+            List<ChangeRequest> requests = new ArrayList<>();
             List<Outcome> takeOvers = new ArrayList<>();
-            world.lossOfCalls = random.nextInt(3) * 0.1;
+            simulation.lossOfCalls = random.nextInt(3) * 0.1;
             for (int step = 0; step < 120; step++) {
-                Coordinators.Node any = world.any();
+                CoordinatorSimulation.Node any = simulation.any();
                 // Half of all go to one that thinks that it leads, if there is any.
-                Coordinators.Node node = random.nextBoolean() ? any : world.all().stream()
-                        .filter(one -> one.up && one.log.leads()).findFirst().orElse(any);
+                CoordinatorSimulation.Node node = random.nextBoolean() ? any : simulation.all().stream()
+                        .filter(request -> request.up && request.log.isLeader()).findFirst().orElse(any);
                 switch (random.nextInt(12)) {
-                    case 0 -> takeOvers.add(takeOver(world, node));
-                    case 1 -> node.killedAtWrite = 1 + random.nextInt(3);
+                    case 0 -> takeOvers.add(takeOver(simulation, node));
+                    case 1 -> node.writesUntilKilled = 1 + random.nextInt(3);
                     case 2 -> node.kill();
-                    case 3 -> node.pausedUntil = world.now + random.nextInt(8_000);
+                    case 3 -> node.pausedUntil = simulation.now + random.nextInt(8_000);
                     case 4 -> {
                         String cut = random.nextBoolean() ? "" : node.name;
                         boolean oneWay = random.nextBoolean();
-                        world.open = (from, to) -> !from.equals(cut) && (oneWay || !to.equals(cut));
+                        simulation.canReach = (from, to) -> !from.equals(cut) && (oneWay || !to.equals(cut));
                     }
-                    case 5 -> node.full = random.nextBoolean();
-                    case 6, 7 -> world.all().stream().filter(one -> !one.up)
-                            .forEach(Coordinators.Node::start);
+                    case 5 -> node.diskFull = random.nextBoolean();
+                    case 6, 7 -> simulation.all().stream().filter(request -> !request.up)
+                            .forEach(CoordinatorSimulation.Node::start);
                     default -> {
                         // Now and then one that was asked for before.
-                        String operation = !asked.isEmpty() && random.nextInt(4) == 0
-                                ? asked.get(random.nextInt(asked.size())).operation() : "o" + step;
+                        String operation = !requests.isEmpty() && random.nextInt(4) == 0
+                                ? requests.get(random.nextInt(requests.size())).operation() : "o" + step;
                         Outcome outcome = new Outcome();
                         double[] at = {Double.POSITIVE_INFINITY};
-                        asked.add(new Asked(operation, world.now, outcome, at));
-                        world.run(node, () -> node.log.publish(world.now, operation, "me", 1, "",
-                                Coordinators.document(operation), (result, id, why) -> {
+                        requests.add(new ChangeRequest(operation, simulation.now, outcome, at));
+                        simulation.run(node, () -> node.log.publish(simulation.now, operation, "me", 1, "",
+                                CoordinatorSimulation.document(operation), (result, id, why) -> {
                                     outcome.done(result, id, why);
-                                    at[0] = world.now;
+                                    at[0] = simulation.now;
                                 }));
                     }
                 }
-                world.pass(random.nextInt(2_500));
+                simulation.runFor(random.nextInt(2_500));
             }
-            world.heal();
-            world.pass(30_000);
+            simulation.heal();
+            simulation.runFor(30_000);
             Outcome last = new Outcome();
             for (int i = 0; i < 3 && last.result != Result.DONE; i++) {
-                last = takeOver(world, world.any());
-                world.pass(10_000);
+                last = takeOver(simulation, simulation.any());
+                simulation.runFor(10_000);
             }
             assertEquals(Result.DONE, last.result, "seed " + seed + ": " + last.why);
-            world.pass(30_000);
-            Version current = world.all().get(0).log.current();
-            for (Coordinators.Node node : world.all()) {
+            simulation.runFor(30_000);
+            Version current = simulation.all().get(0).log.current();
+            for (CoordinatorSimulation.Node node : simulation.all()) {
                 assertEquals(current == null ? null : current.id(), node.log.current() == null ? null
                         : node.log.current().id(), "seed " + seed);
             }
-            for (Asked one : asked) {
-                assertTrue(one.outcome().times <= 1, "seed " + seed + ": told once");
-                if (one.outcome().result != Result.DONE) {
+            for (ChangeRequest request : requests) {
+                assertTrue(request.outcome().times <= 1, "seed " + seed + ": told once");
+                if (request.outcome().result != Result.DONE) {
                     unanswered++;
                     continue;
                 }
                 answered++;
-                assertTrue(current != null && !one.outcome().id.isAfter(current.id()), "seed " + seed);
-                assertTrue(world.allCommitted.containsKey(one.outcome().id), "seed " + seed);
-                assertEquals(one.operation(),
-                        world.allCommitted.get(one.outcome().id).manifest().operation());
+                assertTrue(current != null && !request.outcome().id.isAfter(current.id()), "seed " + seed);
+                assertTrue(simulation.allCommitted.containsKey(request.outcome().id), "seed " + seed);
+                assertEquals(request.operation(),
+                        simulation.allCommitted.get(request.outcome().id).manifest().operation());
             }
             // What is in force at the end was not overridden by anything that was begun after its answer.
             if (current != null) {
                 String operation = current.manifest().operation();
-                double begun = asked.stream().filter(one -> one.operation().equals(operation))
-                        .mapToDouble(Asked::at).max().orElseThrow();
-                double first = asked.stream().filter(one -> one.operation().equals(operation)
-                        && one.outcome().result == Result.DONE).mapToDouble(one -> one.answeredAt()[0])
+                double begun = requests.stream().filter(request -> request.operation().equals(operation))
+                        .mapToDouble(ChangeRequest::requestedAt).max().orElseThrow();
+                double first = requests.stream().filter(request -> request.operation().equals(operation)
+                        && request.outcome().result == Result.DONE)
+                        .mapToDouble(request -> request.answeredAt()[0])
                         .min().orElse(Double.POSITIVE_INFINITY);
-                boolean overridden = asked.stream().anyMatch(one -> one.outcome().result == Result.DONE
-                        && one.at() > Math.min(first, Double.POSITIVE_INFINITY) && one.at() > begun
-                        && asked.stream().noneMatch(earlier -> earlier.operation().equals(one.operation())
-                        && earlier.at() < one.at()));
+                boolean overridden = requests.stream().anyMatch(request -> request.outcome()
+                        .result == Result.DONE
+                        && request.requestedAt() > Math.min(first, Double.POSITIVE_INFINITY)
+                        && request.requestedAt() > begun
+                        && requests.stream().noneMatch(earlier -> earlier.operation()
+                        .equals(request.operation())
+                        && earlier.requestedAt() < request.requestedAt()));
                 assertFalse(overridden, "seed " + seed + ": " + operation);
             }
-            takenOver += (int) takeOvers.stream().filter(one -> one.result == Result.DONE).count();
+            takenOver += (int) takeOvers.stream().filter(request -> request.result == Result.DONE).count();
         }
         System.out.println(size + " coordinators, " + plays + " plays: " + answered + " changes answered, "
                 + unanswered + " not, " + takenOver + " take-overs");
--- a/src/test/java/cranedeal/fleet/config/Coordinators.java
+++ b/src/test/java/cranedeal/fleet/config/CoordinatorSimulation.java
@@ -15,30 +15,30 @@
 import java.util.function.Consumer;
 
 /** Some coordinators in virtual time, with a disk each, and calls between them that can be late or lost. */
-final class Coordinators {
+final class CoordinatorSimulation {
 
     static final double CALL_MS = 5_000;
 
     /** What a process that dies does no more. */
-    static final class Killed extends Error {
+    static final class ProcessKilled extends Error {
 
         private static final long serialVersionUID = 1;
     }
 
-    private record Event(double at, long number, Runnable task) { }
+    private record Event(double at, long sequence, Runnable task) { }
 
     /** One coordinator over all its processes. */
-    final class Node implements LogKeeper, ConfigLog.Actions {
+    final class Node implements LogStorage, ConfigLog.Actions {
 
         final String name;
         LogState disk = new LogState();
         ConfigLog log;
         boolean up;
-        boolean full;
+        boolean diskFull;
         int process;
         double pausedUntil;
         /** Dies at this write, once it is done: 1 for the next; 0 for none. */
-        int killedAtWrite;
+        int writesUntilKilled;
         final List<VersionId> committed = new ArrayList<>();
         Consumer<Version> onCommitted = version -> { };
 
@@ -49,10 +49,10 @@
         void start() {
             process++;
             up = true;
-            full = false;
-            killedAtWrite = 0;
+            diskFull = false;
+            writesUntilKilled = 0;
             LogState read = new LogState();
-            read.promise(disk.promised, disk.leader, disk.elected);
+            read.promise(disk.promisedEpoch, disk.leader, disk.elected);
             read.versions.putAll(disk.versions);
             read.committed = disk.committed;
             log = new ConfigLog(name, nodes.keySet(), read, this, random.nextLong(), this);
@@ -63,60 +63,61 @@
             up = false;
         }
 
-        private void written() throws IOException {
-            if (killedAtWrite > 0 && --killedAtWrite == 0) {
-                throw new Killed();
+        private void afterWrite() throws IOException {
+            if (writesUntilKilled > 0 && --writesUntilKilled == 0) {
+                throw new ProcessKilled();
             }
         }
 
-        private void writable() throws IOException {
-            if (full) {
+        private void checkDiskSpace() throws IOException {
+            if (diskFull) {
                 throw new IOException("No space left on device");
             }
         }
 
         @Override
         public void promise(long epoch, String leader, boolean elected) throws IOException {
-            writable();
+            checkDiskSpace();
             disk.promise(epoch, leader, elected);
-            written();
+            afterWrite();
         }
 
         @Override
         public void put(Version version) throws IOException {
-            writable();
-            documents.merge(version.id(), version.manifest().checksum(), (one, other) -> {
-                if (!one.equals(other)) {
+            checkDiskSpace();
+            documents.merge(version.id(), version.manifest().checksum(), (first, other) -> {
+                if (!first.equals(other)) {
                     throw new AssertionError("two documents are " + version.id());
                 }
-                return one;
+                return first;
             });
             disk.versions.put(version.id(), version);
-            written();
+            afterWrite();
         }
 
         @Override
         public void retain(Set<VersionId> ids, VersionId isCommitted) throws IOException {
-            writable();
+            checkDiskSpace();
             disk.retain(ids, isCommitted);
             // This write is what commits; it may be told late, by a process that was killed right after it.
             if (!isCommitted.equals(VersionId.NONE) && allCommitted.putIfAbsent(isCommitted,
                     disk.versions.get(isCommitted)) == null && !allCommitted.lastKey().equals(isCommitted)) {
                 throw new AssertionError(isCommitted + " is committed behind " + allCommitted.keySet());
             }
-            written();
+            afterWrite();
         }
 
         @Override
-        public void prepare(String to, Replication.Prepare question) {
-            call(this, nodes.get(to), () -> nodes.get(to).log.prepare(now, question),
-                    answer -> log.prepared(now, to, question.epoch(), answer), () -> { });
+        public void prepare(String to, Replication.Prepare request) {
+            call(this, nodes.get(to), () -> nodes.get(to).log.handlePrepare(now, request),
+                    answer -> log.handlePrepareAnswer(now, to, request.epoch(), answer), () -> { });
         }
 
         @Override
-        public void append(String to, Replication.Append question) {
-            call(this, nodes.get(to), () -> nodes.get(to).log.append(now, question),
-                    answer -> log.appended(now, to, answer), () -> log.unreached(now, to));
+        public void append(String to, Replication.Append request) {
+            call(this, nodes.get(to), () -> nodes.get(to).log.handleAppend(now, request),
+                    answer -> log.handleAppendAnswer(now, to, answer), () -> log.handleAppendFailure(now,
+                    to));
         }
 
         @Override
@@ -140,15 +141,15 @@
     final Map<VersionId, String> documents = new HashMap<>();
     /** Each version that any coordinator has called committed. */
     final TreeMap<VersionId, Version> allCommitted = new TreeMap<>();
-    BiPredicate<String, String> open = (from, to) -> true;
+    BiPredicate<String, String> canReach = (from, to) -> true;
     double lossOfCalls;
     double delayMs = 1;
     double now;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
-    private long count;
+            Comparator.comparingDouble(Event::at).thenComparingLong(Event::sequence));
+    private long nextSequence;
 
-    Coordinators(int number, long seed) {
+    CoordinatorSimulation(int number, long seed) {
         random = new SplittableRandom(seed);
         for (int i = 0; i < number; i++) {
             nodes.put("c" + i, new Node("c" + i));
@@ -156,15 +157,15 @@
         nodes.values().forEach(Node::start);
     }
 
-    void at(double time, Runnable task) {
-        events.add(new Event(time, count++, task));
+    void schedule(double time, Runnable task) {
+        events.add(new Event(time, nextSequence++, task));
     }
 
     /** Lets a coordinator's process do something, if it lives and is not stopped. */
     void run(Node node, Runnable task) {
-        int its = node.process;
-        at(Math.max(now, node.pausedUntil), () -> {
-            if (!node.up || node.process != its) {
+        int startedProcess = node.process;
+        schedule(Math.max(now, node.pausedUntil), () -> {
+            if (!node.up || node.process != startedProcess) {
                 return;
             }
             if (now < node.pausedUntil) {
@@ -173,7 +174,7 @@
             }
             try {
                 task.run();
-            } catch (Killed e) {
+            } catch (ProcessKilled e) {
                 node.kill();
             }
         });
@@ -183,29 +184,29 @@
         return delayMs * (0.2 + random.nextDouble()) * (random.nextInt(20) == 0 ? 200 : 1);
     }
 
-    private interface Answering {
+    private interface Question {
 
         Replication.Answer answer();
     }
 
-    private void call(Node from, Node to, Answering question, Consumer<Replication.Answer> answered,
+    private void call(Node from, Node to, Question request, Consumer<Replication.Answer> answered,
             Runnable failed) {
-        boolean[] over = new boolean[1];
-        at(now + CALL_MS, () -> run(from, () -> {
-            if (!over[0]) {
-                over[0] = true;
+        boolean[] finished = new boolean[1];
+        schedule(now + CALL_MS, () -> run(from, () -> {
+            if (!finished[0]) {
+                finished[0] = true;
                 failed.run();
             }
         }));
-        if (!open.test(from.name, to.name) || random.nextDouble() < lossOfCalls) {
+        if (!canReach.test(from.name, to.name) || random.nextDouble() < lossOfCalls) {
             return;
         }
-        at(now + delay(), () -> run(to, () -> {
-            Replication.Answer answer = question.answer();
-            if (open.test(to.name, from.name) && random.nextDouble() >= lossOfCalls) {
-                at(now + delay(), () -> run(from, () -> {
-                    if (!over[0]) {
-                        over[0] = true;
+        schedule(now + delay(), () -> run(to, () -> {
+            Replication.Answer answer = request.answer();
+            if (canReach.test(to.name, from.name) && random.nextDouble() >= lossOfCalls) {
+                schedule(now + delay(), () -> run(from, () -> {
+                    if (!finished[0]) {
+                        finished[0] = true;
                         answered.accept(answer);
                     }
                 }));
@@ -214,7 +215,7 @@
     }
 
     /** Lets time pass. */
-    void pass(double ms) {
+    void runFor(double ms) {
         double end = now + ms;
         while (true) {
             double next = events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().at();
@@ -235,7 +236,7 @@
             if (due != null) {
                 try {
                     due.log.tick(now);
-                } catch (Killed e) {
+                } catch (ProcessKilled e) {
                     due.kill();
                 }
             } else {
@@ -246,11 +247,11 @@
 
     /** All that faults did is over: all live, reach one another and can write. */
     void heal() {
-        open = (from, to) -> true;
+        canReach = (from, to) -> true;
         lossOfCalls = 0;
         for (Node node : nodes.values()) {
-            node.full = false;
-            node.killedAtWrite = 0;
+            node.diskFull = false;
+            node.writesUntilKilled = 0;
             node.pausedUntil = 0;
             if (!node.up) {
                 node.start();
--- a/src/test/java/cranedeal/fleet/config/ConfigFleet.java
+++ b/src/test/java/cranedeal/fleet/config/FleetSimulation.java
@@ -29,21 +29,21 @@
  * Three coordinators and many members in virtual time, with the program's own code of membership, log and
  * follower; the same seed plays the same.
  */
-final class ConfigFleet {
+final class FleetSimulation {
 
     static final int SERVICES = 21;
     static final int ZONES = 6;
     private static final String FLEET = "clinics";
     private static final int PORT = 9_000;
-    private static final int HOSTS = 250;
+    private static final int HOSTS_PER_SUBNET = 250;
     /** One of so many datagrams is encoded, to see how large they are. */
-    private static final int SAMPLE = 16;
+    private static final int SAMPLE_INTERVAL = 16;
 
     /** A version that somebody has not come to yet. */
-    private record Due(VersionId id, double since) { }
+    private record PendingVersion(VersionId id, double since) { }
 
     /** A process of the fleet, over all its starts. */
-    final class Party implements Actions, ConfigFollower.Actions {
+    final class SimulatedProcess implements Actions, ConfigFollower.Actions {
 
         final int index;
         final InetSocketAddress address;
@@ -51,30 +51,30 @@
         final String zone;
         final String service;
         /** Null for a member. */
-        final Coordinators.Node node;
+        final CoordinatorSimulation.Node node;
         /** Calls that a coordinator answers, bytes that a member does. */
-        private final TokenBucket served;
-        private Membership core;
+        private final TokenBucket servingBudget;
+        private Membership membership;
         ConfigFollower follower;
-        private FollowerState disk = FollowerState.NOTHING;
+        private FollowerState disk = FollowerState.EMPTY;
         boolean up;
         private int process;
         private long incarnation;
-        private double wake = Double.POSITIVE_INFINITY;
+        private double nextWakeAt = Double.POSITIVE_INFINITY;
         private double pausedUntil;
         private double reachableSince;
-        private final Deque<Due> due = new ArrayDeque<>();
-        private VersionId highest = VersionId.NONE;
+        private final Deque<PendingVersion> pendingVersions = new ArrayDeque<>();
+        private VersionId highestHeld = VersionId.NONE;
         private VersionId highestInForce = VersionId.NONE;
         /** Of calls, sent and received, by the second. */
         private final Map<Long, long[]> callBytes = new HashMap<>();
-        private long messages;
+        private long datagramsSent;
         final Map<Long, Integer> callsBySecond = new HashMap<>();
 
-        Party(int index, Coordinators.Node node) {
+        SimulatedProcess(int index, CoordinatorSimulation.Node node) {
             this.index = index;
             this.node = node;
-            served = node == null ? ConfigMember.servingBudget() : Coordinator.servingBudget();
+            servingBudget = node == null ? ConfigMember.servingBudget() : Coordinator.servingBudget();
             address = addressOf(index);
             // Coordinators in three zones of two regions.
             zoneIndex = node != null ? 2 * index : index % ZONES;
@@ -86,30 +86,31 @@
             return node == null ? "m" + index : node.name;
         }
 
-        boolean runs() {
-            return up && world.now >= pausedUntil;
+        boolean isRunning() {
+            return up && coordinatorSimulation.now >= pausedUntil;
         }
 
         void start(Collection<Member> known) {
             process++;
             up = true;
-            wake = Double.POSITIVE_INFINITY;
-            reachableSince = world.now;
+            nextWakeAt = Double.POSITIVE_INFINITY;
+            reachableSince = coordinatorSimulation.now;
             highestInForce = VersionId.NONE;
-            core = new Membership(new Member(name(), address, world.random.nextLong(), ++incarnation,
+            membership = new Membership(new Member(name(), address, coordinatorSimulation.random.nextLong(),
+                    ++incarnation,
                     State.ALIVE, node == null ? "serve" : "coordinator", "1.0"), FLEET, settings,
-                    world.random.nextLong(), this);
-            core.start(world.now, parties.stream().filter(party -> party.node != null)
+                    coordinatorSimulation.random.nextLong(), this);
+            membership.start(coordinatorSimulation.now, processes.stream().filter(party -> party.node != null)
                     .map(party -> party.address).toList(), known);
             if (node == null) {
                 follower = new ConfigFollower(ConfigFollower.Settings.defaults(service, zone),
-                        world.random.nextLong(), this);
-                follower.start(world.now, disk);
+                        coordinatorSimulation.random.nextLong(), this);
+                follower.start(coordinatorSimulation.now, disk);
             } else {
                 advertise(VersionId.NONE);
                 node.onCommitted = version -> run(() -> {
                     advertise(version.id());
-                    newVersion(version);
+                    versionCommitted(version);
                 });
             }
             schedule();
@@ -117,7 +118,7 @@
 
         void kill() {
             up = false;
-            wake = Double.POSITIVE_INFINITY;
+            nextWakeAt = Double.POSITIVE_INFINITY;
             if (node != null) {
                 node.kill();
             }
@@ -127,12 +128,13 @@
             if (node != null && !node.up) {
                 node.start();
             }
-            start(parties.stream().filter(party -> party.core != null).map(party -> party.core.self())
+            start(processes.stream().filter(party -> party.membership != null)
+                    .map(party -> party.membership.self())
                     .toList());
         }
 
         void pause(double ms) {
-            pausedUntil = world.now + ms;
+            pausedUntil = coordinatorSimulation.now + ms;
             reachableSince = pausedUntil;
             if (node != null) {
                 node.pausedUntil = pausedUntil;
@@ -141,34 +143,34 @@
 
         /** Does something in this process, once it is not stopped. */
         private void run(Runnable task) {
-            int its = process;
-            world.at(Math.max(world.now, pausedUntil), () -> {
-                if (!up || its != process) {
+            int startedProcess = process;
+            coordinatorSimulation.schedule(Math.max(coordinatorSimulation.now, pausedUntil), () -> {
+                if (!up || startedProcess != process) {
                     return;
                 }
-                if (world.now < pausedUntil) {
+                if (coordinatorSimulation.now < pausedUntil) {
                     run(task);
                     return;
                 }
                 task.run();
                 schedule();
-                settle();
+                checkProgress();
             });
         }
 
         private void schedule() {
-            double next = Math.min(core.wakeAt(), follower == null ? Double.POSITIVE_INFINITY
+            double next = Math.min(membership.wakeAt(), follower == null ? Double.POSITIVE_INFINITY
                     : follower.wakeAt());
-            if (up && next < wake) {
-                wake = next;
-                int its = process;
-                world.at(Math.max(next, world.now), () -> {
-                    if (its == process && up) {
-                        wake = Double.POSITIVE_INFINITY;
+            if (up && next < nextWakeAt) {
+                nextWakeAt = next;
+                int startedProcess = process;
+                coordinatorSimulation.schedule(Math.max(next, coordinatorSimulation.now), () -> {
+                    if (startedProcess == process && up) {
+                        nextWakeAt = Double.POSITIVE_INFINITY;
                         run(() -> {
-                            core.tick(world.now);
+                            membership.tick(coordinatorSimulation.now);
                             if (follower != null) {
-                                follower.tick(world.now);
+                                follower.tick(coordinatorSimulation.now);
                             }
                         });
                     }
@@ -177,53 +179,58 @@
         }
 
         /** Sees what it has come to, and that it goes nowhere back. */
-        private void settle() {
+        private void checkProgress() {
             if (follower == null) {
                 return;
             }
             VersionId held = follower.held();
             VersionId inForce = follower.state().inForce();
-            if (highest.isAfter(held) || highestInForce.isAfter(inForce)) {
-                throw new AssertionError(name() + " goes back from " + highest + " to " + held + ", in force "
+            if (highestHeld.isAfter(held) || highestInForce.isAfter(inForce)) {
+                throw new AssertionError(name() + " goes back from " + highestHeld + " to " + held
+                        + ", in force "
                         + highestInForce + " to " + inForce);
             }
-            highest = held;
+            highestHeld = held;
             highestInForce = inForce;
             boolean settled = follower.state().refusal() != null || held.equals(inForce);
-            while (settled && !due.isEmpty() && !due.peek().id().isAfter(held)) {
-                tookMs.add(world.now - Math.max(due.poll().since(), reachableSince));
+            while (settled && !pendingVersions.isEmpty() && !pendingVersions.peek().id().isAfter(held)) {
+                delaysMs.add(coordinatorSimulation.now - Math.max(pendingVersions.poll().since(),
+                        reachableSince));
             }
         }
 
         private void countCall(long bytes) {
-            callBytes.computeIfAbsent((long) (world.now / 1_000), second -> new long[1])[0] += bytes;
+            callBytes.computeIfAbsent((long) (coordinatorSimulation.now / 1_000),
+                    second -> new long[1])[0] += bytes;
         }
 
         // What membership asks for.
 
         @Override
         public void send(InetSocketAddress to, Message message) {
-            Party target = byAddress.get(to);
-            if (++messages % SAMPLE == 0) {
+            SimulatedProcess target = processByAddress.get(to);
+            if (++datagramsSent % SAMPLE_INTERVAL == 0) {
                 int size = message.encodedSize(FLEET);
                 if (size > 1_200) {
                     throw new AssertionError("a datagram of " + size + " bytes");
                 }
-                datagramBytes += (long) SAMPLE * size;
+                datagramBytes += (long) SAMPLE_INTERVAL * size;
             }
-            if (target != null && open.test(this, target) && random.nextDouble() >= loss) {
-                world.at(world.now + delay(this, target), () -> target.run(() ->
-                        target.core.received(world.now, address, message)));
+            if (target != null && canReach.test(this, target) && random.nextDouble() >= loss) {
+                coordinatorSimulation.schedule(coordinatorSimulation.now + delay(this, target),
+                        () -> target.run(() ->
+                        target.membership.received(coordinatorSimulation.now, address, message)));
             }
         }
 
         @Override
         public void sync(InetSocketAddress with) {
-            Party target = byAddress.get(with);
-            if (target != null && open.test(this, target) && open.test(target, this)) {
-                world.at(world.now + 3, () -> target.run(() -> run(() -> {
-                    target.core.merge(world.now, core.members());
-                    core.merge(world.now, target.core.members());
+            SimulatedProcess target = processByAddress.get(with);
+            if (target != null && canReach.test(this, target) && canReach.test(target, this)) {
+                coordinatorSimulation.schedule(coordinatorSimulation.now + 3,
+                        () -> target.run(() -> run(() -> {
+                    target.membership.merge(coordinatorSimulation.now, membership.members());
+                    membership.merge(coordinatorSimulation.now, target.membership.members());
                     target.schedule();
                 })));
             }
@@ -247,41 +254,44 @@
         @Override
         public void noticeReceived(Member from, VersionNotice notice) {
             if (follower != null) {
-                follower.noticed(world.now, from.address(), notice);
+                follower.noticeReceived(coordinatorSimulation.now, from.address(), notice);
             }
         }
 
         // What the follower asks for.
 
-        private <T> void call(InetSocketAddress of, long number, Function<Party, T> question,
+        private <T> void call(InetSocketAddress address, long number, Function<SimulatedProcess, T> request,
                 Function<T, Integer> size, Consumer<T> answered) {
-            Party target = byAddress.get(of);
-            int its = process;
-            if (!open.test(this, target) || !open.test(target, this) || random.nextDouble() < lossOfCalls) {
+            SimulatedProcess target = processByAddress.get(address);
+            int startedProcess = process;
+            if (!canReach.test(this, target) || !canReach.test(target, this)
+                    || random.nextDouble() < lossOfCalls) {
                 return;
             }
             if (!target.up) {
-                run(() -> follower.failed(world.now, number));
+                run(() -> follower.callFailed(coordinatorSimulation.now, number));
                 return;
             }
-            world.at(world.now + 2 * delay(this, target), () -> target.run(() -> {
+            coordinatorSimulation.schedule(coordinatorSimulation.now + 2 * delay(this, target),
+                    () -> target.run(() -> {
                 if (target.node != null) {
-                    target.callsBySecond.merge((long) (world.now / 1_000), 1, Integer::sum);
+                    target.callsBySecond.merge((long) (coordinatorSimulation.now / 1_000), 1, Integer::sum);
                 }
-                T answer = question.apply(target);
+                T answer = request.apply(target);
                 int body = answer == null ? 0 : size.apply(answer);
-                boolean isServed = target.node != null ? target.served.take(world.now)
-                        : target.served.takeAll(world.now, ConfigMember.CALL_BYTES + body);
+                boolean isServed = target.node != null ? target.servingBudget.take(coordinatorSimulation.now)
+                        : target.servingBudget.takeWithDebt(coordinatorSimulation.now,
+                        ConfigMember.CALL_BYTES + body);
                 int bytes = ConfigMember.CALL_BYTES + (isServed ? body : 0);
                 target.countCall(bytes);
                 countCall(bytes);
-                world.at(world.now + delay(target, this), () -> {
-                    if (its == process) {
+                coordinatorSimulation.schedule(coordinatorSimulation.now + delay(target, this), () -> {
+                    if (startedProcess == process) {
                         run(() -> {
                             if (isServed) {
                                 answered.accept(answer);
                             } else {
-                                follower.failed(world.now, number);
+                                follower.callFailed(coordinatorSimulation.now, number);
                             }
                         });
                     }
@@ -290,9 +300,9 @@
         }
 
         @Override
-        public void askManifest(long call, InetSocketAddress of, VersionId after) {
-            call(of, call, target -> target.manifest(after), manifest -> manifest.bytes().length,
-                    manifest -> follower.manifest(world.now, call, manifest));
+        public void requestManifest(long call, InetSocketAddress address, VersionId after) {
+            call(address, call, target -> target.manifest(after), manifest -> manifest.bytes().length,
+                    manifest -> follower.manifest(coordinatorSimulation.now, call, manifest));
         }
 
         private Manifest manifest(VersionId after) {
@@ -302,32 +312,33 @@
         }
 
         @Override
-        public void askSection(long call, InetSocketAddress of, String checksum) {
-            call(of, call, target -> target.node == null ? target.follower.section(checksum)
+        public void requestSection(long call, InetSocketAddress address, String checksum) {
+            call(address, call, target -> target.node == null ? target.follower.section(checksum)
                     : target.node.log.current() == null ? null : target.node.log.current().section(checksum),
                     bytes -> bytes.length, bytes -> {
                     sectionCalls++;
                     if (bytes == null) {
-                        follower.failed(world.now, call);
+                        follower.callFailed(coordinatorSimulation.now, call);
                     } else if (random.nextDouble() < damage) {
                         byte[] bad = bytes.clone();
                         bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                        follower.section(world.now, call, bad);
+                        follower.section(coordinatorSimulation.now, call, bad);
                     } else {
-                        follower.section(world.now, call, bytes);
+                        follower.section(coordinatorSimulation.now, call, bytes);
                     }
                 });
         }
 
         @Override
-        public void tryOut(VersionId id, byte[] section) {
-            world.at(world.now + 5 + random.nextInt(50), () -> run(() -> follower.tried(world.now, id,
-                    section != null && refuses.test(this, section)
+        public void apply(VersionId id, byte[] section) {
+            coordinatorSimulation.schedule(coordinatorSimulation.now + 5 + random.nextInt(50),
+                    () -> run(() -> follower.applied(coordinatorSimulation.now, id,
+                    section != null && refusesSection.test(this, section)
                     ? new FollowerState.Refusal("settings.is", "not that") : null)));
         }
 
         @Override
-        public void keep(FollowerState state) {
+        public void persist(FollowerState state) {
             try {
                 disk = FollowerState.parse(state.bytes());
             } catch (IOException e) {
@@ -337,13 +348,15 @@
 
         @Override
         public void advertise(VersionId id) {
-            core.advertise(world.now, new VersionNotice(id.epoch(), id.number(), service, zone));
+            membership.advertise(coordinatorSimulation.now, new VersionNotice(id.epoch(), id.number(),
+                    service, zone));
         }
 
         @Override
         public Collection<InetSocketAddress> coordinators() {
-            return coordinators.stream().filter(one -> core.stateOf(one.name()) != null
-                    && core.stateOf(one.name()).isPresent()).map(one -> one.address).toList();
+            return coordinators.stream().filter(process -> membership.stateOf(process.name()) != null
+                    && membership.stateOf(process.name()).isPresent()).map(process -> process.address)
+                    .toList();
         }
 
         @Override
@@ -352,73 +365,75 @@
         }
     }
 
-    final Coordinators world;
-    final List<Party> parties = new ArrayList<>();
-    final List<Party> coordinators = new ArrayList<>();
-    final List<Party> members = new ArrayList<>();
-    private final Map<InetSocketAddress, Party> byAddress = new HashMap<>();
+    final CoordinatorSimulation coordinatorSimulation;
+    final List<SimulatedProcess> processes = new ArrayList<>();
+    final List<SimulatedProcess> coordinators = new ArrayList<>();
+    final List<SimulatedProcess> members = new ArrayList<>();
+    private final Map<InetSocketAddress, SimulatedProcess> processByAddress = new HashMap<>();
     private final Settings settings = Settings.DEFAULTS;
     private final SplittableRandom random;
     private VersionId newest = VersionId.NONE;
     private final TreeMap<VersionId, Double> committedAt = new TreeMap<>();
     /** How long each version took to each member, in milliseconds, without what it could not be reached. */
-    final List<Double> tookMs = new ArrayList<>();
+    final List<Double> delaysMs = new ArrayList<>();
     long sectionCalls;
     /** Sent by all, by a sample. */
     private long datagramBytes;
     double loss;
     double lossOfCalls;
     double damage;
-    BiPredicate<Party, Party> open = (from, to) -> true;
-    BiPredicate<Party, byte[]> refuses = (party, section) -> false;
+    BiPredicate<SimulatedProcess, SimulatedProcess> canReach = (from, to) -> true;
+    BiPredicate<SimulatedProcess, byte[]> refusesSection = (party, section) -> false;
 
-    ConfigFleet(int size, long seed) {
-        world = new Coordinators(3, seed);
+    FleetSimulation(int size, long seed) {
+        coordinatorSimulation = new CoordinatorSimulation(3, seed);
         random = new SplittableRandom(seed);
-        List<Coordinators.Node> nodes = world.all();
+        List<CoordinatorSimulation.Node> nodes = coordinatorSimulation.all();
         for (int i = 0; i < size + nodes.size(); i++) {
-            Party party = new Party(i, i < nodes.size() ? nodes.get(i) : null);
-            parties.add(party);
-            byAddress.put(party.address, party);
+            SimulatedProcess party = new SimulatedProcess(i, i < nodes.size() ? nodes.get(i) : null);
+            processes.add(party);
+            processByAddress.put(party.address, party);
             (party.node == null ? members : coordinators).add(party);
         }
-        parties.forEach(party -> party.start(List.of()));
-        List<Member> all = parties.stream().map(party -> party.core.self()).toList();
-        parties.forEach(party -> {
-            party.core.addKnownMembers(world.now, all);
+        processes.forEach(party -> party.start(List.of()));
+        List<Member> all = processes.stream().map(party -> party.membership.self()).toList();
+        processes.forEach(party -> {
+            party.membership.addKnownMembers(coordinatorSimulation.now, all);
             party.schedule();
         });
-        world.open = (from, to) -> open.test(byNode(from), byNode(to));
+        coordinatorSimulation.canReach = (from, to) -> canReach.test(processOfNode(from), processOfNode(to));
     }
 
-    private Party byNode(String name) {
-        return coordinators.stream().filter(one -> one.node.name.equals(name)).findFirst().orElseThrow();
+    private SimulatedProcess processOfNode(String name) {
+        return coordinators.stream().filter(process -> process.node.name.equals(name)).findFirst()
+                .orElseThrow();
     }
 
     private static InetSocketAddress addressOf(int index) {
         try {
             return new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 1,
-                (byte) (index / HOSTS), (byte) (1 + index % HOSTS)}), PORT);
+                (byte) (index / HOSTS_PER_SUBNET), (byte) (1 + index % HOSTS_PER_SUBNET)}), PORT);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Within a zone a fifth of a millisecond and more, between regions 15 and more. */
-    private double delay(Party from, Party to) {
+    private double delay(SimulatedProcess from, SimulatedProcess to) {
         boolean regions = region(from) != region(to);
         return (regions ? 15 : 0.2) + random.nextDouble() * (regions ? 5 : 1);
     }
 
-    static int region(Party party) {
+    static int region(SimulatedProcess party) {
         return party.zoneIndex / 3;
     }
 
-    private void newVersion(Version version) {
+    private void versionCommitted(Version version) {
         if (version.id().isAfter(newest)) {
             newest = version.id();
-            committedAt.put(newest, world.now);
-            members.forEach(member -> member.due.add(new Due(newest, world.now)));
+            committedAt.put(newest, coordinatorSimulation.now);
+            members.forEach(member -> member.pendingVersions.add(new PendingVersion(newest,
+                    coordinatorSimulation.now)));
         }
     }
 
@@ -431,22 +446,24 @@
     }
 
     /** From now on only what this allows goes from a first party to a second. */
-    void cut(BiPredicate<Party, Party> isOpen) {
-        open = isOpen;
+    void cut(BiPredicate<SimulatedProcess, SimulatedProcess> isOpen) {
+        canReach = isOpen;
     }
 
     /** All can be reached again, from now on; those that were not before count from here. */
-    void join(Collection<Party> cutOff) {
-        open = (from, to) -> true;
-        cutOff.forEach(party -> party.reachableSince = Math.max(party.reachableSince, world.now));
+    void heal(Collection<SimulatedProcess> cutOff) {
+        canReach = (from, to) -> true;
+        cutOff.forEach(party -> party.reachableSince = Math.max(party.reachableSince,
+                coordinatorSimulation.now));
     }
 
     /** How long the longest wait is of those that can be reached and have not come to the newest version. */
     double longestWait() {
         double longest = 0;
-        for (Party member : members) {
-            if (member.runs() && !member.due.isEmpty()) {
-                longest = Math.max(longest, world.now - Math.max(member.due.peek().since(),
+        for (SimulatedProcess member : members) {
+            if (member.isRunning() && !member.pendingVersions.isEmpty()) {
+                longest = Math.max(longest,
+                        coordinatorSimulation.now - Math.max(member.pendingVersions.peek().since(),
                         member.reachableSince));
             }
         }
@@ -454,25 +471,27 @@
     }
 
     /** The most calls that a coordinator got in a second. */
-    int mostCalls() {
-        return coordinators.stream().flatMap(one -> one.callsBySecond.values().stream())
+    int maxCallsPerSecond() {
+        return coordinators.stream().flatMap(process -> process.callsBySecond.values().stream())
                 .mapToInt(Integer::intValue).max().orElse(0);
     }
 
     /** Bytes of datagrams sent, a second and process. */
     double meanDatagramBytes() {
-        return datagramBytes / (world.now / 1_000) / parties.size();
+        return datagramBytes / (coordinatorSimulation.now / 1_000) / processes.size();
     }
 
     /** Bytes of calls about configuration that a member sent and received, a second and member. */
     double meanCallBytes() {
-        return members.stream().flatMap(one -> one.callBytes.values().stream()).mapToLong(sum -> sum[0])
-                .sum() / (world.now / 1_000) / members.size();
+        return members.stream().flatMap(process -> process.callBytes.values().stream())
+                .mapToLong(sum -> sum[0])
+                .sum() / (coordinatorSimulation.now / 1_000) / members.size();
     }
 
     /** The same of the worst second of the worst member. */
-    long mostCallBytes() {
-        return members.stream().flatMap(one -> one.callBytes.values().stream()).mapToLong(sum -> sum[0])
+    long maxCallBytesPerSecond() {
+        return members.stream().flatMap(process -> process.callBytes.values().stream())
+                .mapToLong(sum -> sum[0])
                 .max().orElse(0);
     }
 }
--- a/src/test/java/cranedeal/fleet/config/LogStoreTest.java
+++ b/src/test/java/cranedeal/fleet/config/LogStoreTest.java
@@ -32,7 +32,7 @@
     }
 
     private static Version version(long number) {
-        TreeMap<String, byte[]> sections = new TreeMap<>(Coordinators.document("v" + number));
+        TreeMap<String, byte[]> sections = new TreeMap<>(CoordinatorSimulation.document("v" + number));
         byte[] large = new byte[ConfigDocument.MAX_SECTION_BYTES];
         java.util.Arrays.fill(large, (byte) ('a' + number % 3));
         sections.put("large", large);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void itIsReadBackAsItWasThroughSnapshotsAndStaysSmall() throws Exception {
+    void stateSurvivesReopeningAndSnapshotsKeepItSmall() throws Exception {
         Set<VersionId> ids = new TreeSet<>();
         long written = 0;
         for (int number = 1; number <= 40; number++) {
@@ -48,7 +48,7 @@
                 if (number > 1) {
                     assertEquals(ids, store.state().versions.keySet());
                     assertEquals(new VersionId(1, number - 1), store.state().committed);
-                    assertEquals(number - 1, store.state().promised);
+                    assertEquals(number - 1, store.state().promisedEpoch);
                     assertArrayEquals(version(number - 1).sections().get("large"),
                             store.state().current().sections().get("large"));
                     assertEquals(version(number - 1).manifest(), store.state().current().manifest());
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whatIsDamagedIsNotServed() throws Exception {
+    void damagedJournalCannotBeOpened() throws Exception {
         try (LogStore store = open()) {
             // No snapshot stands for the first, and the second tells that it was forced.
             store.put(version(1));
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aSectionThatIsNotTheOneOfItsChecksumIsDamage() throws Exception {
+    void sectionOrManifestWithWrongChecksumIsRejected() throws Exception {
         Version version = version(1);
         assertThrows(IOException.class, () -> Version.join(version.manifest(), checksum -> new byte[] {1}));
         assertThrows(IOException.class, () -> Version.join(version.manifest(), checksum -> null));
--- a/src/test/java/cranedeal/fleet/membership/CodecTest.java
+++ b/src/test/java/cranedeal/fleet/membership/CodecTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAndFitsIntoADatagramAsCounted() throws Exception {
+    void encodedMessagesDecodeEqualAndFitInDatagram() throws Exception {
         for (int i = 0; i < 500; i++) {
             Member from = member();
             GossipQueue queue = new GossipQueue();
@@ -44,12 +44,13 @@
             VersionNotice notice = random.nextBoolean() ? null : new VersionNotice(
                     random.nextLong(Member.MAX_INCARNATION), random.nextLong(Member.MAX_INCARNATION),
                     "s".repeat(random.nextInt(65)), "z".repeat(random.nextInt(65)));
-            int left = Codec.LARGEST - Codec.headSize("clinics", to, from) - Codec.size(notice);
+            int remaining = Codec.MAX_DATAGRAM_BYTES - Codec.headerSize("clinics", to,
+                    from) - Codec.encodedSize(notice);
             Message message = new Message(kind, random.nextLong(Long.MAX_VALUE), to,
                     kind == Message.Kind.ASK ? member().address() : null, from, random.nextLong(),
-                    List.copyOf(queue.take(left, 1_000)), notice);
+                    List.copyOf(queue.take(remaining, 1_000)), notice);
             byte[] bytes = codec.encode(message);
-            assertTrue(bytes.length <= Codec.LARGEST && !message.updates().isEmpty());
+            assertTrue(bytes.length <= Codec.MAX_DATAGRAM_BYTES && !message.updates().isEmpty());
             assertEquals(message, codec.decode(bytes));
         }
         List<Member> all = new ArrayList<>(List.of(member(), member(), member()));
@@ -57,38 +58,42 @@
     }
 
     /** As the version before wrote it, whose members are beside this one's while a release goes on. */
-    private static final String BEFORE = "{\"v\":1,\"f\":\"clinics\",\"t\":\"ping\",\"n\":7,\"to\":\"b\","
+    private static final String PREVIOUS_FORMAT =
+            "{\"v\":1,\"f\":\"clinics\",\"t\":\"ping\",\"n\":7,\"to\":\"b\","
             + "\"d\":9,\"m\":[\"a\",\"127.0.0.1:1\",\"serve\",\"1\",1,1,0],\"news\":[]}";
 
     @Test
-    void aNoticeIsLookedOverWhereItIsNotKnownAndMissedWhereItIsNotThere() throws Exception {
-        Message before = codec.decode(BEFORE.getBytes(StandardCharsets.UTF_8));
-        assertEquals(null, before.notice());
-        assertEquals(BEFORE, new String(codec.encode(before), StandardCharsets.UTF_8),
+    void unknownNoticeIsIgnoredAndMissingNoticeIsNull() throws Exception {
+        Message previous = codec.decode(PREVIOUS_FORMAT.getBytes(StandardCharsets.UTF_8));
+        assertEquals(null, previous.notice());
+        assertEquals(PREVIOUS_FORMAT, new String(codec.encode(previous), StandardCharsets.UTF_8),
                 "without a notice it is written as it was");
-        Message with = new Message(before.kind(), before.sequence(), before.target(), null, before.from(),
-                before.digest(), before.updates(), new VersionNotice(2, 3, "front", "z1"));
-        assertEquals(BEFORE.replace("\"news\"", "\"c\":[2,3,\"front\",\"z1\"],\"news\""),
-                new String(codec.encode(with), StandardCharsets.UTF_8), "one key more, which the version"
+        Message withNotice = new Message(previous.kind(), previous.sequence(), previous.target(), null,
+                previous.from(),
+                previous.digest(), previous.updates(), new VersionNotice(2, 3, "front", "z1"));
+        assertEquals(PREVIOUS_FORMAT.replace("\"news\"", "\"c\":[2,3,\"front\",\"z1\"],\"news\""),
+                new String(codec.encode(withNotice), StandardCharsets.UTF_8),
+                "one key more, which the version"
                 + " before passes over as it does any");
-        assertEquals(with, codec.decode(codec.encode(with)));
+        assertEquals(withNotice, codec.decode(codec.encode(withNotice)));
         for (String unknown : List.of("1", "{}", "[]", "[1]", "[-1,2,\"\",\"\"]", "[1,2,\"a b\",\"\"]",
                 "[1e99,2,\"\",\"\"]")) {
-            assertEquals(before, codec.decode(BEFORE.replace("\"news\"", "\"c\":" + unknown + ",\"news\"")
+            assertEquals(previous, codec.decode(PREVIOUS_FORMAT.replace("\"news\"",
+                    "\"c\":" + unknown + ",\"news\"")
                     .getBytes(StandardCharsets.UTF_8)), "the rest of it still counts: " + unknown);
         }
     }
 
     @Test
-    void anotherFleetsAndAFarVersionsAreForeign() throws Exception {
-        byte[] theirs = new Codec("other").encode(List.of(member()));
-        assertThrows(Codec.ForeignException.class, () -> codec.decodeMembers(theirs));
-        String mine = new String(codec.encode(List.of(member())), StandardCharsets.UTF_8);
-        String next = mine.replace("\"v\":1", "\"new\":{},\"v\":2");
+    void messagesOfOtherFleetOrDistantFormatAreForeign() throws Exception {
+        byte[] foreign = new Codec("other").encode(List.of(member()));
+        assertThrows(Codec.ForeignException.class, () -> codec.decodeMembers(foreign));
+        String own = new String(codec.encode(List.of(member())), StandardCharsets.UTF_8);
+        String next = own.replace("\"v\":1", "\"new\":{},\"v\":2");
         assertEquals(1, codec.decodeMembers(next.getBytes(StandardCharsets.UTF_8)).size());
-        String far = mine.replace("\"v\":1", "\"v\":3");
+        String distant = own.replace("\"v\":1", "\"v\":3");
         assertThrows(Codec.ForeignException.class,
-                () -> codec.decodeMembers(far.getBytes(StandardCharsets.UTF_8)));
+                () -> codec.decodeMembers(distant.getBytes(StandardCharsets.UTF_8)));
     }
 
     @ParameterizedTest
@@ -100,7 +105,7 @@
         "{\"v\":1,\"f\":\"clinics\",\"t\":\"ping\",\"m\":[\"n\",\"127.0.0.1:1\",\"s\",\"1\",1,1e99,0]}",
         "{\"v\":1,\"f\":\"clinics\",\"t\":\"ping\",\"m\":[\"n\",\"127.0.0.1:1\",\"s\",\"1\",1,1,4]}",
         "{\"v\":1,\"f\":\"clinics\",\"t\":\"ping\",\"m\":[\"a b\",\"127.0.0.1:1\",\"s\",\"1\",1,1,0]}"})
-    void garbageIsNoMessage(String text) {
+    void malformedMessageIsRejected(String text) {
         assertThrows(IOException.class, () -> codec.decode(text.getBytes(StandardCharsets.UTF_8)));
     }
 }
