--- a/src/main/java/cranedeal/fleet/membership/Actions.java
+++ b/src/main/java/cranedeal/fleet/membership/Actions.java
@@ -2,31 +2,31 @@
 
 import java.net.InetSocketAddress;
 
-/** What a {@link Membership} asks of whoever hosts it. */
+/** The output of a {@link Membership}, carried out by its host. */
 public interface Actions {
 
     /** Sends a datagram, which may be lost. */
     void send(InetSocketAddress to, Message message);
 
-    /** Exchanges all that is known with a member, and hands what comes back to {@link Membership#merge}. */
+    /** Exchanges the full view with a member and passes the answer to {@link Membership#merge}. */
     void sync(InetSocketAddress address);
 
     /**
-     * The view has changed.
+     * Called when the view has changed.
      *
-     * @param before null for a member that was not known
-     * @param now null for one that is forgotten
+     * @param before null for a member that was unknown
+     * @param now null for a member that was forgotten
      */
     void memberChanged(Member before, Member now);
 
-    /** This member reaches less than half of those it knows, or does again. */
+    /** Called when this member becomes isolated (reaches less than half of the known members) or recovers. */
     void isolationChanged(boolean isIsolated);
 
-    /** A member tells, itself, of the configuration that it has; may be called often with the same. */
+    /** Called for the configuration notice in a member's own datagram, often repeatedly with the same one. */
     default void noticeReceived(Member from, VersionNotice notice) {
-        // Who has none of it need not know.
+        // Ignored by hosts that do not follow the configuration.
     }
 
-    /** A later process has taken this one's name; it is a member no longer. */
+    /** Called when a newer process has taken this one's name, so this one is no longer a member. */
     void superseded(Member successor);
 }
--- a/src/main/java/cranedeal/fleet/membership/Codec.java
+++ b/src/main/java/cranedeal/fleet/membership/Codec.java
@@ -14,33 +14,33 @@
 import java.util.Locale;
 
 /**
- * Members and messages as JSON. Each message names its fleet and the form it is written in; a member takes
- * the forms next to its own as well, as releases mix them, and looks over what it does not know.
+ * Encodes members and messages as JSON. Each message carries its fleet's name and its format version. A
+ * member also accepts the adjacent format versions, since releases run mixed, and ignores unknown fields.
  */
 final class Codec {
 
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
-    /** The form of messages that this version writes. */
+    /** The format version that this release writes. */
     static final int FORMAT_VERSION = 1;
-    /** The largest datagram, which passes any usual network in one piece. */
+    /** The largest datagram in bytes; it passes usual networks without fragmentation. */
     static final int MAX_DATAGRAM_BYTES = 1_200;
-    /** Of one item of news: brackets, commas, quotes, and the longest of address and numbers. */
+    /** Size of an update without its texts: brackets, commas, quotes, the longest address and numbers. */
     private static final int MAX_UPDATE_OVERHEAD = 20 + 21 + 20 + 17;
-    /** The same of a message: keys, form, kind, digest, number and one address. */
+    /** Size of a message without its texts: keys, format version, kind, digest, sequence and one address. */
     private static final int MAX_HEADER_OVERHEAD = 75 + 21 + 2 * 20;
-    /** Of a notice: key, brackets, commas, quotes, and the longest of its numbers. */
+    /** Size of a notice without its texts: key, brackets, commas, quotes and the longest numbers. */
     private static final int MAX_NOTICE_OVERHEAD = 14 + 2 * 16;
 
     private final String fleet;
 
-    /** Messages of one fleet. */
+    /** A codec for the messages of one fleet. */
     Codec(String fleet) {
         Member.requireName(fleet);
         this.fleet = fleet;
     }
 
-    /** A message of another fleet, or of a form that is too far from this version's. */
+    /** A message of another fleet, or of a format version that is not adjacent to this one. */
     static final class ForeignException extends IOException {
 
         private static final long serialVersionUID = 1;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** How many bytes an item of news takes in a message, at most. */
+    /** An upper bound of an update's encoded size in bytes. */
     static int encodedSize(MemberUpdate updates) {
         Member member = updates.member();
         return MAX_UPDATE_OVERHEAD + member.name().length() + member.role().length() + member.version()
@@ -58,12 +58,12 @@
                 + updates.suspectedBy().length();
     }
 
-    /** How many bytes a message without its news takes, at most. */
+    /** An upper bound of the encoded size of a message without its updates and notice, in bytes. */
     static int headerSize(String fleet, String to, Member from) {
         return MAX_HEADER_OVERHEAD + fleet.length() + to.length() + encodedSize(new MemberUpdate(from, ""));
     }
 
-    /** How many bytes a notice takes in a message, at most. */
+    /** An upper bound of a notice's encoded size in bytes; 0 for null. */
     static int encodedSize(VersionNotice notice) {
         return notice == null ? 0 : MAX_NOTICE_OVERHEAD + notice.service().length() + notice.zone().length();
     }
@@ -101,7 +101,7 @@
         return bytes.toByteArray();
     }
 
-    /** All that a member knows, for a full exchange. */
+    /** Encodes all known members for a full exchange. */
     byte[] encode(List<Member> members) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(MAX_DATAGRAM_BYTES);
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
@@ -138,7 +138,7 @@
         json.writeEndArray();
     }
 
-    /** Throws {@link ForeignException} for another fleet's, {@link IOException} for what is no message. */
+    /** Throws {@link ForeignException} for a foreign message, {@link IOException} for a malformed one. */
     Message decode(byte[] bytes) throws IOException {
         JsonNode root = parseRoot(bytes);
         try {
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Null where there is none, or one that this version does not understand: the rest still counts. */
+    /** Returns null if the notice is missing or malformed; the rest of the message stays valid. */
     private static VersionNotice parseNotice(JsonNode array) {
         if (!array.path(0).canConvertToLong() || !array.path(1).canConvertToLong()) {
             return null;
@@ -174,7 +174,7 @@
         }
     }
 
-    /** What {@link #encode(List)} wrote; throws as {@link #decode} does. */
+    /** Decodes the output of {@link #encode(List)}; throws as {@link #decode} does. */
     List<Member> decodeMembers(byte[] bytes) throws IOException {
         JsonNode root = parseRoot(bytes);
         try {
@@ -229,7 +229,7 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** An address as text; only this machine's own, since members have no other. */
+    /** Parses IP:PORT. Only loopback addresses are accepted, since all members run on one machine. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] addressBytes = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(colon,
--- a/src/main/java/cranedeal/fleet/membership/Extension.java
+++ b/src/main/java/cranedeal/fleet/membership/Extension.java
@@ -3,25 +3,25 @@
 import java.util.Map;
 import java.util.concurrent.CompletionStage;
 
-/** What else a member does for its fleet, over the same address. All of it on the member's loop. */
+/** A further service on a member's address. All methods are called on the member's event loop. */
 public interface Extension {
 
-    /** The member starts; it may have to wait for its address, as in an upgrade. */
+    /** Called when the member starts. It may still wait for its address, as during an upgrade. */
     void starting();
 
-    /** The member has its address, and takes part. */
+    /** Called once the member has bound its address and takes part. */
     void started();
 
-    /** Another member tells, itself, of the configuration that it has. */
+    /** Called for the configuration notice in another member's own datagram. */
     void noticeReceived(Member from, VersionNotice notice);
 
     /**
-     * Answers a call; null if there is no such call.
+     * Answers a call; returns null if the path is unknown.
      *
      * @param uri path and query
      */
     CompletionStage<CallReply> answer(String method, String uri, byte[] body);
 
-    /** The figures by their names. */
+    /** The metric values by name. */
     Map<String, Long> metrics();
 }
--- a/src/main/java/cranedeal/fleet/membership/GossipQueue.java
+++ b/src/main/java/cranedeal/fleet/membership/GossipQueue.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** News that goes out with datagrams: each a bounded number of times, the least told first. */
+/** Updates piggybacked on datagrams: each a bounded number of times, those sent least often first. */
 final class GossipQueue {
 
-    /** Beyond this what was told most often is dropped; a full exchange makes up for it. */
+    /** Beyond this size the update sent most often is dropped; full exchanges make up for it. */
     static final int MAX_ITEMS = 256;
 
     private record Item(MemberUpdate update, boolean important, int sends, long sequence) { }
@@ -24,9 +24,9 @@
     private long nextSequence;
 
     /**
-     * Takes what is new of a member, in place of what there was of it.
+     * Adds an update, replacing the queued one about the same member.
      *
-     * @param important whether it is to reach everybody by this way
+     * @param important true if gossip alone has to carry it to all members
      */
     void add(MemberUpdate update, boolean important) {
         put(new Item(update, important, 0, nextSequence++));
@@ -39,7 +39,7 @@
         return items.size();
     }
 
-    /** Takes what fits into so many bytes, in a fleet of so many members. */
+    /** Takes the updates that fit into so many bytes, in a fleet of so many members. */
     List<MemberUpdate> take(int bytes, int members) {
         List<Item> taken = new ArrayList<>();
         int remaining = bytes;
--- a/src/main/java/cranedeal/fleet/membership/LocalHealth.java
+++ b/src/main/java/cranedeal/fleet/membership/LocalHealth.java
@@ -1,8 +1,8 @@
 package cranedeal.fleet.membership;
 
 /**
- * How far this member distrusts itself: the local health multiplier of Lifeguard. A member that does not get
- * the answers it should have got gives the others more time, since it may be itself what is slow.
+ * The local health multiplier of Lifeguard. A member that misses expected answers extends its timeouts for
+ * the other members, since the slow one may be itself.
  */
 final class LocalHealth {
 
@@ -15,7 +15,7 @@
         this.enabled = inUse;
     }
 
-    /** By what probes take longer than in good health. */
+    /** The factor on probe timeouts; 1 in good health. */
     int multiplier() {
         return 1 + score;
     }
--- a/src/main/java/cranedeal/fleet/membership/MemberEntry.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberEntry.java
@@ -1,19 +1,19 @@
 package cranedeal.fleet.membership;
 
-/** What one process knows of another. */
+/** The local state kept for another member. */
 final class MemberEntry {
 
     Member member;
-    /** When it came into this state. */
+    /** When it entered its current state. */
     double stateSince;
-    /** Its place among those that are present, or among the faulty ones. */
+    /** Its index in the probe ring, or in the list of faulty members. */
     int listIndex;
-    /** Not null while it is suspected. */
+    /** Non-null while the member is suspected. */
     Suspicion suspicion;
-    /** When it was last heard of by itself; and the digest of its view then. */
+    /** When its own datagram last arrived; {@code digest} is the digest of its view in that datagram. */
     double lastHeardAt = Double.NEGATIVE_INFINITY;
     long digest;
-    /** When its view last was the same as this one's. */
+    /** When its view last equalled this one. */
     double lastAgreedAt;
 
     MemberEntry(Member member, double now) {
--- a/src/main/java/cranedeal/fleet/membership/MemberUpdate.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberUpdate.java
@@ -1,9 +1,9 @@
 package cranedeal.fleet.membership;
 
 /**
- * Something that is said of a member.
+ * A state of a member, as spread by gossip.
  *
- * @param suspectedBy whose suspicion it is; empty where nobody is suspected
+ * @param suspectedBy the member that suspects it; empty unless its state is SUSPECT
  */
 public record MemberUpdate(Member member, String suspectedBy) {
 
--- a/src/main/java/cranedeal/fleet/membership/PeerStore.java
+++ b/src/main/java/cranedeal/fleet/membership/PeerStore.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 
-/** Where a member keeps whom it knew, so that a fleet that was all killed finds itself again. */
+/** Persists a member's known peers, so that a fleet whose processes were all killed can reassemble. */
 public interface PeerStore {
 
-    /** Keeps nothing. */
+    /** A store that keeps nothing. */
     PeerStore NONE = new PeerStore() {
 
         @Override
@@ -19,9 +19,9 @@
         }
     };
 
-    /** What was written last; null if nothing was. */
+    /** Returns the last bytes written; null if there are none. */
     byte[] read() throws IOException;
 
-    /** Keeps it in place of what was there. */
+    /** Replaces the stored bytes. */
     void write(byte[] bytes) throws IOException;
 }
--- a/src/main/java/cranedeal/fleet/membership/State.java
+++ b/src/main/java/cranedeal/fleet/membership/State.java
@@ -2,23 +2,23 @@
 
 import java.util.Locale;
 
-/** What a member is thought to be. At the same incarnation a later state overrides an earlier one. */
+/** A member's state in a view. Within an incarnation, a later constant overrides an earlier one. */
 public enum State {
-    /** It answers. */
+    /** The member answers. */
     ALIVE,
-    /** It did not answer somebody, and has not said otherwise yet. */
+    /** It did not answer a probe and has not refuted the suspicion yet. */
     SUSPECT,
-    /** It did not answer for so long that it is taken for dead. */
+    /** The suspicion timed out without a refutation. */
     FAULTY,
-    /** It has said that it leaves. */
+    /** It announced that it leaves. */
     LEFT;
 
-    /** The word for it in logs and views. */
+    /** The name used in logs and views. */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Whether a member in this state is counted as there. */
+    /** Returns true if a member in this state counts as present. */
     public boolean isPresent() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/cranedeal/fleet/membership/Suspicion.java
+++ b/src/main/java/cranedeal/fleet/membership/Suspicion.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * How long a member has to contradict a suspicion: long while one member alone suspects it, and the shorter
- * the more do so independently (Lifeguard, the section on local health aware suspicion).
+ * The time that a member has to refute a suspicion: long while a single member suspects it, and shorter with
+ * each independent confirmation (Lifeguard, the section on local health aware suspicion).
  */
 final class Suspicion {
 
@@ -16,7 +16,7 @@
     private final Set<String> suspectedBy = new LinkedHashSet<>();
 
     /**
-     * A suspicion that one member has.
+     * Starts a suspicion held by one member.
      *
      * @param confirmationsWanted the confirmations that shorten the timeout to its minimum; 0 if no
      *     other member could give one
@@ -29,12 +29,12 @@
         this.suspectedBy.add(suspectedBy);
     }
 
-    /** Whether this is a confirmation that counts. */
+    /** Adds a confirmation; returns true if it is new and shortens the timeout. */
     boolean confirm(String name) {
         return suspectedBy.size() <= confirmationsWanted && suspectedBy.add(name);
     }
 
-    /** When the member is taken for dead. */
+    /** When the member is declared faulty. */
     double deadline() {
         if (confirmationsWanted == 0) {
             return startedAt + minMs;
--- a/src/main/java/cranedeal/fleet/membership/Timers.java
+++ b/src/main/java/cranedeal/fleet/membership/Timers.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What is to be done at some time. */
+/** A queue of tasks ordered by due time. */
 final class Timers {
 
     private record Timer(double due, long sequence, Runnable task) { }
@@ -16,12 +16,12 @@
         queue.add(new Timer(due, nextSequence++, task));
     }
 
-    /** When the next one is due; infinite if there is none. */
+    /** The due time of the next task; infinite if there is none. */
     double nextDue() {
         return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().due();
     }
 
-    /** Does one thing that is due; whether there was any. */
+    /** Runs one due task; returns false if none is due. */
     boolean runNextDue(double now) {
         if (nextDue() > now) {
             return false;
--- a/src/main/java/cranedeal/fleet/membership/VersionNotice.java
+++ b/src/main/java/cranedeal/fleet/membership/VersionNotice.java
@@ -1,18 +1,17 @@
 package cranedeal.fleet.membership;
 
 /**
- * What a member says in each datagram of the configuration that it has: the newest version, whose settings it
- * goes by, and where it runs, so that who lacks a version knows whom to ask. Members of the version before
- * look over it.
+ * The configuration version that a member announces in each datagram, with its service and zone, so that
+ * members that lack the version know whom to ask. The previous release ignores the field.
  *
- * @param epoch of whoever published the version; 0 if it has none
- * @param number of the version; 0 if it has none
+ * @param epoch the epoch of the leader that published the version; 0 without a version
+ * @param number the version's number; 0 without a version
  * @param service whose section it has; empty if it has all, as a coordinator does
  * @param zone where it runs; empty if that is not known
  */
 public record VersionNotice(long epoch, long number, String service, String zone) {
 
-    /** Throws {@link IllegalArgumentException} for what can't be told in a datagram. */
+    /** Throws {@link IllegalArgumentException} for values that cannot be encoded. */
     public VersionNotice {
         if (epoch < 0 || number < 0 || epoch > Member.MAX_INCARNATION
                 || number > Member.MAX_INCARNATION) {
@@ -26,7 +25,7 @@
         }
     }
 
-    /** Whether it tells of a later version than another one; any is later than none. */
+    /** Returns true if this version is later than the other; any is later than null. */
     boolean isLaterThan(VersionNotice other) {
         return other == null || epoch > other.epoch || epoch == other.epoch && number > other.number;
     }
--- a/src/main/java/cranedeal/fleet/membership/View.java
+++ b/src/main/java/cranedeal/fleet/membership/View.java
@@ -10,15 +10,15 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** All other members that one process knows of. */
+/** All other members known to one process. */
 final class View {
 
     private final RandomGenerator random;
     private final Map<String, MemberEntry> entries = new HashMap<>();
-    /** The members that are present, in the order in which they are probed. */
+    /** The present members in probe order. */
     private final List<MemberEntry> probeRing = new ArrayList<>();
     private final List<MemberEntry> faulty = new ArrayList<>();
-    /** The place in the ring of the next to be probed. */
+    /** The index in the ring of the next member to probe. */
     private int nextProbeIndex;
     private int suspects;
     private long digest;
@@ -51,7 +51,7 @@
         return suspects;
     }
 
-    /** The same for all views with the same members present, in whatever order they came. */
+    /** A digest of the present members that does not depend on the order in which they were added. */
     long digest() {
         return digest;
     }
@@ -98,7 +98,7 @@
         if (entry.member.state().isPresent()) {
             updateTotals(entry, 1);
             put(probeRing, probeRing.size(), entry);
-            // Among those that are still to be probed in this turn, at any place.
+            // Goes to a random place among those still to be probed in this round.
             swap(probeRing, entry.listIndex,
                     nextProbeIndex + random.nextInt(probeRing.size() - nextProbeIndex));
         } else if (entry.member.state() == State.FAULTY) {
@@ -110,7 +110,7 @@
         if (entry.member.state().isPresent()) {
             updateTotals(entry, -1);
             if (entry.listIndex < nextProbeIndex) {
-                // Those that were probed in this turn stay before those that were not.
+                // Members probed in this round stay in front of the others.
                 nextProbeIndex--;
                 swap(probeRing, entry.listIndex, nextProbeIndex);
             }
@@ -140,7 +140,7 @@
         put(list, second, moved);
     }
 
-    /** The next to be probed: each once in a turn, in an order that is drawn for each turn; null for none. */
+    /** The next member to probe; each once a round, in an order shuffled per round. Null if there is none. */
     MemberEntry nextToProbe() {
         if (nextProbeIndex >= probeRing.size()) {
             nextProbeIndex = 0;
@@ -151,7 +151,7 @@
         return probeRing.isEmpty() ? null : probeRing.get(nextProbeIndex++);
     }
 
-    /** Up to so many members that are present, at random, without one. */
+    /** Up to {@code count} random present members, without {@code excluded}. */
     Collection<MemberEntry> randomPresent(int count, MemberEntry excluded) {
         if (probeRing.size() <= count + 1) {
             return probeRing.stream().filter(entry -> entry != excluded).limit(count).toList();
@@ -166,7 +166,7 @@
         return selected;
     }
 
-    /** Up to so many faulty members, at random. */
+    /** Up to {@code count} random faulty members. */
     Set<MemberEntry> randomFaulty(int count) {
         Set<MemberEntry> selected = new LinkedHashSet<>();
         for (int i = 0; i < count && !faulty.isEmpty(); i++) {
--- a/src/main/java/cranedeal/fleet/membership/package-info.java
+++ b/src/main/java/cranedeal/fleet/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which processes of the fleet are present: a failure detector and the view of each process. A view is an
- * opinion and may differ from process to process, so nothing that must be exclusive or durable is decided
- * here, and the decision module is never told. Uses no other package of the fleet.
+ * Membership of the fleet: a failure detector and each process's view of the members. Views may differ from
+ * process to process, so nothing that must be exclusive or durable is decided here, and the decision module
+ * does not depend on it. Uses no other package of the fleet.
  */
 package cranedeal.fleet.membership;
