--- a/src/main/java/cranedeal/fleet/membership/FleetMember.java
+++ b/src/main/java/cranedeal/fleet/membership/FleetMember.java
@@ -37,13 +37,13 @@
 import java.util.logging.Logger;
 
 /**
- * Runs a {@link Membership} on datagrams and HTTP, on a loop of its own, so that neither it nor what it waits
- * for can keep the rest of the process waiting; members that have a process to themselves may share a loop.
- * While another process holds its address, as in an upgrade, it waits for that.
+ * Runs a {@link Membership} over UDP and HTTP on its own event loop, so that it cannot delay the rest of the
+ * process; members that share a process with nothing else may share a loop. While another process holds the
+ * address, as during an upgrade, it retries to bind.
  */
 public final class FleetMember {
 
-    /** What a member's view is asked for by, over HTTP. */
+    /** The HTTP path of a member's view. */
     public static final String VIEW_PATH = "/fleet/members";
 
     private static final Logger LOG = Logger.getLogger(FleetMember.class.getPackageName());
@@ -53,7 +53,7 @@
     private static final long PERSIST_INTERVAL_MS = 2_000;
     private static final int MAX_PERSISTED_MEMBERS = 200;
     private static final int RECEIVE_BUFFER_BYTES = 2_048;
-    /** Log lines on members in a while; beyond that they are only counted. */
+    /** Log lines about members in a window; further ones are only counted. */
     private static final int MAX_LOG_LINES = 20;
     private static final long LOG_WINDOW_MS = 10_000;
 
@@ -62,7 +62,7 @@
     private final Codec codec;
     private final EventLoop loop;
     private final Executor diskExecutor;
-    /** What ends once the member has; shared ones are the caller's. */
+    /** Shuts down what the member owns; shared resources belong to the caller. */
     private final Runnable releaseResources;
     private final List<Future<?>> periodicTasks = new ArrayList<>();
     private final MemberCalls calls;
@@ -87,23 +87,23 @@
     private volatile Map<String, Long> metrics = Map.of();
 
     /**
-     * What a member is, and where.
+     * The identity and addresses of a member.
      *
-     * @param seed of whatever is drawn, which must be another one in each process
+     * @param seed the random seed and instance number, which must differ in each process
      */
     public record Config(String fleet, String name, InetSocketAddress listen, InetSocketAddress advertise,
             List<InetSocketAddress> seeds, String role, String version, Settings settings, long seed) { }
 
     /**
-     * What a member spends on calls.
+     * Limits of HTTP calls.
      *
      * @param maxConnections that are open to it at a time
      * @param maxBodyBytes the largest body of a call
-     * @param timeoutMs how long a call takes at most
+     * @param timeoutMs the timeout of a call
      */
     public record CallLimits(int maxConnections, int maxBodyBytes, long timeoutMs) {
 
-        /** Usual limits. */
+        /** The default limits. */
         public static final CallLimits DEFAULTS = new CallLimits(16, 1 << 20, 2_000);
     }
 
@@ -144,7 +144,7 @@
         calls = new MemberCalls(this, loop, limits);
     }
 
-    /** Lets it do more than membership; before it starts. */
+    /** Sets the extension; call before {@link #start}. */
     public void setExtension(Extension address) {
         extension = address;
     }
@@ -153,7 +153,7 @@
         return extension;
     }
 
-    /** The loop on which all of it runs. */
+    /** The event loop on which the member runs. */
     public EventExecutor loop() {
         return loop;
     }
@@ -163,7 +163,7 @@
         return config;
     }
 
-    /** Tells of the configuration that this member has, from now on; on its loop, once it has begun. */
+    /** Announces this configuration version from now on; call on the loop. No effect before the start. */
     public void advertise(VersionNotice notice) {
         if (membership != null && !ended) {
             membership.advertise(now(), notice);
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Those of a role that are present in its view; on its loop. */
+    /** The present members of a role; call on the loop. */
     public List<Member> presentMembers(String role) {
         return membership == null ? List.of()
                 : membership.memberStatuses(now()).stream().map(Membership.MemberStatus::member)
@@ -188,7 +188,7 @@
         return reply;
     }
 
-    /** Starts it; what it takes goes on after this returns. */
+    /** Starts the member asynchronously. */
     public void start() {
         loop.execute(() -> {
             if (extension != null) {
@@ -207,12 +207,12 @@
         }
     }
 
-    /** Goes without a word, as another process goes on as this member; returns once the address is free. */
+    /** Stops without announcing it, as another process continues as this member; frees the address. */
     public void handOver() {
         end(() -> membership.stop());
     }
 
-    /** Tells the others that it leaves, and goes. */
+    /** Announces that it leaves, and stops. */
     public void leave() {
         end(() -> membership.leave(now()));
     }
@@ -223,19 +223,19 @@
                 finalAction.run();
             }
             ended = true;
-            // On a loop that others share they would go on for ever.
+            // On a shared loop they would run forever.
             periodicTasks.forEach(task -> task.cancel(false));
             closeChannels();
         }).awaitUninterruptibly(1, TimeUnit.SECONDS);
         releaseResources.run();
     }
 
-    /** The figures by their names, at most half a second old. */
+    /** The metric values by name, at most half a second old. */
     public Map<String, Long> metrics() {
         return metrics;
     }
 
-    /** Milliseconds since some moment of this process. */
+    /** Monotonic time in milliseconds since an arbitrary origin. */
     public double now() {
         return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
@@ -268,7 +268,7 @@
             tcp.addListener(bound -> {
                 serverChannel = tcp.channel();
                 if (ended) {
-                    // It was told to go while it took its address.
+                    // It was stopped while it was binding.
                     closeChannels();
                 } else if (bound.isSuccess()) {
                     diskExecutor.execute(this::startMembership);
@@ -299,7 +299,7 @@
         }
     }
 
-    /** On the disk's thread. */
+    /** Runs on the disk thread. */
     private void startMembership() {
         List<Member> known = List.of();
         try {
@@ -332,7 +332,7 @@
 
     // ---- Events ------------------------------------------------------------------------------------
 
-    /** Sees to it that the core is woken when it wants to be. */
+    /** Schedules the next tick of the membership. */
     private void scheduleTick() {
         double next = membership.wakeAt();
         if (!ended && next < nextTickAt) {
@@ -379,7 +379,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A port where nobody listens is told by the kernel, and is no more than a lost datagram.
+            // The kernel reports a closed port; treated as a lost datagram.
         }
     }
 
@@ -441,7 +441,7 @@
         }
     }
 
-    /** Who comes must not use up the room for who goes. */
+    /** Counts arrivals and departures separately, so that arrivals cannot use up the limit of departures. */
     private void logMemberChange(String line, boolean comes) {
         if ((comes ? arrivalLines++ : departureLines++) < MAX_LOG_LINES) {
             LOG.info(line);
@@ -509,7 +509,7 @@
         metrics = now;
     }
 
-    /** The view, for operators; null before it has begun. */
+    /** The view for operators; null before the start. */
     ObjectNode viewJson() {
         if (membership == null || ended) {
             return null;
@@ -533,12 +533,12 @@
                 .put("since_ms", Math.round(seen.sinceMs())).put("differs_ms", Math.round(seen.differsMs()));
     }
 
-    /** All that is known, for a full exchange; null before it has begun. */
+    /** All known members for a full exchange; null before the start. */
     byte[] encodeMembers() throws IOException {
         return membership == null || ended ? null : codec.encode(membership.members());
     }
 
-    /** Takes what another member knows. */
+    /** Merges another member's encoded view. */
     void merge(byte[] encodedMembers) throws IOException {
         List<Member> members = codec.decodeMembers(encodedMembers);
         if (membership != null && !ended) {
--- a/src/main/java/cranedeal/fleet/membership/MemberCalls.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberCalls.java
@@ -32,15 +32,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls between members, and from operators: {@code GET /fleet/members} shows the view, {@code POST
- * /fleet/sync} is a full exchange. One call a connection. All on the member's loop.
+ * HTTP calls between members and from operators: {@code GET /fleet/members} returns the view, {@code POST
+ * /fleet/sync} is a full exchange. One call per connection. Runs on the member's event loop.
  */
 final class MemberCalls {
 
     private static final String SYNC = "/fleet/sync";
-    /** Calls of this member that are under way at a time. */
+    /** Limit of concurrent calls made by this member. */
     private static final int MAX_CONCURRENT_CALLS = 16;
-    /** Full exchanges that are answered in a second; the rest are told to come again. */
+    /** Full exchanges answered per second; the rest get status 503. */
     private static final int MAX_SYNCS_PER_SECOND = 20;
     private static final double SECOND_MS = 1_000;
 
@@ -63,7 +63,7 @@
         this.limits = limits;
     }
 
-    /** Connections that were closed at once, as too many were open. */
+    /** Connections closed at once because too many were open. */
     long refused() {
         return refusedConnections;
     }
@@ -72,7 +72,7 @@
         return syncs;
     }
 
-    /** Of the bodies of all calls, made here or elsewhere; likewise the next one. */
+    /** Body bytes sent in calls and replies; {@link #bytesReceived} likewise. */
     long bytesSent() {
         return bytesSent;
     }
@@ -127,7 +127,7 @@
         ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** What the extension answers; null if that has no such call. */
+    /** Lets the extension answer; returns null if it has no such call. */
     private CompletionStage<CallReply> answerByExtension(FullHttpRequest request) {
         return member.extension() == null || !request.decoderResult().isSuccess() ? null
                 : member.extension().answer(request.method().name(), request.uri(),
@@ -200,7 +200,7 @@
 
     // ---- Called ------------------------------------------------------------------------------------
 
-    /** Exchanges all with a member, one at a time; what comes back is merged. */
+    /** Starts a full exchange unless one is running, and merges the answer. */
     void sync(InetSocketAddress address) {
         if (syncInFlight) {
             return;
@@ -225,12 +225,12 @@
                     member.merge(answer.body());
                 }
             } catch (IOException e) {
-                // As good as no answer.
+                // A malformed answer counts as none.
             }
         });
     }
 
-    /** Calls another process, and tells what it answers, or that it does not. */
+    /** Calls another process and completes {@code reply} with its answer or a failure. */
     void call(InetSocketAddress to, String method, String uri, byte[] body,
             CompletableFuture<CallReply> reply) {
         if (callsInFlight >= MAX_CONCURRENT_CALLS) {
@@ -248,7 +248,7 @@
                                 new HttpObjectAggregator(limits.maxBodyBytes()), new ReplyHandler(reply));
                     }
                 })
-                // From the address by which others know this member.
+                // Binds to this member's own IP address, by which others know it.
                 .connect(to, new InetSocketAddress(member.listenAddress().getAddress(), 0));
         connected.channel().closeFuture().addListener(closed -> {
             callsInFlight--;
--- a/src/main/java/cranedeal/fleet/membership/Message.java
+++ b/src/main/java/cranedeal/fleet/membership/Message.java
@@ -8,25 +8,25 @@
 /**
  * A datagram between members.
  *
- * @param sequence by which an answer is known
- * @param target the member that is probed, or whose answer this is; empty for whoever it reaches
- * @param targetAddress where that member is, in {@link Kind#ASK}; otherwise null
- * @param from the sender as it thinks of itself
- * @param digest of the sender's view
- * @param notice of the configuration that the sender has; null if it says nothing of any
+ * @param sequence matches an answer to its ping
+ * @param target the member that is probed, or that answers; empty for whoever has the address
+ * @param targetAddress the address of that member in {@link Kind#ASK}; otherwise null
+ * @param from the sender's own state
+ * @param digest the digest of the sender's view
+ * @param notice the configuration version that the sender has; null if it announces none
  */
 public record Message(Kind kind, long sequence, String target, InetSocketAddress targetAddress, Member from,
         long digest,
         List<MemberUpdate> updates, VersionNotice notice) {
 
-    /** A message that says nothing of any configuration. */
+    /** A message without a configuration notice. */
     public Message(Kind kind, long sequence, String target, InetSocketAddress targetAddress, Member from,
             long digest,
             List<MemberUpdate> updates) {
         this(kind, sequence, target, targetAddress, from, digest, updates, null);
     }
 
-    /** How many bytes it takes, in a fleet of that name. */
+    /** The encoded size in bytes, in a fleet of that name. */
     public int encodedSize(String fleet) {
         try {
             return new Codec(fleet).encode(this).length;
@@ -35,17 +35,17 @@
         }
     }
 
-    /** What a datagram is for. */
+    /** The purpose of a datagram. */
     public enum Kind {
-        /** Asks for an answer. */
+        /** Asks for an ACK. */
         PING,
-        /** Answers a ping, also one that went through others. */
+        /** Answers a ping, directly or through a helper. */
         ACK,
-        /** Asks a third member to ping another. */
+        /** Asks a helper to ping a third member (SWIM's ping-req). */
         ASK,
-        /** The third member has had no answer yet, but is there itself. */
+        /** The helper is alive but has no answer from the third member yet. */
         NACK,
-        /** Only carries news. */
+        /** Only carries updates. */
         NEWS
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/Settings.java
+++ b/src/main/java/cranedeal/fleet/membership/Settings.java
@@ -1,41 +1,41 @@
 package cranedeal.fleet.membership;
 
 /**
- * How a member goes about it. All times are in milliseconds and follow from the probe period.
+ * Tuning of the membership protocol. All times are in milliseconds and derived from the probe period.
  *
- * @param periodMs each member probes another one so often
- * @param forgetMs after this time nothing is known any more of a member that is faulty or has left
- * @param maxMembers how many others are known at most
- * @param lifeguard whether local health, independent confirmations and telling the suspect are in use
+ * @param periodMs the interval at which each member probes another one
+ * @param forgetMs how long a member that is faulty or has left is remembered
+ * @param maxMembers the largest number of other members in a view
+ * @param lifeguard whether local health, independent confirmations and notifying the suspect are enabled
  *     (Dadgar, Phillips and Currey, Lifeguard: Local Health Awareness for More Accurate Failure Detection,
  *     2018); without them it is SWIM as published, for comparison
- * @param detectsPauses whether a process that was stopped takes its timers for stopped too
+ * @param detectsPauses whether a process that was stopped (paused) treats its timers as stopped too
  */
 public record Settings(double periodMs, double forgetMs, int maxMembers, boolean lifeguard,
         boolean detectsPauses) {
 
-    /** Usual settings. */
+    /** The default settings. */
     public static final Settings DEFAULTS = new Settings(1_000, 24 * 3_600_000.0, 10_000, true, true);
 
-    /** Through how many others a member is probed that does not answer. */
+    /** How many helpers probe a member that did not answer a direct ping. */
     static final int INDIRECT_PROBES = 3;
-    /** How many independent confirmations shorten a suspicion to its least. */
+    /** How many independent confirmations shorten a suspicion to its minimum. */
     static final int CONFIRMATIONS = 3;
-    /** To how many members news is sent at a time. */
+    /** How many members receive updates in one gossip round. */
     static final int FAN_OUT = 3;
-    /** How many second opinions are wanted of a suspicion that is new. */
+    /** The expected number of members that probe a newly suspected member themselves. */
     static final double CONFIRMING_PROBES = 2.0 * CONFIRMATIONS;
     /**
-     * News is sent so many times the decimal logarithm of the number of members: who is there has to reach
-     * everybody; a suspicion and what contradicts it may miss one, who then asks the suspect itself.
+     * An update is sent this factor times the decimal logarithm of the number of members. Changes of presence
+     * have to reach all members; a suspicion or refutation may miss one, which then asks the suspect itself.
      */
     private static final double SENDS_FACTOR = 3;
     private static final double SUSPICION_SENDS_FACTOR = 2;
-    /** The least time of a suspicion, in periods, times that logarithm; it is never less than a period. */
+    /** Minimum suspicion time in periods, times that logarithm, and never below one period. */
     private static final double MIN_SUSPICION_FACTOR = 0.5;
     private static final double MAX_SUSPICION_FACTOR = 5;
 
-    /** Throws {@link IllegalArgumentException} for what no member can go by. */
+    /** Throws {@link IllegalArgumentException} for values out of range. */
     public Settings {
         if (!(periodMs >= 10 && periodMs <= 600_000) || !(forgetMs >= periodMs) || maxMembers < 1) {
             throw new IllegalArgumentException("a probe period of " + periodMs + " ms, forgotten after "
@@ -43,78 +43,78 @@
         }
     }
 
-    /** Until when an answer is awaited before others are asked. */
+    /** How long a direct answer is awaited before helpers are asked. */
     double directTimeoutMs() {
         return 0.25 * periodMs;
     }
 
-    /** Until when those whom a probe asks have to answer. */
+    /** How long a helper waits for the third member's answer before it sends a NACK. */
     double relayTimeoutMs() {
         return 0.3 * periodMs;
     }
 
-    /** When a probe without an answer has failed. */
+    /** After this time a probe without an answer has failed. */
     double probeTimeoutMs() {
         return 0.7 * periodMs;
     }
 
-    /** How often news goes out while there is any. */
+    /** The interval of gossip rounds while updates are queued. */
     double gossipIntervalMs() {
         return 0.1 * periodMs;
     }
 
-    /** How often faulty members are tried. */
+    /** The interval at which faulty members are pinged. */
     double faultyRetryMs() {
         return 2 * periodMs;
     }
 
-    /** How often seeds are tried that are no members, by one that has found others. */
+    /** The interval at which a member that knows others pings seeds that are not members. */
     double seedRetryMs() {
         return 30 * periodMs;
     }
 
-    /** How long a new process may take over its name from another address. */
+    /** How long after its start a process may take over its name from another address. */
     double joinWindowMs() {
         return 10 * periodMs;
     }
 
-    /** The least time between two full exchanges that this member begins. */
+    /** The minimum time between two full exchanges started by this member. */
     double minSyncIntervalMs() {
         return 0.5 * periodMs;
     }
 
-    /** How long a view has to stay as it is before a difference is more than news on its way. */
+    /** How long a view has to be stable before a digest mismatch is not blamed on updates in transit. */
     double settleMs() {
         return 2 * periodMs;
     }
 
-    /** Who hears nobody for so long is cut off, and need not find that out one by one. */
+    /** A member that receives nothing for this time is isolated, without probing each other member. */
     double silenceTimeoutMs() {
         return 10 * periodMs;
     }
 
-    /** A timer that is so late tells that the process was stopped. */
+    /** A timer this late means that the process was stopped. */
     double pauseThresholdMs() {
         return 0.2 * periodMs;
     }
 
-    /** How often news is sent on, in a fleet of {@code members}. */
+    /** How often an update is sent in a fleet of {@code members}. */
     static int maxSends(int members, boolean important) {
         return (int) Math.ceil((important ? SENDS_FACTOR
                 : SUSPICION_SENDS_FACTOR) * Math.log10(members + 1.0));
     }
 
-    /** In how many rounds of news a member tells of a version of the configuration that it has now. */
+    /** In how many gossip rounds a member announces a new configuration version. */
     static int noticeRounds(int members) {
         return 1 + (int) Math.ceil(Math.log10(members + 1.0));
     }
 
-    /** How long a suspicion lasts at least. */
+    /** The minimum duration of a suspicion. */
     double minSuspicionMs(int members) {
         return periodMs * Math.max(1, MIN_SUSPICION_FACTOR * Math.log10(members));
     }
 
-    /** How long a suspicion lasts that nobody else shares. */
+    /** The duration of a suspicion without confirmations. */
     double maxSuspicionMs(int members) {
         return (lifeguard ? MAX_SUSPICION_FACTOR : 1) * minSuspicionMs(members);
     }
