--- a/src/main/java/cranedeal/fleet/config/Checksum.java
+++ b/src/main/java/cranedeal/fleet/config/Checksum.java
@@ -5,8 +5,8 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 in hexadecimal. A section is asked for by its checksum, of whoever says to have it, so two that
- * differ must never share one; CRC32C, which the store uses against damage, promises that only for some.
+ * SHA-256 in hexadecimal. Sections are requested by checksum from any peer, so different sections must never
+ * share one. CRC32C, which the store uses to detect damage, does not guarantee that.
  */
 final class Checksum {
 
--- a/src/main/java/cranedeal/fleet/config/ConfigCalls.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigCalls.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** The calls about configuration, which are between members, and from operators. */
+/** The HTTP calls about configuration, between members and from operators. */
 public final class ConfigCalls {
 
-    /** {@code GET}: what a process has of the configuration. */
+    /** {@code GET}: the configuration state of a process. */
     public static final String STATUS = "/fleet/config/status";
     /** {@code POST} to a coordinator: publishes the document in the body. */
     public static final String PUBLISH = "/fleet/config/publish";
-    /** {@code POST} to a coordinator: publishes the document of an earlier number again. */
+    /** {@code POST} to a coordinator: publishes the document of an earlier version again. */
     public static final String ROLLBACK = "/fleet/config/rollback";
-    /** {@code POST} to a coordinator: it is to lead. */
+    /** {@code POST} to a coordinator: makes it the leader. */
     public static final String TAKE_OVER = "/fleet/config/take-over";
-    /** The newest manifest, if it is after one; a section by its checksum. */
+    /** {@code GET}: the newest manifest, if later than a given version; a section by its checksum. */
     static final String MANIFEST = "/fleet/config/manifest";
     static final String SECTION = "/fleet/config/section";
     /** Between coordinators. */
--- a/src/main/java/cranedeal/fleet/config/FollowerState.java
+++ b/src/main/java/cranedeal/fleet/config/FollowerState.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 
 /**
- * What a member keeps of the configuration.
+ * The configuration state that a member persists.
  *
  * @param held the manifest of the newest version that it has; null if it has none
  * @param section its service's section there; null if there is none for it
@@ -41,7 +41,7 @@
         return Manifest.JSON.writeValueAsBytes(json);
     }
 
-    /** Throws {@link IOException} for what is none, or is damaged. */
+    /** Throws {@link IOException} if it is malformed or damaged. */
     static FollowerState parse(byte[] bytes) throws IOException {
         JsonNode json = Manifest.JSON.readTree(bytes);
         if (json.path("form").asInt() != FORMAT_VERSION) {
--- a/src/main/java/cranedeal/fleet/config/LogState.java
+++ b/src/main/java/cranedeal/fleet/config/LogState.java
@@ -4,7 +4,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** What a coordinator keeps, as it was read back or as it is now. */
+/** The durable state of a coordinator. */
 final class LogState {
 
     long promisedEpoch;
--- a/src/main/java/cranedeal/fleet/config/LogStorage.java
+++ b/src/main/java/cranedeal/fleet/config/LogStorage.java
@@ -3,18 +3,18 @@
 import java.io.IOException;
 import java.util.Set;
 
-/** Where a coordinator's log is kept. What a method was given outlasts a power loss once it returns. */
+/** Durable storage of a coordinator's log. Data survives a power loss once a method has returned. */
 interface LogStorage {
 
     /**
-     * The highest epoch that was promised, and to whom.
+     * Stores the highest promised epoch and the leader it was promised to.
      *
-     * @param elected whether that leader is this coordinator, and a majority has promised
+     * @param elected true if that leader is this coordinator and a majority has promised
      */
     void promise(long epoch, String leader, boolean elected) throws IOException;
 
     void put(Version version) throws IOException;
 
-    /** Which versions are to be kept of those that were put, and which is the latest that a majority has. */
+    /** Stores which versions to keep, and the latest version that a majority has. */
     void retain(Set<VersionId> ids, VersionId committed) throws IOException;
 }
--- a/src/main/java/cranedeal/fleet/config/Manifest.java
+++ b/src/main/java/cranedeal/fleet/config/Manifest.java
@@ -12,11 +12,11 @@
 import java.util.TreeMap;
 
 /**
- * A version but for what its sections hold: small enough that each member has it.
+ * The metadata of a version without its sections: small enough for each member to have it.
  *
  * @param author who published it
  * @param timeMs when, in milliseconds since 1970
- * @param operation by which a publish that is repeated is known
+ * @param operation an id that makes a repeated publish idempotent
  * @param note how it came to be, such as a rollback
  * @param services the sections by the service that goes by them
  */
@@ -25,12 +25,12 @@
 
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
-    /** The form that this version writes; one that is later is refused. */
+    /** The format version that this release writes; any other is refused. */
     private static final int FORMAT_VERSION = 1;
     private static final int MAX_TEXT_LENGTH = 128;
 
     /**
-     * What a section is known by.
+     * The checksum and size of a section.
      *
      * @param checksum SHA-256 of its bytes, in hexadecimal
      */
@@ -57,7 +57,7 @@
         return json;
     }
 
-    /** Of all that it says. */
+    /** The checksum of all other fields. */
     public String checksum() {
         return Checksum.of(jsonWithoutChecksum().toString().getBytes(StandardCharsets.UTF_8));
     }
@@ -74,7 +74,7 @@
         return parse(JSON.readTree(bytes));
     }
 
-    /** Throws {@link IOException} for what is none, or is damaged. */
+    /** Throws {@link IOException} if it is malformed or damaged. */
     static Manifest parse(JsonNode json) throws IOException {
         if (json == null || json.path("form").asInt() != FORMAT_VERSION) {
             throw new IOException("no manifest of form " + FORMAT_VERSION);
--- a/src/main/java/cranedeal/fleet/config/TokenBucket.java
+++ b/src/main/java/cranedeal/fleet/config/TokenBucket.java
@@ -1,6 +1,6 @@
 package cranedeal.fleet.config;
 
-/** A token bucket: how much may be spent at once, and how much a second over time. */
+/** A token bucket with a burst capacity and a refill rate per second. */
 final class TokenBucket {
 
     private static final double MS_PER_S = 1_000;
@@ -16,7 +16,7 @@
         tokens = capacity;
     }
 
-    /** Takes one, if there is one. */
+    /** Takes one token if available. */
     boolean take(double now) {
         refill(now);
         if (tokens < 1) {
@@ -26,7 +26,7 @@
         return true;
     }
 
-    /** Takes so many if there is any left, and owes those that there are not. */
+    /** Takes {@code amount} tokens if any are left; the balance may go negative. */
     boolean takeWithDebt(double now, double amount) {
         refill(now);
         if (tokens <= 0) {
@@ -36,7 +36,7 @@
         return true;
     }
 
-    /** When there is one again. */
+    /** When the next token is available. */
     double nextAt(double now) {
         refill(now);
         return now + Math.max(0, 1 - tokens) / refillPerMs;
--- a/src/main/java/cranedeal/fleet/config/Version.java
+++ b/src/main/java/cranedeal/fleet/config/Version.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** A version with all that it holds. */
+/** A version with its sections. */
 final class Version {
 
     private final Manifest manifest;
@@ -47,12 +47,12 @@
         return sections;
     }
 
-    /** The bytes of all sections. */
+    /** The size of all sections in bytes. */
     int size() {
         return size;
     }
 
-    /** The section of a checksum; null if it has none. */
+    /** The section with a checksum; null if there is none. */
     byte[] section(String checksum) {
         for (Map.Entry<String, Manifest.Section> entry : manifest.services().entrySet()) {
             if (entry.getValue().checksum().equals(checksum)) {
@@ -71,7 +71,7 @@
         return json;
     }
 
-    /** Throws {@link IOException} for what is none, or is damaged in any part. */
+    /** Throws {@link IOException} if it is malformed or damaged. */
     static Version parse(JsonNode json) throws IOException {
         Map<String, byte[]> bodies = new HashMap<>();
         for (Map.Entry<String, JsonNode> entry : json.path("sections").properties()) {
@@ -80,7 +80,7 @@
         return join(Manifest.parse(json.path("manifest")), bodies::get);
     }
 
-    /** Joins a manifest and its sections by their checksums; throws {@link IOException} likewise. */
+    /** Joins a manifest and its sections by their checksums; throws {@link IOException} on a mismatch. */
     static Version join(Manifest manifest, Function<String, byte[]> byChecksum) throws IOException {
         SortedMap<String, byte[]> sections = new TreeMap<>();
         for (Map.Entry<String, Manifest.Section> entry : manifest.services().entrySet()) {
--- a/src/main/java/cranedeal/fleet/config/VersionId.java
+++ b/src/main/java/cranedeal/fleet/config/VersionId.java
@@ -1,20 +1,19 @@
 package cranedeal.fleet.config;
 
 /**
- * What tells one version from all others, and which is the later one. There is one leader in an epoch, so no
- * two documents have one.
+ * The unique, ordered id of a version. Each epoch has one leader, so no two documents share an id.
  *
- * @param epoch of the leader that published it; from 1
- * @param number which grows over all epochs; from 1
+ * @param epoch the epoch of the leader that published it; from 1
+ * @param number increases across epochs; from 1
  */
 public record VersionId(long epoch, long number) implements Comparable<VersionId> {
 
-    /** Before all versions. */
+    /** No version; ordered before all versions. */
     public static final VersionId NONE = new VersionId(0, 0);
-    /** Numbers that JSON holds exactly. */
+    /** The largest integer that a JSON number holds exactly. */
     private static final long MAX_VALUE = (1L << 53) - 1;
 
-    /** Throws {@link IllegalArgumentException} for numbers that no version has. */
+    /** Throws {@link IllegalArgumentException} for numbers out of range. */
     public VersionId {
         if (epoch < 0 || number < 0 || epoch > MAX_VALUE || number > MAX_VALUE) {
             throw new IllegalArgumentException("no version: " + epoch + "." + number);
--- a/src/main/java/cranedeal/fleet/membership/Membership.java
+++ b/src/main/java/cranedeal/fleet/membership/Membership.java
@@ -10,34 +10,34 @@
 import java.util.SplittableRandom;
 
 /**
- * A member of a fleet: a failure detector that spreads what it finds, and the view that comes of it (Das,
+ * A member of a fleet: a failure detector, the gossip of its findings and the resulting view (Das,
  * Gupta and Motivala, SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol,
- * 2002), with the refinements of Lifeguard (2018) and full exchanges that make up for what was lost.
+ * 2002), with the refinements of Lifeguard (2018) and full exchanges that make up for lost updates.
  *
  * <p>Has no clock, socket or thread: events come in with a time in milliseconds, which never goes back, and
  * {@link Actions} go out. Belongs to one thread.
  */
 public final class Membership {
 
-    /** Probes and pings for others that are under way at a time. */
+    /** Limits of concurrent probes, and of pings made as a helper. */
     private static final int MAX_PROBES = 16;
     private static final int MAX_RELAYS = 64;
-    /** News that raises an incarnation by more than this is forged, unless it is the member's own word. */
+    /** An update that raises an incarnation by more is taken as forged, unless the member itself sent it. */
     private static final long MAX_INCARNATION_JUMP = 1L << 32;
-    /** With so much news waiting, full exchanges are quicker. */
+    /** With this many queued updates, full exchanges are quicker than gossip. */
     private static final int LONG_QUEUE = 32;
-    /** A member in bad health waits longer for answers, but probes no more seldom than by this factor. */
+    /** A member in bad health waits longer for answers, but reduces its probe rate at most by this factor. */
     private static final int MAX_PROBE_SLOWDOWN = 3;
-    /** How many faulty members one tries at a time that has lost most of them. */
+    /** How many faulty members an isolated member pings at a time. */
     private static final int FAULTY_PINGS_WHEN_ISOLATED = 3;
     private static final int SEEDS_PER_ROUND = 3;
-    /** How many suspects are asked for their last word in a period. */
+    /** How many suspects are pinged for a refutation in a period. */
     private static final int MAX_REMINDERS_PER_PERIOD = 4;
-    /** Times that are closer are the same, but for rounding. */
+    /** Times closer than this differ only by rounding. */
     private static final double TIME_TOLERANCE_MS = 1e-3;
     private static final double SWEEPS_PER_FORGET_TIME = 10;
 
-    /** A member that was pinged and has not answered yet. */
+    /** A pinged member that has not answered yet. */
     private static final class Probe {
 
         private final MemberEntry target;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** A ping for another member. */
+    /** A ping made on behalf of another member. */
     private record Relay(InetSocketAddress origin, long originSequence, String target) { }
 
     private final Settings settings;
@@ -64,12 +64,12 @@
     private final Map<Long, Relay> relays = new HashMap<>();
     private final List<InetSocketAddress> seeds = new ArrayList<>();
     private Member self;
-    /** The time, without what this process was stopped. */
+    /** The current time, less the time that this process was stopped. */
     private double now;
     private double stoppedMs;
     private double startedAt;
     private double lastChangeAt;
-    /** When any other member was last heard. */
+    /** When the last datagram of any other member arrived. */
     private double lastHeardAt;
     private double lastSyncAt = Double.NEGATIVE_INFINITY;
     private long lastSequence;
@@ -77,9 +77,9 @@
     private int probeTurn;
     private int remindersSent;
     private boolean gossipScheduled;
-    /** What is told of the configuration in each datagram; null if nothing is. */
+    /** The configuration notice in each datagram; null for none. */
     private VersionNotice notice;
-    /** How many rounds of news are owed to it. */
+    /** Gossip rounds still to be made for the notice. */
     private int noticeRoundsLeft;
     private boolean ended;
     private boolean isolated;
@@ -87,11 +87,11 @@
     private long declaredFaulty;
 
     /**
-     * A member that has not begun.
+     * Creates a member that has not started.
      *
-     * @param self as it is to be known; alive
+     * @param self this member's initial state; alive
      * @param fleet the name of the fleet
-     * @param seed of whatever is drawn
+     * @param seed the random seed
      */
     public Membership(Member self, String fleet, Settings settings, long seed, Actions actions) {
         Member.requireName(fleet);
@@ -104,7 +104,7 @@
         health = new LocalHealth(settings.lifeguard());
     }
 
-    /** What a member has come to, for its figures. */
+    /** Statistics of a member. */
     public record Stats(int members, int suspects, int faulty, boolean isolated, int agreeing, long refused,
             long declaredFaulty, int health) { }
 
@@ -112,17 +112,17 @@
      * One member in a view.
      *
      * @param sinceMs how long it has been in this state
-     * @param differsMs how long its view has not been the same as this one, as far as heard; 0 if it is
+     * @param differsMs how long its view has differed from this one, as far as known; 0 if equal
      */
     public record MemberStatus(Member member, double sinceMs, double differsMs) { }
 
     // ---- Events ------------------------------------------------------------------------------------
 
     /**
-     * Begins.
+     * Starts the member.
      *
-     * @param seedAddresses where others may be; some may be down, wrong, or this process
-     * @param lastKnown the members that this one knew when it last ran
+     * @param seedAddresses addresses of possible members; some may be down, wrong, or this process
+     * @param lastKnown the members known in the previous run
      */
     public void start(double time, List<InetSocketAddress> seedAddresses, Collection<Member> lastKnown) {
         now = time;
@@ -132,7 +132,7 @@
         seeds.addAll(new LinkedHashSet<>(seedAddresses));
         for (Member known : lastKnown) {
             if (!known.name().equals(self.name()) && view.size() < settings.maxMembers()) {
-                // Any word of it is newer than this.
+                // Any update about it is newer than this.
                 view.add(new Member(known.name(), known.address(), 0, 0, State.FAULTY, known.role(),
                         known.version()), now);
             }
@@ -146,12 +146,12 @@
                 this::forgetOldMembers);
     }
 
-    /** When {@link #tick} is next wanted; may be in the past. */
+    /** When {@link #tick} has to be called next; may be in the past. */
     public double wakeAt() {
         return timers.nextDue() + stoppedMs;
     }
 
-    /** Does what is due. */
+    /** Runs all due timers. */
     public void tick(double time) {
         advanceTime(time);
         while (!ended && timers.runNextDue(now + TIME_TOLERANCE_MS)) {
@@ -159,7 +159,7 @@
         }
     }
 
-    /** A datagram has come. */
+    /** Handles a datagram. */
     public void received(double time, InetSocketAddress source, Message message) {
         advanceTime(time);
         Member sender = message.from();
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Takes what another member knows. */
+    /** Merges another member's view. */
     public void merge(double time, Collection<Member> members) {
         advanceTime(time);
         for (Member member : members) {
@@ -197,14 +197,14 @@
         }
     }
 
-    /** Takes others for members as if it had always known them; for simulations. */
+    /** Adds members as if they had always been known; for simulations. */
     public void addKnownMembers(double time, Collection<Member> others) {
         advanceTime(time);
         others.stream().filter(member -> !member.name().equals(self.name()))
                 .forEach(member -> view.add(member, now));
     }
 
-    /** Tells of the configuration that this member has, from now on; one that is later is news. */
+    /** Sets the notice in each datagram; a later version is gossiped at once. */
     public void advertise(double time, VersionNotice newNotice) {
         advanceTime(time);
         boolean isNewer = newNotice != null && newNotice.number() > 0 && newNotice.isLaterThan(notice);
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Tells the others that this member leaves, and does nothing more. */
+    /** Announces that this member leaves, and stops. */
     public void leave(double time) {
         advanceTime(time);
         if (ended) {
@@ -228,7 +228,7 @@
         stop();
     }
 
-    /** Does nothing more, without a word: another process goes on as this member. */
+    /** Stops without announcing it, as another process continues as this member. */
     public void stop() {
         ended = true;
         timers.clear();
@@ -236,22 +236,22 @@
 
     // ---- What is known -----------------------------------------------------------------------------
 
-    /** This member as it is known to the others. */
+    /** This member's state as announced to the others. */
     public Member self() {
         return self;
     }
 
-    /** The digest of the view: the same for all members that have the same ones present. */
+    /** The digest of the view; equal for all members that see the same members present. */
     public long digest() {
         return view.digest() + self.fingerprint();
     }
 
-    /** All that is known, this member first, for a full exchange. */
+    /** All known members, this one first, for a full exchange. */
     public List<Member> members() {
         List<Member> all = new ArrayList<>(view.size() + 1);
         all.add(self);
         view.entries().forEach(entry -> {
-            // What was only known from before is no news to anybody.
+            // Members known only from the previous run are not passed on.
             if (entry.member.incarnation() > 0) {
                 all.add(entry.member);
             }
@@ -259,7 +259,7 @@
         return all;
     }
 
-    /** The others, as they are seen now. */
+    /** The status of all other members. */
     public List<MemberStatus> memberStatuses(double time) {
         double address = time - stoppedMs;
         return view.entries().stream().map(entry -> new MemberStatus(entry.member, address - entry.stateSince,
@@ -267,23 +267,23 @@
                 : address - entry.lastAgreedAt)).toList();
     }
 
-    /** What is known of a name; null if nothing is. */
+    /** The state of a named member; null if unknown. */
     public State stateOf(String name) {
         MemberEntry entry = view.get(name);
         return entry == null ? null : entry.member.state();
     }
 
-    /** How many members are present in the view, with this one. */
+    /** The number of present members, including this one. */
     public int presentCount() {
         return view.presentCount() + 1;
     }
 
-    /** Whether this member reaches less than half of those it knows. */
+    /** Returns true if this member reaches less than half of the known members. */
     public boolean isIsolated() {
         return isolated;
     }
 
-    /** The figures. */
+    /** The current statistics. */
     public Stats stats() {
         int agreeing = 0;
         for (MemberEntry entry : view.entries()) {
@@ -309,8 +309,8 @@
     // ---- Time --------------------------------------------------------------------------------------
 
     /**
-     * A timer that is much too late tells that this process was stopped: what the others would have said
-     * meanwhile was not heard, so no time has passed for any of them.
+     * Advances the clock. A timer that fires far too late means that this process was stopped. Messages of
+     * that time were not received, so the lost time counts for no other member.
      */
     private void advanceTime(double time) {
         double lateMs = time - stoppedMs - timers.nextDue();
@@ -321,7 +321,7 @@
         now = Math.max(now, time - stoppedMs);
     }
 
-    /** Does a task each time, beginning somewhere in the first, so that members don't do it together. */
+    /** Runs a task periodically, with a random first delay so that members do not act in lockstep. */
     private void schedulePeriodic(double ms, Runnable task) {
         timers.schedule(now + ms * random.nextDouble(), new Runnable() {
             @Override
@@ -364,7 +364,7 @@
     private void probeIndirectly(long sequence, Probe probe) {
         if (probes.get(sequence) == probe) {
             Member target = probe.target.member;
-            // Where a datagram was merely lost, a second one does more than all others together.
+            // If a datagram was merely lost, a second direct one helps more than all helpers together.
             send(Message.Kind.PING, sequence, target.name(), null, probe.target);
             for (MemberEntry other : view.randomPresent(Settings.INDIRECT_PROBES, probe.target)) {
                 probe.helpersAsked++;
@@ -377,7 +377,7 @@
         if (!probes.remove(sequence, probe)) {
             return;
         }
-        // Where those who were asked did not answer either, it may be this member that is not reached.
+        // If the helpers did not answer either, this member itself may be unreachable.
         health.worsen(probe.helpersAsked == 0 ? 1 : probe.helpersAsked - Math.min(probe.nacks,
                 probe.helpersAsked));
         MemberEntry target = probe.target;
@@ -417,7 +417,7 @@
         });
     }
 
-    /** Answers a ping for this member; one that is for whoever had this address before gets none. */
+    /** Answers a ping for this member; one for a previous owner of the address gets no answer. */
     private void answerPing(InetSocketAddress source, Message message) {
         if (message.target().isEmpty() || message.target().equals(self.name())) {
             send(Message.Kind.ACK, message.sequence(), self.name(), null, source,
@@ -425,7 +425,7 @@
         }
     }
 
-    /** What overrides a member's own word, which it has to know. */
+    /** The update that overrides the sender's own state, so that it can refute it. */
     private List<MemberUpdate> correctionFor(Member sender) {
         MemberEntry entry = view.get(sender.name());
         return entry != null && entry.member.overrides(sender)
@@ -438,7 +438,7 @@
         }
     }
 
-    /** Asks for a word, and counts nothing if none comes. */
+    /** Pings a member; a missing answer has no effect. */
     private void ping(MemberEntry entry) {
         send(Message.Kind.PING, ++lastSequence, entry.member.name(), null, entry);
     }
@@ -482,7 +482,7 @@
         }
     }
 
-    /** Takes something that is said of a member; {@code itself} if it says so, from where it says it is. */
+    /** Applies an update; {@code firstHand} if the member itself sent it from its own address. */
     private void applyUpdate(MemberUpdate update, boolean firstHand) {
         Member reported = update.member();
         if (reported.name().equals(self.name())) {
@@ -519,7 +519,7 @@
         stateChanged(null, entry, update.suspectedBy(), true);
     }
 
-    /** Puts a member into another state, and tells of it. */
+    /** Sets a member's state and optionally gossips it. */
     private void replace(MemberEntry entry, Member member, String suspectedBy, boolean gossip) {
         Member before = entry.member;
         view.replace(entry, member, now);
@@ -578,14 +578,14 @@
         if (settings.lifeguard()) {
             scheduleReminder(entry, entry.suspicion);
         }
-        // If the member is dead indeed, a few second opinions make that certain soon.
+        // If the member is dead, a few confirming probes shorten the suspicion.
         if (confirmationsWanted > 0 && !suspectedBy.equals(self.name()) && gossipQueue.size() < LONG_QUEUE
                 && random.nextDouble() * members < Settings.CONFIRMING_PROBES) {
             probe(entry);
         }
     }
 
-    /** Asks who is suspected for its last word, as what it said to others may not have come here. */
+    /** Pings the suspect each period, as a refutation it sent to others may not have arrived here. */
     private void scheduleReminder(MemberEntry entry, Suspicion suspicion) {
         timers.schedule(now + settings.periodMs(), () -> {
             if (entry.suspicion == suspicion) {
@@ -615,7 +615,7 @@
         }
     }
 
-    /** Something is said of this member, or of another process that has its name. */
+    /** Handles an update about this member or another process of its name. */
     private void applyUpdateOfSelf(Member reported) {
         if (reported.incarnation() - self.incarnation() > MAX_INCARNATION_JUMP
                 || reported.incarnation() == Member.MAX_INCARNATION) {
@@ -649,7 +649,7 @@
 
     private void updateIsolation() {
         int presentMembers = view.presentCount() + 1;
-        // Who is cut off need not find that out member by member.
+        // A silent network means isolation, without probing each member.
         boolean cutOff = view.presentCount() > 0 && now - lastHeardAt > settings.silenceTimeoutMs();
         boolean isNowIsolated = cutOff || 2 * presentMembers < presentMembers + view.faultyCount();
         if (isNowIsolated != isolated) {
@@ -671,7 +671,7 @@
     private void send(Message.Kind kind, long sequence, String target, InetSocketAddress address,
             MemberEntry entry) {
         Member member = entry.member;
-        // Whoever is suspected hears of it first, and can contradict.
+        // A suspect is always sent its own state, so that it can refute it.
         boolean sendState = member.state() == State.FAULTY
                 || settings.lifeguard() && member.state() == State.SUSPECT;
         send(kind, sequence, target, address, member.address(), sendState && member.incarnation() > 0
