--- a/src/main/java/cranedeal/fleet/config/ConfigDocument.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigDocument.java
@@ -15,18 +15,18 @@
 import java.util.TreeMap;
 
 /**
- * What operators publish: {@code {"form":1,"services":{"front":{"settings":{...},"discovery":"..."}}}}. Each
- * service has a section, which its balancers lay over their own files.
+ * The published document: {@code {"form":1,"services":{"front":{"settings":{...},"discovery":"..."}}}}. Each
+ * service has a section, which its balancers overlay on their own files.
  */
 public final class ConfigDocument {
 
-    /** The most bytes of one section, and of all. */
+    /** The size limits of a section and of the document, in bytes. */
     public static final int MAX_SECTION_BYTES = 256 << 10;
     public static final int MAX_DOCUMENT_BYTES = 2 << 20;
     private static final int FORMAT_VERSION = 1;
     private static final int MAX_SERVICES = 256;
     private static final Set<String> SECTION_KEYS = Set.of("settings", "discovery");
-    /** What differs from balancer to balancer of one service, so that none of it can be published to all. */
+    /** Keys that differ between the balancers of a service, so they cannot be published. */
     private static final Set<String> MACHINE_KEYS = Set.of("name", "listen", "seed", "limits", "fleet",
             "admin_addr", "state_dir", "known", "settings.position", "settings.zone");
     private static final JsonMapper JSON = JsonMapper.builder()
@@ -35,7 +35,7 @@
     private ConfigDocument() {
     }
 
-    /** A document that can't be published; the message says where, by line and key. */
+    /** An invalid document; the message names the line and key. */
     public static final class BadDocumentException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The sections by service, each in one form of its bytes; throws if any of it is wrong. */
+    /** Returns the sections by service, in a canonical encoding; throws if the document is invalid. */
     public static SortedMap<String, byte[]> parse(byte[] bytes) throws BadDocumentException {
         if (bytes.length > MAX_DOCUMENT_BYTES) {
             throw new BadDocumentException("it has " + bytes.length + " bytes, and " + MAX_DOCUMENT_BYTES
@@ -133,7 +133,7 @@
         return new BadDocumentException((line == null ? "" : "line " + line + ": ") + path + " " + problem);
     }
 
-    /** On which line each key is, by its path; those of the first four levels. */
+    /** The line number of each key of the first four levels, by path. */
     private static Map<String, Integer> lineNumbers(byte[] bytes) throws BadDocumentException {
         Map<String, Integer> lines = new HashMap<>();
         try (JsonParser parser = JSON.createParser(bytes)) {
--- a/src/main/java/cranedeal/fleet/config/ConfigFollower.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigFollower.java
@@ -13,68 +13,68 @@
 import java.util.SplittableRandom;
 
 /**
- * A member's side of the fleet's configuration. It hears of the newest version in membership's datagrams,
- * asks whoever told of it for the manifest, and a member or a coordinator, first of its own zone, for its
- * service's section; tries that whole; and tells the others that it has it. It never goes behind the version
- * that it has. What a balancer refuses is not in force there: it goes on by the last that it took.
+ * A member's side of the fleet's configuration. It learns of the newest version from membership datagrams,
+ * requests the manifest from the peer that announced it and its service's section from a member or a
+ * coordinator, preferring its own zone; applies the section as a whole; and announces the version. It never
+ * goes back behind the version it holds. A refused section is not in force: the last accepted one stays.
  *
  * <p>Has no clock, socket, thread or file: events come in with a time in milliseconds, and {@link Actions} go
- * out. One call at a time is under way. Belongs to one thread.
+ * out. At most one call is in flight. Belongs to one thread.
  */
 public final class ConfigFollower {
 
-    /** What is known of so many others at most; of those that were not heard for longest, nothing. */
+    /** Limit of remembered peers; those not heard for longest are dropped. */
     private static final int MAX_PEERS = 512;
     private static final int MAX_REASON_LENGTH = 300;
-    /** Whom to ask first for a section: members of the service, near ones before, then coordinators. */
+    /** Ranks of section sources: members of the service (same zone first), then coordinators. */
     private static final int RANK_COORDINATOR = 2;
     private static final int RANK_OLDER_VERSION = 4;
     private static final int RANK_NONE = 5;
 
     /**
-     * How a member goes about it.
+     * Tuning of a follower.
      *
-     * @param service whose section it goes by
-     * @param zone where it runs; empty if that is not known
-     * @param pollMs it asks a coordinator so often whether it missed anything, which bounds how long a
-     *     version takes to come where no datagram tells of it
-     * @param jitterMs it waits up to so long before it asks for a version
-     * @param spreadMs it waits up to so long before it asks a coordinator for a section, which a member of
-     *     its service may have by then
-     * @param callTimeoutMs an answer is awaited for so long
-     * @param backoffMs the longest wait after the first round of failures; it doubles with each
-     * @param maxBackoffMs and never gets longer
-     * @param burst so many calls can be made at once
-     * @param callsPerS and so many over time
+     * @param service the service whose section it applies
+     * @param zone its zone; empty if unknown
+     * @param pollMs the interval of polling a coordinator, which bounds the delay of a version that no
+     *     datagram announces
+     * @param jitterMs the maximum random delay before it requests a version
+     * @param spreadMs the maximum random delay before it requests a section from a coordinator, so that a
+     *     member of its service may have it by then
+     * @param callTimeoutMs the timeout of a call
+     * @param backoffMs the base of the backoff, which doubles with each round of failures
+     * @param maxBackoffMs the maximum backoff
+     * @param burst the burst of calls
+     * @param callsPerS the sustained rate of calls
      */
     public record Settings(String service, String zone, double pollMs, double jitterMs, double spreadMs,
             double callTimeoutMs, double backoffMs, double maxBackoffMs, double burst, double callsPerS) {
 
-        /** Usual settings. */
+        /** The default settings. */
         public static Settings defaults(String service, String zone) {
             return new Settings(service, zone, 10_000, 100, 1_000, 2_000, 200, 3_000, 20, 2);
         }
     }
 
-    /** What it asks of its host. */
+    /** Operations carried out by the host. */
     interface Actions {
 
-        /** Asks for the manifest of the newest version, if that is after one; answered by its number. */
+        /** Requests the newest manifest if later than {@code after}; {@code call} matches the answer. */
         void requestManifest(long call, InetSocketAddress address, VersionId after);
 
-        /** Asks for a section. */
+        /** Requests a section. */
         void requestSection(long call, InetSocketAddress address, String checksum);
 
-        /** Tries a section whole, null for none, and goes by it if that can be; see {@link #applied}. */
+        /** Applies a section as a whole (null for none), or refuses it; see {@link #applied}. */
         void apply(VersionId id, byte[] section);
 
-        /** Keeps this on disk, if there is a folder. */
+        /** Stores the state on disk, if there is a folder. */
         void persist(FollowerState state);
 
-        /** Tells the others that this member has a version. */
+        /** Announces that this member has a version. */
         void advertise(VersionId id);
 
-        /** The coordinators that are present, as far as known. */
+        /** The coordinators known to be present. */
         Collection<InetSocketAddress> coordinators();
 
         void log(String line);
@@ -89,7 +89,7 @@
         }
     }
 
-    /** What it has come to, for its figures. */
+    /** Statistics of a follower. */
     public record Stats(VersionId held, VersionId inForce, long calls, long failures, long damaged,
             boolean refused) { }
 
@@ -106,13 +106,13 @@
         }
     };
     private FollowerState state = FollowerState.EMPTY;
-    /** A version that is newer than the one held, while its section is still to come; else null. */
+    /** The manifest of a newer version whose section is still missing; else null. */
     private Manifest pendingManifest;
     private final Set<InetSocketAddress> failedSources = new HashSet<>();
     private Phase phase = Phase.IDLE;
-    /** What was in force when it last ran; null once it is settled whether it is again. */
+    /** The state of the previous run; null once it has been applied or refused. */
     private FollowerState previousState;
-    /** Whether what is tried is what was in force when this member last ran. */
+    /** True while the section in force in the previous run is being applied. */
     private boolean applyingPrevious;
     private boolean started;
     private long lastCall;
@@ -121,7 +121,7 @@
     private double nextStepAt = Double.POSITIVE_INFINITY;
     private double nextPollAt;
     private boolean spreadDone;
-    /** Whether the last source that was found for a section is a coordinator. */
+    /** True if the last section source found is a coordinator. */
     private boolean sourceIsCoordinator;
     private int failedRounds;
     private double now;
@@ -129,9 +129,9 @@
     private long damaged;
 
     /**
-     * A member that has not begun.
+     * Creates a follower that has not started.
      *
-     * @param seed of whatever is drawn
+     * @param seed the random seed
      */
     ConfigFollower(Settings settings, long seed, Actions actions) {
         this.settings = settings;
@@ -140,12 +140,12 @@
         budget = new TokenBucket(settings.burst(), settings.callsPerS());
     }
 
-    /** Begins with what it kept when it last ran, which it tries again. */
+    /** Starts with the state of the previous run, which it applies again. */
     void start(double time, FollowerState kept) {
         now = time;
         started = true;
         nextPollAt = now + settings.pollMs() * random.nextDouble();
-        // Until it is tried, this process goes by its own file.
+        // Until the section is applied, only this process's own file is in force.
         state = new FollowerState(kept.held(), kept.section(), VersionId.NONE, null, kept.refusal());
         previousState = kept.held() == null ? null : kept;
         actions.advertise(held());
@@ -157,7 +157,7 @@
 
     // ---- What is known -----------------------------------------------------------------------------
 
-    /** The newest version that it has; {@link VersionId#NONE} if it has none. */
+    /** The newest version held; {@link VersionId#NONE} if there is none. */
     VersionId held() {
         return state.held() == null ? VersionId.NONE : state.held().id();
     }
@@ -166,7 +166,7 @@
         return state;
     }
 
-    /** The section of a checksum, if it has that. */
+    /** The section with a checksum; null if it is not held. */
     byte[] section(String checksum) {
         for (byte[] bytes : new byte[][] {state.section(), state.inForceSection()}) {
             if (bytes != null && Checksum.of(bytes).equals(checksum)) {
@@ -181,7 +181,7 @@
                 state.refusal() != null);
     }
 
-    /** When {@link #tick} is next wanted. */
+    /** When {@link #tick} has to be called next. */
     double wakeAt() {
         return switch (phase) {
             case IDLE -> Math.min(nextStepAt, nextPollAt);
@@ -192,7 +192,7 @@
 
     // ---- Events ------------------------------------------------------------------------------------
 
-    /** Another member has told which version it has. */
+    /** Handles another member's version notice. */
     void noticeReceived(double time, InetSocketAddress address, VersionNotice notice) {
         now = time;
         peers.put(address, new Peer(notice.service(), notice.zone(), new VersionId(notice.epoch(),
@@ -207,7 +207,7 @@
         return pendingManifest == null ? held() : pendingManifest.id();
     }
 
-    /** Does what is due. */
+    /** Runs what is due. */
     void tick(double time) {
         now = time;
         if (phase == Phase.CALLING && now >= deadline) {
@@ -262,7 +262,7 @@
         }
     }
 
-    /** A call came to nothing. */
+    /** Handles a failed call. */
     void callFailed(double time, long number) {
         now = time;
         if (endCall(number)) {
@@ -273,7 +273,7 @@
     }
 
     /**
-     * How a trial came out.
+     * Handles the result of {@link Actions#apply}.
      *
      * @param refusal null if the section is in force now
      */
@@ -322,7 +322,7 @@
 
     // ---- What is done ------------------------------------------------------------------------------
 
-    /** Whether a call that is under way has come to its end. */
+    /** Ends the call in flight; returns false if the number is not its own. */
     private boolean endCall(long number) {
         if (number != lastCall || phase != Phase.CALLING) {
             return false;
@@ -332,7 +332,7 @@
         return true;
     }
 
-    /** Sees to it that it goes on, if there is anything to go on with. */
+    /** Schedules the next step if a newer version is known or pending. */
     private void scheduleNextStep(double waitMs) {
         if (pendingManifest != null || isBehind()) {
             nextStepAt = now + waitMs + settings.jitterMs() * random.nextDouble();
@@ -365,7 +365,7 @@
             return;
         }
         if (source == null) {
-            // All were tried: once more, later.
+            // All sources failed: retry later.
             failedSources.clear();
             failedRounds++;
             double maxDelay = Math.min(settings.maxBackoffMs(),
@@ -395,7 +395,7 @@
         return peers.values().stream().anyMatch(peer -> peer.id().isAfter(newestKnown()));
     }
 
-    /** Who has said to have a version that is newer than the newest that is known; null if nobody has. */
+    /** The peer with the newest version beyond the known ones; null if there is none. */
     private InetSocketAddress findNewerPeer() {
         VersionId best = newestKnown();
         InetSocketAddress found = null;
@@ -459,7 +459,7 @@
         } else {
             state = new FollowerState(manifest, bytes, state.inForce(), state.inForceSection(), null);
             phase = Phase.APPLYING;
-            // Before it is in force, so that no crash leads behind it.
+            // Stored before it is in force, so that a crash cannot fall back behind it.
             actions.persist(state);
             actions.apply(id, bytes);
         }
--- a/src/main/java/cranedeal/fleet/config/ConfigLog.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigLog.java
@@ -14,35 +14,35 @@
 import java.util.TreeSet;
 
 /**
- * A coordinator's side of the fleet's configuration: a log of versions of which a majority of the
- * coordinators has each that counts. One of them leads and takes changes; its place is taken by an operator's
- * word, with a higher epoch that a majority promises first, and after that whatever has a lower one is
- * refused (the promises and the proposal of what was found under the new epoch are those of Lamport, Paxos
- * Made Simple, 2001). An election that needs no operator fits behind {@link #takeOver}.
+ * A coordinator's side of the fleet's configuration: a log of versions; a version is committed once a
+ * majority of the coordinators has it. One coordinator leads and accepts changes. An operator replaces it
+ * with a take-over: a higher epoch that a majority promises first, after which lower epochs are refused
+ * (promises and re-proposal under the new epoch follow Lamport, Paxos Made Simple, 2001). An automatic
+ * election could be added behind {@link #takeOver}.
  *
  * <p>Has no clock, socket or thread: events come in with a time in milliseconds, and {@link Actions} go out.
- * Its {@link LogStorage} has what it was given on disk when it returns, so nothing is told before. Belongs to
- * one thread.
+ * Its {@link LogStorage} returns only once data is on disk, so nothing is announced before. Belongs to one
+ * thread.
  */
 final class ConfigLog {
 
-    /** The most versions that are kept, and the bytes from which on they are fewer, but never below two. */
+    /** Limits of kept versions, by number and by bytes; at least two are kept. */
     static final int MAX_VERSIONS = 64;
     static final int MAX_BYTES = 8 << 20;
-    /** What one answer to a new leader holds at most, so that it is a call of usual size. */
+    /** Limit of versions in one answer to a new leader, in bytes, so that the call keeps a usual size. */
     private static final int MAX_ANSWER_BYTES = 4 << 20;
     private static final int MAX_QUEUED_CHANGES = 16;
-    /** A coordinator that was not heard for so long is asked again; and one that is there, so often. */
+    /** The retry interval for an unanswered coordinator, and the heartbeat interval. */
     static final double RETRY_MS = 2_000;
     private static final double HEARTBEAT_MS = 1_000;
     private static final double FAST_RETRY_MS = 250;
-    /** Until when a change has to be with a majority, or its author is told that it is not yet. */
+    /** After this time a change without a majority is reported as {@link Result#UNKNOWN}. */
     static final double CHANGE_TIMEOUT_MS = 3_000;
     private static final int TAKE_OVER_ATTEMPTS = 3;
-    /** A take-over that has not won after so long never does. */
+    /** A take-over that has not won after this time never will. */
     private static final double HIGHER_PROMISE_TIMEOUT_MS = 2 * CHANGE_TIMEOUT_MS;
 
-    /** How a publish, a rollback or a take-over came out. */
+    /** The result of a publish, a rollback or a take-over. */
     enum Result {
         /** It is on a majority's disks. */
         DONE,
@@ -54,37 +54,37 @@
         REFUSED
     }
 
-    /** Takes an outcome, once. */
+    /** Receives a result, once. */
     interface Reply {
 
         /**
-         * It has come out.
+         * Called with the result.
          *
          * @param id the version; {@link VersionId#NONE} if there is none
          */
         void done(Result result, VersionId id, String why);
     }
 
-    /** What it asks of its host. */
+    /** Operations carried out by the host. */
     interface Actions {
 
-        /** Sends a question to another coordinator, and hands its answer or its failure back. */
+        /** Sends a request to another coordinator and passes its answer or failure back. */
         void prepare(String to, Replication.Prepare request);
 
         /** Likewise. */
         void append(String to, Replication.Append request);
 
-        /** A majority has a version, which is now the one that members are to go by. */
+        /** Called when a majority has a version, which members now apply. */
         void committed(Version version);
 
         void log(String line);
     }
 
-    /** A change that waits for its turn. */
+    /** A queued change. */
     private record Change(String operation, String author, long timeMs, String note,
             SortedMap<String, byte[]> sections, double deadline, Reply reply) { }
 
-    /** What the leader knows of another coordinator. */
+    /** The leader's state for another coordinator. */
     private static final class Peer {
 
         private boolean callInFlight;
@@ -95,7 +95,7 @@
         private double higherPromiseSince = Double.POSITIVE_INFINITY;
     }
 
-    /** A take-over that is under way. */
+    /** A take-over in progress. */
     private static final class Candidacy {
 
         private final long epoch;
@@ -122,13 +122,13 @@
     private final Actions actions;
     private final SplittableRandom random;
     private final Deque<Change> queuedChanges = new ArrayDeque<>();
-    /** Who is to be told of the one version that is not committed yet. */
+    /** Changes that await the commit of the newest version. */
     private final List<Change> pendingChanges = new ArrayList<>();
     private long highestEpochSeen;
     /** The highest epoch of which a leader was heard, which had a majority's promise by then. */
     private long electedEpoch;
     private Candidacy candidacy;
-    /** The version of which it was last told that the disk can't take that it is committed. */
+    /** The last version whose commit could not be recorded on disk, to log that once. */
     private VersionId lastUnrecordedCommit = VersionId.NONE;
     private double now;
 
@@ -152,7 +152,7 @@
         highestEpochSeen = state.promisedEpoch;
     }
 
-    /** Begins; a leader goes on as the leader of its epoch. */
+    /** Starts; a leader continues as the leader of its epoch. */
     void start(double time) {
         now = time;
         if (state.current() != null) {
@@ -264,7 +264,7 @@
                 old == null ? new java.util.TreeMap<>() : old.sections(), reply);
     }
 
-    /** Takes the leader's place, with an epoch that is higher than any that a majority has promised. */
+    /** Becomes the leader with an epoch higher than any that a majority has promised. */
     void takeOver(double time, Reply reply) {
         now = time;
         if (candidacy != null) {
@@ -348,7 +348,7 @@
         carryOver();
     }
 
-    /** Takes the latest version that any of a majority has, and drops what was never committed. */
+    /** Adopts the latest version found in a majority, and drops those never committed. */
     private void adoptVersions(Candidacy winner) throws IOException {
         Set<VersionId> lineage = new TreeSet<>();
         VersionId best = state.versions.isEmpty() ? VersionId.NONE : state.versions.lastKey();
@@ -376,8 +376,8 @@
     }
 
     /**
-     * What was found counts once a majority has it under this leader's own epoch: under an earlier one it
-     * could still be overridden by what a third leader published in between.
+     * Re-proposes the newest version under this leader's epoch. Under an earlier epoch it could still be
+     * overridden by a version that a third leader published in between.
      */
     private void carryOver() {
         Version newest = state.newest();
@@ -418,7 +418,7 @@
 
     // ---- The leader --------------------------------------------------------------------------------
 
-    /** Writes the next change, if none is under way. */
+    /** Stores and sends the next change, if none is in progress. */
     private void startNextChange() {
         Version newest = state.newest();
         boolean idle = newest == null || newest.id().epoch() == state.promisedEpoch
@@ -511,7 +511,7 @@
         peer.higherPromiseSince = Double.POSITIVE_INFINITY;
         peer.reachable = true;
         peer.heldVersions = answer.heldVersions();
-        // One that can't write, as on a full disk, is not asked at once again.
+        // A coordinator that cannot write, as on a full disk, is not called again at once.
         boolean more = newestMissing(peer) != null || answer.committed().compareTo(state.committed) < 0;
         peer.nextSendAt = now + (!more ? HEARTBEAT_MS : answer.accepted() ? 0 : FAST_RETRY_MS);
         commitIfMajority();
@@ -536,7 +536,7 @@
         }
     }
 
-    /** No answer came from another coordinator. */
+    /** Handles a failed append call. */
     void handleAppendFailure(double time, String peer) {
         now = time;
         Peer peerState = peers.get(peer);
@@ -598,7 +598,7 @@
         return kept;
     }
 
-    /** Does what is due. */
+    /** Runs what is due. */
     void tick(double time) {
         now = time;
         if (candidacy != null && now >= candidacy.deadline) {
@@ -628,7 +628,7 @@
 
     // ---- The others --------------------------------------------------------------------------------
 
-    /** Another coordinator stands for leader. */
+    /** Handles another coordinator's prepare request. */
     Replication.Answer handlePrepare(double time, Replication.Prepare request) {
         now = time;
         highestEpochSeen = Math.max(highestEpochSeen, request.epoch());
@@ -655,7 +655,7 @@
         return answer(true, lacking);
     }
 
-    /** The leader's word has come. */
+    /** Handles the leader's append request. */
     Replication.Answer handleAppend(double time, Replication.Append request) {
         now = time;
         highestEpochSeen = Math.max(highestEpochSeen, request.epoch());
@@ -702,7 +702,7 @@
                 new TreeSet<>(state.versions.keySet()), versions);
     }
 
-    /** Goes behind a leader of a higher epoch; whether that could be kept. */
+    /** Follows a leader of a higher epoch; returns false if the promise could not be stored. */
     private boolean followLeader(long epoch, String leader) {
         stepDown(epoch, leader);
         try {
@@ -715,7 +715,7 @@
         return true;
     }
 
-    /** Leads no longer, and tells those who wait. */
+    /** Stops leading and notifies those who wait. */
     private void stepDown(long epoch, String leader) {
         state.elected = false;
         List<Change> abandoned = new ArrayList<>(pendingChanges);
--- a/src/main/java/cranedeal/fleet/config/ConfigMember.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigMember.java
@@ -22,8 +22,8 @@
 import java.util.logging.Logger;
 
 /**
- * Runs a {@link ConfigFollower} in a member of the fleet: on the member's loop, its calls over the member's
- * address, its disk and its trials on another thread, so that neither keeps the loop waiting.
+ * Runs a {@link ConfigFollower} on a member's event loop. Its calls go over the member's address; disk access
+ * and applying sections run on another thread, so that neither blocks the loop.
  */
 public final class ConfigMember implements Extension {
 
@@ -31,34 +31,33 @@
     private static final double NANOS_PER_MS = 1e6;
     private static final long THREAD_IDLE_S = 5;
     /**
-     * How many bytes one member serves others in a second, with a burst of as many: who has a version first
-     * is asked by many at once, and the rest find it with others soon.
+     * Bytes per second, and burst, that one member serves to others. The first member with a version is asked
+     * by many at once; the rest soon find the version on other members.
      */
     private static final int SERVED_BYTES_PER_S = 8_000;
-    /** Question and answer without the body: request line, status line, headers. */
+    /** Size of a request and its answer without the body: request line, status line, headers. */
     static final int CALL_BYTES = 350;
 
-    /** Whether a section can be gone by. */
+    /** Applies sections to the process. */
     public interface SectionApplier {
 
         /**
-         * Tries a section whole, and goes by it from then on if it can; null is for none, so that only what
-         * the process has of its own counts. May take its time. Throws {@link RefusedException}, and then
-         * all is as before.
+         * Applies a section as a whole; null means that only the process's own file counts. May block. If it
+         * throws {@link RefusedException}, nothing has changed.
          */
         void apply(byte[] section) throws RefusedException;
     }
 
-    /** A section can't be gone by. */
+    /** A section that cannot be applied. */
     public static final class RefusedException extends Exception {
 
         private static final long serialVersionUID = 1;
         private final String key;
 
         /**
-         * Says why.
+         * Creates a refusal.
          *
-         * @param key the key that is at fault; empty if it is none alone
+         * @param key the invalid key; empty if the cause is not a single key
          */
         public RefusedException(String key, String reason) {
             super(reason);
@@ -66,10 +65,10 @@
         }
     }
 
-    /** Where a member keeps what it has; either may wait for a disk. */
+    /** Persists a member's configuration state; both methods may block on a disk. */
     public interface StateStore {
 
-        /** Keeps nothing. */
+        /** A store that keeps nothing. */
         StateStore NONE = new StateStore() {
 
             @Override
@@ -83,10 +82,10 @@
             }
         };
 
-        /** What was written last; null if nothing was. */
+        /** Returns the last bytes written; null if there are none. */
         byte[] read() throws IOException;
 
-        /** Keeps it in place of what was there. */
+        /** Replaces the stored bytes. */
         void write(byte[] bytes) throws IOException;
     }
 
@@ -100,7 +99,7 @@
     private double nextTickAt = Double.POSITIVE_INFINITY;
     private boolean started;
 
-    /** The same with a thread of its own, which is there only while there is something to do. */
+    /** The same with its own thread, which exists only while there is work. */
     public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore stateStore,
             SectionApplier sectionApplier,
             long seed) {
@@ -108,10 +107,10 @@
     }
 
     /**
-     * A member that goes by the fleet's configuration, once {@link FleetMember#start} is called.
+     * Creates a member that follows the fleet's configuration once {@link FleetMember#start} is called.
      *
-     * @param seed of whatever is drawn, which must be another one in each process
-     * @param executor does one thing at a time, in order
+     * @param seed the random seed, which must differ in each process
+     * @param executor runs one task at a time, in order
      */
     public ConfigMember(FleetMember member, ConfigFollower.Settings settings, StateStore stateStore,
             SectionApplier sectionApplier,
@@ -136,7 +135,7 @@
         return pool;
     }
 
-    /** What was in force before is so again at once, also while an upgrade's other process is the member. */
+    /** Restores the last configuration at once, even while an upgrade's other process is the member. */
     @Override
     public void starting() {
         executor.execute(() -> {
@@ -165,7 +164,7 @@
         member.advertise(new VersionNotice(id.epoch(), id.number(), settings.service(), settings.zone()));
     }
 
-    /** Does something on the loop, and sees to it that the follower is woken when it wants to be. */
+    /** Runs a task on the loop and schedules the follower's next tick. */
     private void onLoop(Runnable task) {
         member.loop().execute(() -> {
             task.run();
@@ -214,7 +213,7 @@
                 : CallReply.text(ConfigCalls.UNAVAILABLE, "try again"));
     }
 
-    /** What it has, for operators. */
+    /** The status for operators. */
     private ObjectNode status() {
         FollowerState state = follower.state();
         ObjectNode status = Manifest.JSON.createObjectNode().put("role", member.config().role())
--- a/src/main/java/cranedeal/fleet/config/Coordinator.java
+++ b/src/main/java/cranedeal/fleet/config/Coordinator.java
@@ -34,15 +34,15 @@
 import java.util.stream.Collectors;
 
 /**
- * A process that keeps the fleet's configuration: a member whose address takes the calls of operators,
- * members and the other coordinators. The {@link ConfigLog} and its disk have a thread of their own; what is
- * asked for often, the newest version, is answered without them.
+ * A process that stores the fleet's configuration: a member whose address serves operators, members and the
+ * other coordinators. The {@link ConfigLog} and its disk have their own thread; frequent requests, for the
+ * newest version, are answered without it.
  */
 public final class Coordinator implements Extension, Closeable {
 
     /** The role of coordinators among the members. */
     public static final String ROLE = "coordinator";
-    /** How many calls of members one coordinator answers in a second; the rest are told to come again. */
+    /** Calls of members that one coordinator answers per second; the rest get status 503. */
     static final int MAX_CALLS_PER_S = 200;
     /** Calls may be as large as the largest answer to a new leader, in JSON, and as slow as a busy disk. */
     static final FleetMember.CallLimits LIMITS = new FleetMember.CallLimits(128, 8 << 20, 5_000);
@@ -63,11 +63,11 @@
     private double nextTickAt = Double.POSITIVE_INFINITY;
 
     /**
-     * A coordinator that has not started. Throws {@link IOException} if its folder can't be used.
+     * Creates a coordinator that has not started. Throws {@link IOException} if its folder can't be used.
      *
-     * @param config its place among the members, in the role {@link #ROLE}
+     * @param config its member configuration, with the role {@link #ROLE}
      * @param peers the coordinators, by the addresses that they advertise; it may be among them
-     * @param zone where it runs; empty if that is not known
+     * @param zone its zone; empty if unknown
      */
     public Coordinator(FleetMember.Config config, List<InetSocketAddress> peers, String zone, Path folder)
             throws IOException {
@@ -100,12 +100,12 @@
         return new TokenBucket(MAX_CALLS_PER_S, MAX_CALLS_PER_S);
     }
 
-    /** Starts it; what it takes goes on after this returns. */
+    /** Starts the coordinator asynchronously. */
     public void start() {
         member.start();
     }
 
-    /** Tells the others that it leaves, and returns once its disk is free. */
+    /** Announces that it leaves, and returns once its disk is released. */
     @Override
     public void close() throws IOException {
         member.leave();
@@ -120,7 +120,7 @@
 
     // ---- On the coordinator's thread ---------------------------------------------------------------
 
-    /** Does something with the log, and sees to it that it is woken when it wants to be. */
+    /** Runs a task on the log's thread and schedules the log's next tick. */
     private void executeOnLog(Runnable task) {
         if (executor.isShutdown()) {
             return;
@@ -210,7 +210,7 @@
 
     @Override
     public void starting() {
-        // All that it does is for others, who reach it by its address.
+        // It can only serve others once it has its address.
     }
 
     @Override
@@ -221,7 +221,7 @@
 
     @Override
     public void noticeReceived(Member from, VersionNotice notice) {
-        // What it has comes from the other coordinators alone.
+        // Its versions come only from the other coordinators.
     }
 
     @Override
@@ -349,7 +349,7 @@
         return json.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** What it has, for operators. */
+    /** The status for operators. */
     private ObjectNode status() {
         ObjectNode status = Manifest.JSON.createObjectNode().put("role", ROLE)
                 .put("name", member.config().name()).put("zone", zone).put("epoch", log.epoch())
--- a/src/main/java/cranedeal/fleet/config/LogStore.java
+++ b/src/main/java/cranedeal/fleet/config/LogStore.java
@@ -21,8 +21,8 @@
 import java.util.function.Consumer;
 
 /**
- * A coordinator's log in a store: each record is one step, and a snapshot has the steps to the state. A
- * section is written once, whichever versions have it.
+ * Stores a coordinator's log: each record is one step, and a snapshot holds the steps that lead to the state.
+ * A section is written once, however many versions share it.
  */
 final class LogStore implements LogStorage, Closeable {
 
@@ -36,13 +36,13 @@
     private final Store store;
     private final Consumer<String> warn;
     private final LogState state = new LogState();
-    /** Those of the versions that are kept, by their checksums. */
+    /** The sections of the kept versions, by checksum. */
     private final Map<String, byte[]> sections = new HashMap<>();
 
     /**
-     * Opens it; throws as {@link Store#open} does.
+     * Opens the log; throws as {@link Store#open} does.
      *
-     * @param warn told what went wrong after something was kept
+     * @param warn receives errors that occur after data was stored
      */
     LogStore(Disk disk, Consumer<String> warn) throws IOException {
         this.warn = warn;
@@ -103,7 +103,7 @@
         sections.keySet().retainAll(used);
     }
 
-    /** What was to be kept is kept by now, so it holds whether this succeeds or not. */
+    /** The data is already durable, so a failure here is only logged. */
     private void replaceBySnapshot() {
         try (Store.Snapshot snapshot = store.snapshot()) {
             snapshot.write(snapshotPiece(PROMISE, bytes(promiseJson(state.promisedEpoch, state.leader,
@@ -152,7 +152,7 @@
         store.close();
     }
 
-    /** Takes the steps that were kept. */
+    /** Applies the stored steps. */
     private final class Replay implements ReplayHandler {
 
         private IOException failure;
--- a/src/main/java/cranedeal/fleet/config/Replication.java
+++ b/src/main/java/cranedeal/fleet/config/Replication.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What coordinators say to one another: two questions, and the answer to both. */
+/** The messages between coordinators: two requests and their common answer. */
 final class Replication {
 
     private Replication() {
     }
 
     /**
-     * Asks for the promise to refuse whatever has a lower epoch.
+     * Requests the promise to refuse lower epochs.
      *
      * @param newest the latest version that the sender knows to be committed
      */
