--- a/src/test/java/cranedeal/fleet/config/ConfigDocumentTest.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigDocumentTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators can publish, and how they are told what they can't. */
+/** Valid and invalid configuration documents, and the messages for the invalid ones. */
 class ConfigDocumentTest {
 
     private static final String GOOD = """
--- a/src/test/java/cranedeal/fleet/config/ConfigFleetTest.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigFleetTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Configuration from the coordinators to all members, in virtual time. The property {@code config.changes}
- * says how many changes a play has, {@code config.cuts} how many cuts.
+ * Distribution of the configuration from the coordinators to all members, in virtual time. The property
+ * {@code config.changes} sets the number of changes in a run, {@code config.cuts} the number of network cuts.
  */
 class ConfigFleetTest {
 
-    /** The operators' target. */
+    /** The operators' target for the time until a version is in force on each member. */
     private static final double MAX_DELAY_MS = 15_000;
     private static final int CHANGES = Integer.getInteger("config.changes", 8);
-    /** What a balancer may spend on control in a second. */
+    /** Control traffic that a balancer may cause per second. */
     private static final double MAX_BYTES_PER_S = 18_000;
     private static final int MAX_CUTS = Integer.getInteger("config.cuts", 1);
     private static final int SECTION_BYTES = 6_000;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Bursts of ten changes in a minute, of one service, or of all at once. */
+    /** Bursts of ten changes a minute, of one service or of all, neither delay nor overload the fleet. */
     @ParameterizedTest
     @CsvSource({"520,false", "520,true", "1040,false", "1040,true"})
     void burstsOfChangesAreInForceOnAllMembersInTime(int size, boolean allServices) {
@@ -127,7 +127,7 @@
             assertEquals(member.index % 2 == 0 ? good : fleet.newest(), state.inForce(), member.name());
             assertEquals(member.index % 2 == 0, state.refusal() != null, member.name());
         }
-        // Whoever starts anew comes back with the last that it took.
+        // A restarted member comes back with the last version that it accepted.
         FleetSimulation.SimulatedProcess process = fleet.members.get(1);
         assertEquals(0, process.index % 2);
         process.kill();
@@ -170,7 +170,7 @@
             publish(fleet, document, "o" + change);
             switch (random.nextInt(6)) {
                 case 0 -> {
-                    // What membership does of a cut takes most of the time that a play takes.
+                    // Membership's work during a cut takes most of the time of a run.
                     if (cutOff.isEmpty() && cuts < MAX_CUTS) {
                         boolean region = regions && cuts == 0;
                         cuts++;
@@ -186,7 +186,7 @@
                     cutOff.clear();
                 }
                 case 3 -> {
-                    // The leader dies, and another takes its place.
+                    // The leader dies, and another one takes over.
                     FleetSimulation.SimulatedProcess leader = leader(fleet);
                     if (leader != null && dead.stream().noneMatch(process -> process.node != null)) {
                         leader.kill();
@@ -195,7 +195,7 @@
                     }
                 }
                 case 4 -> {
-                    // Two that think that they lead.
+                    // Two coordinators that both believe they lead.
                     takeOver(fleet, fleet.coordinators.get(random.nextInt(3)));
                     takeOver(fleet, fleet.coordinators.get(random.nextInt(3)));
                 }
--- a/src/test/java/cranedeal/fleet/config/ConfigLogTest.java
+++ b/src/test/java/cranedeal/fleet/config/ConfigLogTest.java
@@ -16,7 +16,7 @@
 /** The coordinators' log in virtual time. */
 class ConfigLogTest {
 
-    /** What came of something that was asked for. */
+    /** The recorded result of a request. */
     private static final class Outcome implements ConfigLog.Reply {
 
         private Result result;
@@ -106,7 +106,7 @@
         simulation.runFor(5_000);
         publish(simulation, leader, "a");
         publish(simulation, leader, "b");
-        // Asked for while its change is still on its way.
+        // Requested while the change is not committed yet.
         Outcome back = rollback(simulation, leader, 1, "back");
         simulation.runFor(20_000);
         assertEquals(Result.REFUSED, back.result, "1 was not committed by then: " + back.why);
@@ -149,7 +149,7 @@
 
     @Test
     void unansweredChangeIsEitherCommittedOrDropped() {
-        // Killed between its write and the answer, and then replaced or started again.
+        // The leader is killed between its write and the answer, and then restarted or replaced.
         for (int scenario = 0; scenario < 2; scenario++) {
             CoordinatorSimulation simulation = new CoordinatorSimulation(3, 4);
             CoordinatorSimulation.Node leader = simulation.all().get(0);
@@ -244,7 +244,7 @@
         }
     }
 
-    /** A publish or a rollback of the random plays. */
+    /** A publish in a random run. */
     private record ChangeRequest(String operation, double requestedAt, Outcome outcome,
             double[] answeredAt) { }
 
@@ -263,7 +263,7 @@
             simulation.lossOfCalls = random.nextInt(3) * 0.1;
             for (int step = 0; step < 120; step++) {
                 CoordinatorSimulation.Node any = simulation.any();
-                // Half of all go to one that thinks that it leads, if there is any.
+                // Half of the requests go to a coordinator that believes it leads, if there is one.
                 CoordinatorSimulation.Node node = random.nextBoolean() ? any : simulation.all().stream()
                         .filter(request -> request.up && request.log.isLeader()).findFirst().orElse(any);
                 switch (random.nextInt(12)) {
@@ -280,7 +280,7 @@
                     case 6, 7 -> simulation.all().stream().filter(request -> !request.up)
                             .forEach(CoordinatorSimulation.Node::start);
                     default -> {
-                        // Now and then one that was asked for before.
+                        // Occasionally repeats an earlier operation.
                         String operation = !requests.isEmpty() && random.nextInt(4) == 0
                                 ? requests.get(random.nextInt(requests.size())).operation() : "o" + step;
                         Outcome outcome = new Outcome();
@@ -321,7 +321,7 @@
                 assertEquals(request.operation(),
                         simulation.allCommitted.get(request.outcome().id).manifest().operation());
             }
-            // What is in force at the end was not overridden by anything that was begun after its answer.
+            // The final version was not overridden by a change that was requested after its answer.
             if (current != null) {
                 String operation = current.manifest().operation();
                 double begun = requests.stream().filter(request -> request.operation().equals(operation))
--- a/src/test/java/cranedeal/fleet/config/CoordinatorSimulation.java
+++ b/src/test/java/cranedeal/fleet/config/CoordinatorSimulation.java
@@ -14,12 +14,12 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 
-/** Some coordinators in virtual time, with a disk each, and calls between them that can be late or lost. */
+/** Simulates coordinators in virtual time, each with a disk, with calls that can be late or lost. */
 final class CoordinatorSimulation {
 
     static final double CALL_MS = 5_000;
 
-    /** What a process that dies does no more. */
+    /** Aborts the task of a killed process. */
     static final class ProcessKilled extends Error {
 
         private static final long serialVersionUID = 1;
@@ -27,7 +27,7 @@
 
     private record Event(double at, long sequence, Runnable task) { }
 
-    /** One coordinator over all its processes. */
+    /** A coordinator across its restarts. */
     final class Node implements LogStorage, ConfigLog.Actions {
 
         final String name;
@@ -37,7 +37,7 @@
         boolean diskFull;
         int process;
         double pausedUntil;
-        /** Dies at this write, once it is done: 1 for the next; 0 for none. */
+        /** Dies right after this write: 1 for the next one; 0 for none. */
         int writesUntilKilled;
         final List<VersionId> committed = new ArrayList<>();
         Consumer<Version> onCommitted = version -> { };
@@ -99,7 +99,7 @@
         public void retain(Set<VersionId> ids, VersionId isCommitted) throws IOException {
             checkDiskSpace();
             disk.retain(ids, isCommitted);
-            // This write is what commits; it may be told late, by a process that was killed right after it.
+            // This write commits; a process killed right after it may announce it late.
             if (!isCommitted.equals(VersionId.NONE) && allCommitted.putIfAbsent(isCommitted,
                     disk.versions.get(isCommitted)) == null && !allCommitted.lastKey().equals(isCommitted)) {
                 throw new AssertionError(isCommitted + " is committed behind " + allCommitted.keySet());
@@ -132,14 +132,14 @@
 
         @Override
         public void log(String line) {
-            // What it says is for people.
+            // Log lines are not checked.
         }
     }
 
     final SplittableRandom random;
     final Map<String, Node> nodes = new TreeMap<>();
     final Map<VersionId, String> documents = new HashMap<>();
-    /** Each version that any coordinator has called committed. */
+    /** Each version that any coordinator has recorded as committed. */
     final TreeMap<VersionId, Version> allCommitted = new TreeMap<>();
     BiPredicate<String, String> canReach = (from, to) -> true;
     double lossOfCalls;
@@ -161,7 +161,7 @@
         events.add(new Event(time, nextSequence++, task));
     }
 
-    /** Lets a coordinator's process do something, if it lives and is not stopped. */
+    /** Runs a task in a coordinator's process, if it is alive, once it is not paused. */
     void run(Node node, Runnable task) {
         int startedProcess = node.process;
         schedule(Math.max(now, node.pausedUntil), () -> {
@@ -214,7 +214,7 @@
         }));
     }
 
-    /** Lets time pass. */
+    /** Advances the virtual time. */
     void runFor(double ms) {
         double end = now + ms;
         while (true) {
@@ -245,7 +245,7 @@
         }
     }
 
-    /** All that faults did is over: all live, reach one another and can write. */
+    /** Ends all faults: all coordinators run, reach one another and can write. */
     void heal() {
         canReach = (from, to) -> true;
         lossOfCalls = 0;
--- a/src/test/java/cranedeal/fleet/config/FleetSimulation.java
+++ b/src/test/java/cranedeal/fleet/config/FleetSimulation.java
@@ -26,8 +26,8 @@
 import java.util.function.Function;
 
 /**
- * Three coordinators and many members in virtual time, with the program's own code of membership, log and
- * follower; the same seed plays the same.
+ * Simulates three coordinators and many members in virtual time, with the production code of membership, log
+ * and follower. Runs are deterministic for a seed.
  */
 final class FleetSimulation {
 
@@ -36,13 +36,13 @@
     private static final String FLEET = "clinics";
     private static final int PORT = 9_000;
     private static final int HOSTS_PER_SUBNET = 250;
-    /** One of so many datagrams is encoded, to see how large they are. */
+    /** One of this many datagrams is encoded, to measure its size. */
     private static final int SAMPLE_INTERVAL = 16;
 
-    /** A version that somebody has not come to yet. */
+    /** A version that a member has not applied yet. */
     private record PendingVersion(VersionId id, double since) { }
 
-    /** A process of the fleet, over all its starts. */
+    /** A process of the fleet across its restarts. */
     final class SimulatedProcess implements Actions, ConfigFollower.Actions {
 
         final int index;
@@ -52,7 +52,7 @@
         final String service;
         /** Null for a member. */
         final CoordinatorSimulation.Node node;
-        /** Calls that a coordinator answers, bytes that a member does. */
+        /** Limits the calls answered by a coordinator, or the bytes served by a member. */
         private final TokenBucket servingBudget;
         private Membership membership;
         ConfigFollower follower;
@@ -66,7 +66,7 @@
         private final Deque<PendingVersion> pendingVersions = new ArrayDeque<>();
         private VersionId highestHeld = VersionId.NONE;
         private VersionId highestInForce = VersionId.NONE;
-        /** Of calls, sent and received, by the second. */
+        /** Bytes of calls, sent and received, by second. */
         private final Map<Long, long[]> callBytes = new HashMap<>();
         private long datagramsSent;
         final Map<Long, Integer> callsBySecond = new HashMap<>();
@@ -141,7 +141,7 @@
             }
         }
 
-        /** Does something in this process, once it is not stopped. */
+        /** Runs a task in this process, once it is not paused. */
         private void run(Runnable task) {
             int startedProcess = process;
             coordinatorSimulation.schedule(Math.max(coordinatorSimulation.now, pausedUntil), () -> {
@@ -178,7 +178,7 @@
             }
         }
 
-        /** Sees what it has come to, and that it goes nowhere back. */
+        /** Records the delays of applied versions, and fails if a version goes back. */
         private void checkProgress() {
             if (follower == null) {
                 return;
@@ -204,7 +204,7 @@
                     second -> new long[1])[0] += bytes;
         }
 
-        // What membership asks for.
+        // Actions of the membership.
 
         @Override
         public void send(InetSocketAddress to, Message message) {
@@ -238,7 +238,7 @@
 
         @Override
         public void memberChanged(Member before, Member now) {
-            // Membership's own tests look at this.
+            // Covered by the tests of membership.
         }
 
         @Override
@@ -258,7 +258,7 @@
             }
         }
 
-        // What the follower asks for.
+        // Actions of the follower.
 
         private <T> void call(InetSocketAddress address, long number, Function<SimulatedProcess, T> request,
                 Function<T, Integer> size, Consumer<T> answered) {
@@ -361,7 +361,7 @@
 
         @Override
         public void log(String line) {
-            // What it says is for people.
+            // Log lines are not checked.
         }
     }
 
@@ -374,10 +374,10 @@
     private final SplittableRandom random;
     private VersionId newest = VersionId.NONE;
     private final TreeMap<VersionId, Double> committedAt = new TreeMap<>();
-    /** How long each version took to each member, in milliseconds, without what it could not be reached. */
+    /** The delay of each version to each member in ms, without the time a member was unreachable. */
     final List<Double> delaysMs = new ArrayList<>();
     long sectionCalls;
-    /** Sent by all, by a sample. */
+    /** Bytes of datagrams sent by all, estimated from a sample. */
     private long datagramBytes;
     double loss;
     double lossOfCalls;
@@ -418,7 +418,7 @@
         }
     }
 
-    /** Within a zone a fifth of a millisecond and more, between regions 15 and more. */
+    /** Network delay in ms: at least 0.2 within a region, at least 15 between regions. */
     private double delay(SimulatedProcess from, SimulatedProcess to) {
         boolean regions = region(from) != region(to);
         return (regions ? 15 : 0.2) + random.nextDouble() * (regions ? 5 : 1);
@@ -445,19 +445,19 @@
         return committedAt.size();
     }
 
-    /** From now on only what this allows goes from a first party to a second. */
+    /** From now on a process reaches another only if the predicate allows it. */
     void cut(BiPredicate<SimulatedProcess, SimulatedProcess> isOpen) {
         canReach = isOpen;
     }
 
-    /** All can be reached again, from now on; those that were not before count from here. */
+    /** Ends the cut; the delays of processes that were cut off count from now. */
     void heal(Collection<SimulatedProcess> cutOff) {
         canReach = (from, to) -> true;
         cutOff.forEach(party -> party.reachableSince = Math.max(party.reachableSince,
                 coordinatorSimulation.now));
     }
 
-    /** How long the longest wait is of those that can be reached and have not come to the newest version. */
+    /** The longest wait, in ms, of a running member for a version that it has not applied yet. */
     double longestWait() {
         double longest = 0;
         for (SimulatedProcess member : members) {
@@ -470,25 +470,25 @@
         return longest;
     }
 
-    /** The most calls that a coordinator got in a second. */
+    /** The maximum number of calls to a coordinator in a second. */
     int maxCallsPerSecond() {
         return coordinators.stream().flatMap(process -> process.callsBySecond.values().stream())
                 .mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** Bytes of datagrams sent, a second and process. */
+    /** Bytes of datagrams sent, per second and process. */
     double meanDatagramBytes() {
         return datagramBytes / (coordinatorSimulation.now / 1_000) / processes.size();
     }
 
-    /** Bytes of calls about configuration that a member sent and received, a second and member. */
+    /** Bytes of configuration calls sent and received, per second and member. */
     double meanCallBytes() {
         return members.stream().flatMap(process -> process.callBytes.values().stream())
                 .mapToLong(sum -> sum[0])
                 .sum() / (coordinatorSimulation.now / 1_000) / members.size();
     }
 
-    /** The same of the worst second of the worst member. */
+    /** The maximum of those bytes for any member in any second. */
     long maxCallBytesPerSecond() {
         return members.stream().flatMap(process -> process.callBytes.values().stream())
                 .mapToLong(sum -> sum[0])
--- a/src/test/java/cranedeal/fleet/config/LogStoreTest.java
+++ b/src/test/java/cranedeal/fleet/config/LogStoreTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a coordinator keeps, on a real disk. */
+/** A coordinator's log on a real disk. */
 class LogStoreTest {
 
     @TempDir
@@ -68,7 +68,7 @@
             written = Math.max(written, size);
         }
         assertTrue(written < 16L * ConfigDocument.MAX_SECTION_BYTES, "40 versions take up " + written);
-        // The operators' own tool reads it too.
+        // The operators' verify command reads it too.
         Repair.verify(new FolderDisk(folder), StoreLimits.DEFAULT, new ReplayHandler() {
 
             @Override
@@ -86,7 +86,7 @@
     @Test
     void damagedJournalCannotBeOpened() throws Exception {
         try (LogStore store = open()) {
-            // No snapshot stands for the first, and the second tells that it was forced.
+            // No snapshot replaces the first record; the second one shows that the first was forced to disk.
             store.put(version(1));
             store.put(version(2));
         }
--- a/src/test/java/cranedeal/fleet/membership/CodecTest.java
+++ b/src/test/java/cranedeal/fleet/membership/CodecTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is said between members, as bytes. */
+/** The encoding of messages between members. */
 class CodecTest {
 
     private final SplittableRandom random = new SplittableRandom(1);
@@ -57,7 +57,7 @@
         assertEquals(all, codec.decodeMembers(codec.encode(all)));
     }
 
-    /** As the version before wrote it, whose members are beside this one's while a release goes on. */
+    /** A message of the previous release, whose members run beside this one's during a rollout. */
     private static final String PREVIOUS_FORMAT =
             "{\"v\":1,\"f\":\"clinics\",\"t\":\"ping\",\"n\":7,\"to\":\"b\","
             + "\"d\":9,\"m\":[\"a\",\"127.0.0.1:1\",\"serve\",\"1\",1,1,0],\"news\":[]}";
