--- a/src/main/java/cranedeal/fleet/config/ConfigCalls.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigCalls.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** The calls about configuration, which are between members, and from operators. */
+/** The HTTP calls about configuration, between members and from operators. */
 public final class ConfigCalls {
 
-    /** {@code GET}: what a process has of the configuration. */
+    /** {@code GET}: the configuration state of a process. */
     public static final String STATUS = "/fleet/config/status";
     /** {@code POST} to a coordinator: publishes the document in the body. */
     public static final String PUBLISH = "/fleet/config/publish";
-    /** {@code POST} to a coordinator: publishes the document of an earlier number again. */
+    /** {@code POST} to a coordinator: publishes the document of an earlier version again. */
     public static final String ROLLBACK = "/fleet/config/rollback";
-    /** {@code POST} to a coordinator: it is to lead. */
+    /** {@code POST} to a coordinator: makes it the leader. */
     public static final String TAKE_OVER = "/fleet/config/take-over";
-    /** The newest manifest, if it is after one; a section by its checksum. */
+    /** {@code GET}: the newest manifest, if later than a given version; a section by its checksum. */
     static final String MANIFEST = "/fleet/config/manifest";
     static final String SECTION = "/fleet/config/section";
     /** Between coordinators. */
@@ -36,7 +36,7 @@
     private ConfigCalls() {
     }
 
-    static String text(InetSocketAddress address) {
+    static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -44,14 +44,14 @@
         return uri.parameters().getOrDefault(name, List.of("")).get(0);
     }
 
-    static CompletionStage<CallReply> done(CallReply reply) {
+    static CompletionStage<CallReply> completed(CallReply reply) {
         return CompletableFuture.completedFuture(reply);
     }
 
-    static CallReply manifest(Manifest newest, QueryStringDecoder uri) {
+    static CallReply manifestReply(Manifest newest, QueryStringDecoder uri) {
         try {
-            VersionId after = VersionId.parse(parameter(uri, "after"));
-            return newest == null || !newest.id().isAfter(after)
+            VersionId afterId = VersionId.parse(parameter(uri, "after"));
+            return newest == null || !newest.id().isAfter(afterId)
                     ? CallReply.empty(NO_CONTENT)
                     : CallReply.json(CallReply.OK, newest.bytes());
         } catch (IllegalArgumentException e) {
@@ -59,7 +59,7 @@
         }
     }
 
-    static CallReply section(byte[] section) {
+    static CallReply sectionReply(byte[] section) {
         return section == null ? CallReply.text(NOT_FOUND, "no such section")
                 : CallReply.json(CallReply.OK, section);
     }
--- a/src/main/java/cranedeal/fleet/config/TokenBucket.java
+++ b/src/main/java/cranedeal/fleet/config/TokenBucket.java
@@ -1,22 +1,22 @@
 package cranedeal.fleet.config;
 
-/** A token bucket: how much may be spent at once, and how much a second over time. */
+/** A token bucket with a burst capacity and a refill rate per second. */
 final class TokenBucket {
 
     private static final double MS_PER_S = 1_000;
 
-    private final double most;
-    private final double perMs;
+    private final double capacity;
+    private final double refillPerMs;
     private double tokens;
-    private double at = Double.NEGATIVE_INFINITY;
+    private double refilledAt = Double.NEGATIVE_INFINITY;
 
-    TokenBucket(double most, double perSecond) {
-        this.most = most;
-        perMs = perSecond / MS_PER_S;
-        tokens = most;
+    TokenBucket(double capacity, double perSecond) {
+        this.capacity = capacity;
+        refillPerMs = perSecond / MS_PER_S;
+        tokens = capacity;
     }
 
-    /** Takes one, if there is one. */
+    /** Takes one token if available. */
     boolean take(double now) {
         refill(now);
         if (tokens < 1) {
@@ -26,8 +26,8 @@
         return true;
     }
 
-    /** Takes so many if there is any left, and owes those that there are not. */
-    boolean takeAll(double now, double amount) {
+    /** Takes {@code amount} tokens if any are left; the balance may go negative. */
+    boolean takeWithDebt(double now, double amount) {
         refill(now);
         if (tokens <= 0) {
             return false;
@@ -36,16 +36,17 @@
         return true;
     }
 
-    /** When there is one again. */
+    /** When the next token is available. */
     double nextAt(double now) {
         refill(now);
-        return now + Math.max(0, 1 - tokens) / perMs;
+        return now + Math.max(0, 1 - tokens) / refillPerMs;
     }
 
     private void refill(double now) {
-        if (now > at) {
-            tokens = Double.isInfinite(at) ? most : Math.min(most, tokens + (now - at) * perMs);
-            at = now;
+        if (now > refilledAt) {
+            tokens = Double.isInfinite(refilledAt) ? capacity : Math.min(capacity,
+                    tokens + (now - refilledAt) * refillPerMs);
+            refilledAt = now;
         }
     }
 }
--- a/src/main/java/cranedeal/fleet/membership/MemberUpdate.java
+++ b/src/main/java/cranedeal/fleet/membership/MemberUpdate.java
@@ -1,14 +1,14 @@
 package cranedeal.fleet.membership;
 
 /**
- * Something that is said of a member.
+ * A state of a member, as spread by gossip.
  *
- * @param suspectedBy whose suspicion it is; empty where nobody is suspected
+ * @param suspectedBy the member that suspects it; empty unless its state is SUSPECT
  */
 public record MemberUpdate(Member member, String suspectedBy) {
 
     /** What is now said of a member; {@code by} counts only if it is suspected. */
-    static MemberUpdate of(Member member, String by) {
-        return new MemberUpdate(member, member.state() == State.SUSPECT ? by : "");
+    static MemberUpdate of(Member member, String suspectedBy) {
+        return new MemberUpdate(member, member.state() == State.SUSPECT ? suspectedBy : "");
     }
 }
--- a/src/test/java/cranedeal/fleet/config/LogStoreTest.java
+++ b/src/test/java/cranedeal/fleet/config/LogStoreTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a coordinator keeps, on a real disk. */
+/** A coordinator's log on a real disk. */
 class LogStoreTest {
 
     @TempDir
@@ -32,7 +32,7 @@
     }
 
     private static Version version(long number) {
-        TreeMap<String, byte[]> sections = new TreeMap<>(Coordinators.document("v" + number));
+        TreeMap<String, byte[]> sections = new TreeMap<>(CoordinatorSimulation.document("v" + number));
         byte[] large = new byte[ConfigDocument.MAX_SECTION_BYTES];
         java.util.Arrays.fill(large, (byte) ('a' + number % 3));
         sections.put("large", large);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void itIsReadBackAsItWasThroughSnapshotsAndStaysSmall() throws Exception {
+    void stateSurvivesReopeningAndSnapshotsKeepItSmall() throws Exception {
         Set<VersionId> ids = new TreeSet<>();
         long written = 0;
         for (int number = 1; number <= 40; number++) {
@@ -48,7 +48,7 @@
                 if (number > 1) {
                     assertEquals(ids, store.state().versions.keySet());
                     assertEquals(new VersionId(1, number - 1), store.state().committed);
-                    assertEquals(number - 1, store.state().promised);
+                    assertEquals(number - 1, store.state().promisedEpoch);
                     assertArrayEquals(version(number - 1).sections().get("large"),
                             store.state().current().sections().get("large"));
                     assertEquals(version(number - 1).manifest(), store.state().current().manifest());
@@ -68,7 +68,7 @@
             written = Math.max(written, size);
         }
         assertTrue(written < 16L * ConfigDocument.MAX_SECTION_BYTES, "40 versions take up " + written);
-        // The operators' own tool reads it too.
+        // The operators' verify command reads it too.
         Repair.verify(new FolderDisk(folder), StoreLimits.DEFAULT, new ReplayHandler() {
 
             @Override
@@ -84,9 +84,9 @@
     }
 
     @Test
-    void whatIsDamagedIsNotServed() throws Exception {
+    void damagedJournalCannotBeOpened() throws Exception {
         try (LogStore store = open()) {
-            // No snapshot stands for the first, and the second tells that it was forced.
+            // No snapshot replaces the first record; the second one shows that the first was forced to disk.
             store.put(version(1));
             store.put(version(2));
         }
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aSectionThatIsNotTheOneOfItsChecksumIsDamage() throws Exception {
+    void sectionOrManifestWithWrongChecksumIsRejected() throws Exception {
         Version version = version(1);
         assertThrows(IOException.class, () -> Version.join(version.manifest(), checksum -> new byte[] {1}));
         assertThrows(IOException.class, () -> Version.join(version.manifest(), checksum -> null));
