--- a/src/main/java/cranedeal/fleet/config/ConfigMember.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigMember.java
@@ -144,7 +144,7 @@
                 byte[] bytes = stateStore.read();
                 kept = bytes == null ? kept : FollowerState.parse(bytes);
             } catch (IOException | RuntimeException e) {
-                LOG.warning("the configuration of before can't be read, so the fleet is asked for one: "
+                LOG.warning("cannot read the stored configuration, so it is requested from the fleet: "
                         + e.getMessage());
             }
             FollowerState restored = kept;
@@ -285,7 +285,7 @@
                 } catch (RefusedException e) {
                     refusal = new FollowerState.Refusal(e.key, e.getMessage());
                 } catch (RuntimeException e) {
-                    LOG.warning("trying version " + id + " broke off: " + e);
+                    LOG.warning("trying version " + id + " failed: " + e);
                     refusal = new FollowerState.Refusal("", e.toString());
                 }
                 FollowerState.Refusal why = refusal;
@@ -299,7 +299,7 @@
                 try {
                     stateStore.write(state.bytes());
                 } catch (IOException | RuntimeException e) {
-                    LOG.warning("the configuration in force can't be kept: " + e.getMessage());
+                    LOG.warning("cannot store the configuration in force: " + e.getMessage());
                 }
             });
         }
--- a/src/main/java/cranedeal/fleet/config/LogStore.java
+++ b/src/main/java/cranedeal/fleet/config/LogStore.java
@@ -118,7 +118,7 @@
                     state.committed))));
             snapshot.commit();
         } catch (IOException e) {
-            warn.accept("what was kept can't be replaced by a snapshot: " + e.getMessage());
+            warn.accept("cannot replace the log by a snapshot: " + e.getMessage());
         }
     }
 
@@ -194,7 +194,7 @@
                     default -> throw new IOException("a step of kind " + type + " is of a later version");
                 }
             } catch (IOException | IllegalArgumentException e) {
-                failure = new IOException("what was kept can't be read: " + e.getMessage(), e);
+                failure = new IOException("cannot read the stored log: " + e.getMessage(), e);
             }
         }
     }
--- a/src/main/java/cranedeal/fleet/config/Manifest.java
+++ b/src/main/java/cranedeal/fleet/config/Manifest.java
@@ -90,7 +90,7 @@
                     json.path("time_ms").asLong(), json.path("operation").asText(),
                     json.path("note").asText(), services);
             if (!manifest.checksum().equals(json.path("checksum").asText())) {
-                throw new IOException("a manifest is damaged: its checksum is another");
+                throw new IOException("a manifest is damaged: checksum mismatch");
             }
             return manifest;
         } catch (IllegalArgumentException e) {
--- a/src/main/java/cranedeal/fleet/config/Version.java
+++ b/src/main/java/cranedeal/fleet/config/Version.java
@@ -87,7 +87,7 @@
             byte[] bytes = byChecksum.apply(entry.getValue().checksum());
             if (bytes == null || !Checksum.of(bytes).equals(entry.getValue().checksum())) {
                 throw new IOException("the section " + entry.getKey() + " of version " + manifest.id()
-                        + " is damaged: its checksum is another");
+                        + " is damaged: checksum mismatch");
             }
             sections.put(entry.getKey(), bytes);
         }
--- a/src/main/java/cranedeal/fleet/membership/Codec.java
+++ b/src/main/java/cranedeal/fleet/membership/Codec.java
@@ -192,7 +192,7 @@
         JsonNode root = JSON.readTree(bytes);
         int formatVersion = root == null ? 0 : root.path("v").asInt();
         if (formatVersion == 0) {
-            throw new IOException("no message");
+            throw new IOException("not a message");
         }
         if (!root.path("f").asText().equals(fleet)) {
             throw new ForeignException("of the fleet '" + root.path("f").asText() + "'");
@@ -208,7 +208,7 @@
         JsonNode incarnation = item.path(5);
         if (!state.isInt() || state.intValue() < 0 || state.intValue() >= State.values().length
                 || !incarnation.canConvertToLong() || !item.path(4).canConvertToLong()) {
-            throw new IllegalArgumentException("no member: " + truncated(item));
+            throw new IllegalArgumentException("not a valid member: " + truncated(item));
         }
         Member member = new Member(item.path(0).asText(), parseAddress(item.path(1).asText()),
                 item.path(4).longValue(), incarnation.longValue(), State.values()[state.intValue()],
--- a/src/main/java/cranedeal/fleet/membership/FleetMember.java
+++ b/src/main/java/cranedeal/fleet/membership/FleetMember.java
@@ -306,7 +306,7 @@
             byte[] persisted = peerStore.read();
             known = persisted == null ? known : codec.decodeMembers(persisted);
         } catch (IOException | RuntimeException e) {
-            LOG.warning("the members of before can't be read, so only seeds are tried: " + e.getMessage());
+            LOG.warning("cannot read the stored members, so only seeds are contacted: " + e.getMessage());
         }
         List<Member> before = known;
         loop.execute(() -> startMembership(before));
@@ -422,7 +422,7 @@
                 LOG.warning("is isolated: reaches less than half of the members it knows; serves on, and"
                         + " starts nothing new");
             } else {
-                LOG.info("is isolated no longer");
+                LOG.info("is no longer isolated");
             }
         }
 
@@ -454,7 +454,7 @@
         arrivalLines = 0;
         departureLines = 0;
         if (suppressedLines > 0) {
-            LOG.info("and " + suppressedLines + " further changes of members");
+            LOG.info("and " + suppressedLines + " further member changes");
             suppressedLines = 0;
         }
     }
@@ -476,7 +476,7 @@
             try {
                 peerStore.write(codec.encode(persisted));
             } catch (IOException | RuntimeException e) {
-                LOG.warning("the known members can't be kept: " + e.getMessage());
+                LOG.warning("cannot store the known members: " + e.getMessage());
             }
         });
     }
