--- a/src/main/java/cranedeal/fleet/config/ConfigFollower.java
+++ b/src/main/java/cranedeal/fleet/config/ConfigFollower.java
@@ -399,10 +399,10 @@
     private InetSocketAddress findNewerPeer() {
         VersionId best = newestKnown();
         InetSocketAddress found = null;
-        for (Map.Entry<InetSocketAddress, Peer> one : peers.entrySet()) {
-            if (one.getValue().id().isAfter(best) && !failedSources.contains(one.getKey())) {
-                best = one.getValue().id();
-                found = one.getKey();
+        for (Map.Entry<InetSocketAddress, Peer> entry : peers.entrySet()) {
+            if (entry.getValue().id().isAfter(best) && !failedSources.contains(entry.getKey())) {
+                best = entry.getValue().id();
+                found = entry.getKey();
             }
         }
         return found;
@@ -413,16 +413,16 @@
         List<InetSocketAddress> found = new ArrayList<>();
         Collection<InetSocketAddress> coordinators = actions.coordinators();
         Map<InetSocketAddress, Peer> candidates = new LinkedHashMap<>(peers);
-        coordinators.forEach(one -> candidates.putIfAbsent(one, new Peer("", "", VersionId.NONE)));
+        coordinators.forEach(address -> candidates.putIfAbsent(address, new Peer("", "", VersionId.NONE)));
         for (Map.Entry<InetSocketAddress, Peer> entry : candidates.entrySet()) {
-            InetSocketAddress one = entry.getKey();
-            int rank = failedSources.contains(one) ? RANK_NONE : rank(entry.getValue());
+            InetSocketAddress address = entry.getKey();
+            int rank = failedSources.contains(address) ? RANK_NONE : rank(entry.getValue());
             if (rank < best) {
                 best = rank;
                 found.clear();
             }
             if (rank == best && rank < RANK_NONE) {
-                found.add(one);
+                found.add(address);
             }
         }
         sourceIsCoordinator = best == RANK_COORDINATOR || best == RANK_COORDINATOR + 1;
--- a/src/test/java/cranedeal/fleet/config/FleetSimulation.java
+++ b/src/test/java/cranedeal/fleet/config/FleetSimulation.java
@@ -100,8 +100,9 @@
                     ++incarnation,
                     State.ALIVE, node == null ? "serve" : "coordinator", "1.0"), FLEET, settings,
                     coordinatorSimulation.random.nextLong(), this);
-            membership.start(coordinatorSimulation.now, processes.stream().filter(party -> party.node != null)
-                    .map(party -> party.address).toList(), known);
+            membership.start(coordinatorSimulation.now, processes.stream()
+                    .filter(process -> process.node != null)
+                    .map(process -> process.address).toList(), known);
             if (node == null) {
                 follower = new ConfigFollower(ConfigFollower.Settings.defaults(service, zone),
                         coordinatorSimulation.random.nextLong(), this);
@@ -128,8 +129,8 @@
             if (node != null && !node.up) {
                 node.start();
             }
-            start(processes.stream().filter(party -> party.membership != null)
-                    .map(party -> party.membership.self())
+            start(processes.stream().filter(process -> process.membership != null)
+                    .map(process -> process.membership.self())
                     .toList());
         }
 
@@ -395,11 +396,11 @@
             processByAddress.put(party.address, party);
             (party.node == null ? members : coordinators).add(party);
         }
-        processes.forEach(party -> party.start(List.of()));
-        List<Member> all = processes.stream().map(party -> party.membership.self()).toList();
-        processes.forEach(party -> {
-            party.membership.addKnownMembers(coordinatorSimulation.now, all);
-            party.schedule();
+        processes.forEach(process -> process.start(List.of()));
+        List<Member> all = processes.stream().map(process -> process.membership.self()).toList();
+        processes.forEach(process -> {
+            process.membership.addKnownMembers(coordinatorSimulation.now, all);
+            process.schedule();
         });
         coordinatorSimulation.canReach = (from, to) -> canReach.test(processOfNode(from), processOfNode(to));
     }
@@ -453,7 +454,7 @@
     /** Ends the cut; the delays of processes that were cut off count from now. */
     void heal(Collection<SimulatedProcess> cutOff) {
         canReach = (from, to) -> true;
-        cutOff.forEach(party -> party.reachableSince = Math.max(party.reachableSince,
+        cutOff.forEach(process -> process.reachableSince = Math.max(process.reachableSince,
                 coordinatorSimulation.now));
     }
 
