--- a/src/main/java/cranedeal/fleet/membership/LocalHealth.java
+++ b/src/main/java/cranedeal/fleet/membership/LocalHealth.java
@@ -1,32 +1,32 @@
 package cranedeal.fleet.membership;
 
 /**
- * How far this member distrusts itself: the local health multiplier of Lifeguard. A member that does not get
- * the answers it should have got gives the others more time, since it may be itself what is slow.
+ * The local health multiplier of Lifeguard. A member that misses expected answers extends its timeouts for
+ * the other members, since the slow one may be itself.
  */
 final class LocalHealth {
 
-    private static final int WORST = 8;
+    private static final int MAX_SCORE = 8;
 
-    private final boolean inUse;
+    private final boolean enabled;
     private int score;
 
     LocalHealth(boolean inUse) {
-        this.inUse = inUse;
+        this.enabled = inUse;
     }
 
-    /** By what probes take longer than in good health. */
-    int factor() {
+    /** The factor on probe timeouts; 1 in good health. */
+    int multiplier() {
         return 1 + score;
     }
 
-    void worse(int by) {
-        if (inUse) {
-            score = Math.min(WORST, score + by);
+    void worsen(int points) {
+        if (enabled) {
+            score = Math.min(MAX_SCORE, score + points);
         }
     }
 
-    void better() {
+    void improve() {
         score = Math.max(0, score - 1);
     }
 }
--- a/src/main/java/cranedeal/fleet/store/Repair.java
+++ b/src/main/java/cranedeal/fleet/store/Repair.java
@@ -8,35 +8,36 @@
 import java.util.List;
 
 /**
- * Makes a damaged folder usable again, at an operator's word only: keeps a copy of all files, and cuts at the
- * damage. What lay behind it is gone from the store, and is listed.
+ * Makes a damaged folder usable again; only run at an operator's request. Copies all files to a backup,
+ * truncates the store at the damage, and lists the records after it, which are lost to the store.
  */
 public final class Repair {
 
-    private static final int MOST_LISTED = 1_000;
+    private static final int MAX_LISTED = 1_000;
 
     private Repair() {
     }
 
     /**
-     * What was done.
+     * The result of a repair.
      *
-     * @param backupFolder where the files of before are
-     * @param repairedDamage what was damaged, and is cut; empty if nothing was
-     * @param droppedSequences the sequence numbers of whole records that were dropped, the first thousand
-     * @param droppedCount how many those were in all
+     * @param backupFolder the folder with the files as they were before; null if nothing was repaired
+     * @param repairedDamage a message for each damage that was cut out; empty if there was none
+     * @param droppedSequences the sequence numbers of intact records that were dropped, at most 1000 of them
+     * @param droppedCount how many intact records were dropped in all
      */
     public record Outcome(Path backupFolder, List<String> repairedDamage, List<Long> droppedSequences,
             long droppedCount) { }
 
     /** Reads a folder without changing it; throws as {@link Store#open} does. */
-    public static Store.Stats verify(Disk disk, StoreLimits limits, ReplayHandler reader) throws IOException {
+    public static Store.Stats verify(Disk disk, StoreLimits limits, ReplayHandler handler)
+            throws IOException {
         Closeable lock = lock(disk, true);
         try {
             long start = System.nanoTime();
-            Recovery.Found found = new Recovery(disk, limits).read(reader);
-            return new Store.Stats(found.last(), found.last(), 0, 0, 0, 0, found.records(),
-                    (System.nanoTime() - start) / 1e6, found.torn(), found.notes());
+            Recovery.Result result = new Recovery(disk, limits).read(handler);
+            return new Store.Stats(result.lastSequence(), result.lastSequence(), 0, 0, 0, 0, result.records(),
+                    (System.nanoTime() - start) / 1e6, result.tornBytes(), result.notes());
         } finally {
             lock.close();
         }
@@ -51,25 +52,25 @@
     }
 
     /**
-     * Repairs a folder; what needs none is left as it is.
+     * Repairs a folder. A folder without damage is left unchanged.
      *
-     * @param keepIn a folder that is not there yet, for the files of before
+     * @param backupFolder the backup folder, which must not exist yet
      */
-    public static Outcome repair(Path folder, StoreLimits limits, Path keepIn) throws IOException {
+    public static Outcome repair(Path folder, StoreLimits limits, Path backupFolder) throws IOException {
         FolderDisk disk = new FolderDisk(folder);
-        List<String> cut = new ArrayList<>();
+        List<String> repairedDamage = new ArrayList<>();
         List<Long> dropped = new ArrayList<>();
-        long count = 0;
+        long droppedCount = 0;
         Closeable lock = lock(disk, false);
         try {
-            StoreDamagedException damage = damage(disk, limits);
+            StoreDamagedException damage = findDamage(disk, limits);
             while (damage != null) {
-                if (cut.isEmpty()) {
-                    keep(disk, folder, keepIn);
+                if (repairedDamage.isEmpty()) {
+                    backUp(disk, folder, backupFolder);
                 }
-                cut.add(damage.getMessage());
-                count += cut(disk, limits, damage, dropped);
-                StoreDamagedException next = damage(disk, limits);
+                repairedDamage.add(damage.getMessage());
+                droppedCount += truncateAtDamage(disk, limits, damage, dropped);
+                StoreDamagedException next = findDamage(disk, limits);
                 if (next != null && next.getMessage().equals(damage.getMessage())) {
                     throw next;
                 }
@@ -78,21 +79,22 @@
         } finally {
             lock.close();
         }
-        return new Outcome(cut.isEmpty() ? null : keepIn, cut, dropped, count);
+        return new Outcome(repairedDamage.isEmpty() ? null : backupFolder, repairedDamage, dropped,
+                droppedCount);
     }
 
-    private static StoreDamagedException damage(Disk disk, StoreLimits limits) throws IOException {
+    private static StoreDamagedException findDamage(Disk disk, StoreLimits limits) throws IOException {
         try {
             new Recovery(disk, limits).read(new ReplayHandler() {
 
                 @Override
-                public void snapshotChunk(byte[] piece) {
-                    // Only whether it can be read is asked.
+                public void snapshotChunk(byte[] chunk) {
+                    // Reading it is the check.
                 }
 
                 @Override
                 public void record(Record record) {
-                    // Only whether it can be read is asked.
+                    // Reading it is the check.
                 }
             });
             return null;
@@ -101,27 +103,30 @@
         }
     }
 
-    private static void keep(Disk disk, Path folder, Path keepIn) throws IOException {
-        Files.createDirectory(keepIn);
+    private static void backUp(Disk disk, Path folder, Path backupFolder) throws IOException {
+        Files.createDirectory(backupFolder);
         for (String name : disk.fileNames()) {
-            Files.copy(folder.resolve(name), keepIn.resolve(name));
+            Files.copy(folder.resolve(name), backupFolder.resolve(name));
         }
     }
 
-    /** Cuts a file at its damage and drops what lies behind; returns how many whole records that were. */
-    private static long cut(Disk disk, StoreLimits limits, StoreDamagedException damage, List<Long> dropped)
-            throws IOException {
-        if (FileKind.SNAPSHOT.has(damage.file())) {
+    /**
+     * Truncates a file at its damage and deletes later files; returns how many intact records were dropped.
+     */
+    private static long truncateAtDamage(Disk disk, StoreLimits limits, StoreDamagedException damage,
+            List<Long> dropped) throws IOException {
+        if (FileKind.SNAPSHOT.matches(damage.file())) {
             disk.delete(damage.file());
             disk.forceDirectory();
             return 0;
         }
-        long count = 0;
+        long droppedCount = 0;
         long first = FileKind.JOURNAL.number(damage.file());
         for (String name : new Recovery(disk, limits).files(FileKind.JOURNAL)) {
             if (Long.compareUnsigned(FileKind.JOURNAL.number(name), first) >= 0) {
                 boolean isCut = name.equals(damage.file()) && damage.offset() > 0;
-                count += list(disk, limits, name, isCut ? damage.offset() : FileKind.HEAD, dropped);
+                droppedCount += listIntactRecords(disk, limits, name, 
+                        isCut ? damage.offset() : FileKind.HEADER_BYTES, dropped);
                 if (isCut) {
                     try (Disk.Output out = disk.append(name)) {
                         out.truncate(damage.offset());
@@ -133,19 +138,19 @@
             }
         }
         disk.forceDirectory();
-        return count;
+        return droppedCount;
     }
 
-    private static long list(Disk disk, StoreLimits limits, String name, long from, List<Long> dropped)
-            throws IOException {
+    private static long listIntactRecords(Disk disk, StoreLimits limits, String name, long from,
+            List<Long> dropped) throws IOException {
         FrameReader frames = new FrameReader(disk, name, from, limits.maxRecordBytes());
-        long count = 0;
-        for (Frame frame = frames.nextBehindDamage(); frame != null; frame = frames.nextBehindDamage()) {
-            count++;
-            if (dropped.size() < MOST_LISTED) {
+        long droppedCount = 0;
+        for (Frame frame = frames.nextAfterDamage(); frame != null; frame = frames.nextAfterDamage()) {
+            droppedCount++;
+            if (dropped.size() < MAX_LISTED) {
                 dropped.add(frame.record().sequence());
             }
         }
-        return count;
+        return droppedCount;
     }
 }
--- a/src/main/java/cranedeal/lab/link/StreamLink.java
+++ b/src/main/java/cranedeal/lab/link/StreamLink.java
@@ -22,48 +22,48 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A link over TCP: a party connects to {@link #address()} and reaches the target as if it were there. All
- * state belongs to the link's loop; the methods may be called from any thread and tell by a future when the
+ * Emulates a TCP link: connections to {@link #address()} are relayed to the target. All state belongs to the
+ * link's event loop; the methods may be called from any thread and return a future that completes when the
  * change is in force.
  *
- * <p>A cut link keeps its open connections open and silent, and no new ones come up: the listening socket is
- * put back with the shortest accept queue and that is filled, so that the kernel drops what knocks. A link
- * whose target is down refuses, as the target would.
+ * <p>A blocked link keeps its connections open but silent, and no new connection can be established: the
+ * listening socket is replaced by one with the shortest accept queue, which is filled up, so that the kernel
+ * drops further SYNs. A link whose target is down refuses connections, as the target would.
  */
 public final class StreamLink {
 
     private static final int BACKLOG = 1_024;
-    /** Linux takes one connection more than the backlog says. */
-    private static final int SHORTEST_BACKLOG = 1;
-    private static final int FILLERS = SHORTEST_BACKLOG + 1;
+    /** Linux accepts one connection more than the backlog. */
+    private static final int MIN_BACKLOG = 1;
+    private static final int FILLER_CONNECTIONS = MIN_BACKLOG + 1;
     private static final int CONNECT_TIMEOUT_MS = 30_000;
-    /** How often, and how soon, to try for an address that is just given back. */
-    private static final int BINDS = 2_000;
-    private static final long BIND_AGAIN_MS = 1;
+    /** How often, and after which delay, to retry binding an address that has just been released. */
+    private static final int MAX_BIND_ATTEMPTS = 2_000;
+    private static final long BIND_RETRY_MS = 1;
 
-    private enum Door { OPEN, CLOSED, STUFFED }
+    private enum ListenState { OPEN, CLOSED, QUEUE_FULL }
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final InetSocketAddress target;
     private final InetAddress source;
     final Direction toTarget;
-    final Direction back;
-    private final Set<RelayedConnection> splices = new LinkedHashSet<>();
+    final Direction fromTarget;
+    private final Set<RelayedConnection> connections = new LinkedHashSet<>();
     private final List<Channel> fillers = new ArrayList<>();
     private Channel listening;
-    private boolean up = true;
-    private Door door = Door.CLOSED;
-    private boolean ended;
-    /** Counts the changes of the door, so that a listening socket that comes late is not taken for ours. */
-    private int turn;
+    private boolean targetUp = true;
+    private ListenState listenState = ListenState.CLOSED;
+    private boolean closed;
+    /** Counts changes of the listening state, so that a bind that completes late is recognised as stale. */
+    private int listenGeneration;
 
     /**
-     * A link that is not open yet.
+     * Creates a link that does not listen yet.
      *
-     * @param address where the party connects
-     * @param target where it is taken to
-     * @param source the address it comes from there, by which the target knows the party
+     * @param address where the link listens
+     * @param target where connections are relayed to
+     * @param source the address they come from at the target, which identifies the party
      */
     public StreamLink(EventLoop loop, InetSocketAddress address, InetSocketAddress target, InetAddress source,
             RandomGenerator random) {
@@ -72,56 +72,57 @@
         this.target = target;
         this.source = source;
         toTarget = new Direction(random);
-        back = new Direction(random);
+        fromTarget = new Direction(random);
     }
 
-    /** Where the party connects. */
+    /** The address at which the link listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Whether the target is there; while it is not, the link refuses. What is open stays. */
-    public Future<Void> setTargetUp(boolean isUp) {
-        return change(() -> up = isUp);
+    /** While the target is down, the link refuses connections. Open connections stay. */
+    public Future<Void> setTargetUp(boolean up) {
+        return applyOnLoop(() -> targetUp = up);
     }
 
-    /** Changes both directions; what was held back by silence goes on its way when that is over. */
-    public Future<Void> impair(Impairment there, Impairment andBack) {
-        return change(() -> {
-            toTarget.impair(there);
-            back.impair(andBack);
-            List.copyOf(splices).forEach(RelayedConnection::resume);
+    /** Impairs both directions. Data held back by a blocked direction is delivered once that is over. */
+    public Future<Void> impair(Impairment forward, Impairment reverse) {
+        return applyOnLoop(() -> {
+            toTarget.impair(forward);
+            fromTarget.impair(reverse);
+            List.copyOf(connections).forEach(RelayedConnection::resume);
         });
     }
 
-    /** Resets all open connections at both ends, as a machine does that has forgotten them. */
+    /** Resets all open connections at both ends, as after a restart of a machine. */
     public Future<Void> reset() {
-        return change(() -> List.copyOf(splices).forEach(RelayedConnection::reset));
+        return applyOnLoop(() -> List.copyOf(connections).forEach(RelayedConnection::reset));
     }
 
-    /** Ends the link and all its connections. */
+    /** Closes the link and resets its connections. */
     public Future<Void> close() {
-        return change(() -> {
-            ended = true;
-            List.copyOf(splices).forEach(RelayedConnection::reset);
+        return applyOnLoop(() -> {
+            closed = true;
+            List.copyOf(connections).forEach(RelayedConnection::reset);
         });
     }
 
-    private Future<Void> change(Runnable change) {
-        Promise<Void> inForce = loop.newPromise();
+    private Future<Void> applyOnLoop(Runnable change) {
+        Promise<Void> promise = loop.newPromise();
         loop.execute(() -> {
             change.run();
-            settle(inForce);
+            updateListener(promise);
         });
-        return inForce;
+        return promise;
     }
 
-    /** Brings the listening socket in line with what the link is to be. */
-    private void settle(Promise<Void> inForce) {
-        boolean cut = toTarget.isSilent() || back.isSilent();
-        Door wanted = ended || !up && !cut ? Door.CLOSED : cut ? Door.STUFFED : Door.OPEN;
-        if (wanted == door) {
-            inForce.setSuccess(null);
+    /** Adjusts the listening socket to the state of the link. */
+    private void updateListener(Promise<Void> promise) {
+        boolean blocked = toTarget.isBlocked() || fromTarget.isBlocked();
+        ListenState wanted = closed || !targetUp && !blocked ? ListenState.CLOSED
+                : blocked ? ListenState.QUEUE_FULL : ListenState.OPEN;
+        if (wanted == listenState) {
+            promise.setSuccess(null);
             return;
         }
         if (listening != null) {
@@ -130,83 +131,85 @@
         }
         fillers.forEach(Channel::close);
         fillers.clear();
-        door = wanted;
-        turn++;
-        int ofThisTurn = turn;
-        // A socket that a selector knows is given back to the system only at the next look at the selector.
-        loop.schedule(() -> listen(ofThisTurn, BINDS, inForce), BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
+        listenState = wanted;
+        listenGeneration++;
+        int generation = listenGeneration;
+        // A closed socket that is registered with a selector is released only by the selector's next run.
+        loop.schedule(() -> listen(generation, MAX_BIND_ATTEMPTS, promise), BIND_RETRY_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void listen(int ofTurn, int tries, Promise<Void> inForce) {
-        if (ofTurn != turn || door == Door.CLOSED) {
-            inForce.setSuccess(null);
+    private void listen(int generation, int attemptsLeft, Promise<Void> promise) {
+        if (generation != listenGeneration || listenState == ListenState.CLOSED) {
+            promise.setSuccess(null);
             return;
         }
-        boolean open = door == Door.OPEN;
+        boolean open = listenState == ListenState.OPEN;
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.AUTO_READ, open)
-                .option(ChannelOption.SO_BACKLOG, open ? BACKLOG : SHORTEST_BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, open ? BACKLOG : MIN_BACKLOG)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accepted(channel);
+                        onAccept(channel);
                     }
                 }).bind(address);
-        bound.addListener(done -> {
-            if (!done.isSuccess() && tries > 1) {
-                loop.schedule(() -> listen(ofTurn, tries - 1, inForce), BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
-            } else if (!done.isSuccess()) {
-                inForce.setFailure(done.cause());
-            } else if (ofTurn != turn) {
+        bound.addListener(future -> {
+            if (!future.isSuccess() && attemptsLeft > 1) {
+                loop.schedule(() -> listen(generation, attemptsLeft - 1, promise), BIND_RETRY_MS,
+                        TimeUnit.MILLISECONDS);
+            } else if (!future.isSuccess()) {
+                promise.setFailure(future.cause());
+            } else if (generation != listenGeneration) {
                 bound.channel().close();
-                inForce.setSuccess(null);
+                promise.setSuccess(null);
             } else {
                 listening = bound.channel();
                 if (open) {
-                    inForce.setSuccess(null);
+                    promise.setSuccess(null);
                 } else {
-                    stuff(FILLERS, inForce);
+                    fillAcceptQueue(FILLER_CONNECTIONS, promise);
                 }
             }
         });
     }
 
-    /** Fills the accept queue, one connection after the other. */
-    private void stuff(int more, Promise<Void> inForce) {
-        if (more == 0 || door != Door.STUFFED) {
-            inForce.setSuccess(null);
+    /** Fills the accept queue, one connection at a time. */
+    private void fillAcceptQueue(int remaining, Promise<Void> promise) {
+        if (remaining == 0 || listenState != ListenState.QUEUE_FULL) {
+            promise.setSuccess(null);
             return;
         }
         ChannelFuture filler = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // Only there to take up room.
+                        // Only occupies a place in the accept queue.
                     }
                 }).connect(address);
         fillers.add(filler.channel());
-        filler.addListener(done -> stuff(more - 1, inForce));
+        filler.addListener(future -> fillAcceptQueue(remaining - 1, promise));
     }
 
-    private void accepted(SocketChannel party) {
-        RelayedConnection splice = new RelayedConnection(this, party);
-        splices.add(splice);
+    private void onAccept(SocketChannel party) {
+        RelayedConnection connection = new RelayedConnection(this, party);
+        connections.add(connection);
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(splice.ofTarget())
+                .handler(connection.targetHandler())
                 .connect(target, new InetSocketAddress(source, 0))
-                .addListener((ChannelFuture attempt) -> splice.connected(attempt));
+                .addListener((ChannelFuture attempt) -> connection.targetConnected(attempt));
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    void ended(RelayedConnection splice) {
-        splices.remove(splice);
+    void connectionEnded(RelayedConnection connection) {
+        connections.remove(connection);
     }
 }
--- a/src/main/java/cranedeal/lab/process/DiskFault.java
+++ b/src/main/java/cranedeal/lab/process/DiskFault.java
@@ -12,64 +12,66 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 
-/** Damage to a folder while the process that writes there is down. */
+/** Kinds of damage to a folder, applied while the process that writes there is down. */
 public enum DiskFault {
 
-    /** The newest file loses part of its end, as a write does that power loss has interrupted. */
+    /** The newest file loses part of its end, as when a power loss interrupts a write. */
     TORN_TAIL {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
-            long lost = 1 + random.nextLong(Math.min(file.length(), MOST_TORN));
+            long lost = 1 + random.nextLong(Math.min(file.length(), MAX_TORN_BYTES));
             file.setLength(file.length() - lost);
         }
     },
-    /** One bit somewhere in the newest file is the other way. */
+    /** One bit somewhere in the newest file is flipped. */
     FLIPPED_BIT {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
-            long at = random.nextLong(file.length());
-            file.seek(at);
+            long offset = random.nextLong(file.length());
+            file.seek(offset);
             int value = file.read();
-            file.seek(at);
+            file.seek(offset);
             file.write(value ^ 1 << random.nextInt(Byte.SIZE));
         }
     },
-    /** The last sector of the newest file was never written, though the file has its length: zeros. */
+    /**
+     * The last sector of the newest file was never written, though the file has its full length: it is zeros.
+     */
     LOST_WRITE {
         @Override
         void damage(RandomAccessFile file, RandomGenerator random) throws IOException {
-            long from = (file.length() - 1) / SECTOR * SECTOR;
+            long from = (file.length() - 1) / SECTOR_BYTES * SECTOR_BYTES;
             file.seek(from);
             file.write(new byte[(int) (file.length() - from)]);
         }
     };
 
-    private static final Set<PosixFilePermission> ALL_MAY_WRITE = Set.of(PosixFilePermission.OWNER_WRITE,
+    private static final Set<PosixFilePermission> WRITE_PERMISSIONS = Set.of(PosixFilePermission.OWNER_WRITE,
             PosixFilePermission.GROUP_WRITE, PosixFilePermission.OTHERS_WRITE);
-    private static final long SECTOR = 512;
-    private static final long MOST_TORN = 4_096;
+    private static final long SECTOR_BYTES = 512;
+    private static final long MAX_TORN_BYTES = 4_096;
 
-    /** Takes away the right to write to a folder and all that is in it, or gives its owner that back. */
+    /** Removes write permission from a folder and everything in it, or gives it back to the owner. */
     public static void setReadOnly(Path folder, boolean readOnly) throws IOException {
         List<Path> all;
         try (Stream<Path> files = Files.walk(folder)) {
             all = files.toList();
         }
         for (Path path : all) {
-            Set<PosixFilePermission> rights = EnumSet.copyOf(Files.getPosixFilePermissions(path));
+            Set<PosixFilePermission> permissions = EnumSet.copyOf(Files.getPosixFilePermissions(path));
             if (readOnly) {
-                rights.removeAll(ALL_MAY_WRITE);
+                permissions.removeAll(WRITE_PERMISSIONS);
             } else {
-                rights.add(PosixFilePermission.OWNER_WRITE);
+                permissions.add(PosixFilePermission.OWNER_WRITE);
             }
-            Files.setPosixFilePermissions(path, rights);
+            Files.setPosixFilePermissions(path, permissions);
         }
     }
 
     abstract void damage(RandomAccessFile file, RandomGenerator random) throws IOException;
 
     /**
-     * Damages the newest file of a folder that is not empty, and tells which; of files with one time, the
+     * Damages the newest file in a folder that is not empty, and returns it; of files of the same age, the
      * last by name. Throws {@link IOException} if there is none.
      */
     public Path apply(Path folder, RandomGenerator random) throws IOException {
--- a/src/main/java/cranedeal/node/FleetConfig.java
+++ b/src/main/java/cranedeal/node/FleetConfig.java
@@ -9,67 +9,67 @@
 import java.util.Set;
 
 /**
- * What the object {@code fleet} in a balancer's configuration says.
+ * The object {@code fleet} of a balancer's configuration.
  *
- * @param name of the fleet
- * @param listen where datagrams and calls of other members come in
- * @param advertise where the others are told to reach it
- * @param seeds where others may be
- * @param stateDir where the members that it knew are kept; null if they are not
- * @param periodMs how often it probes another member
- * @param service whose section of the fleet's configuration it goes by; null if by none
- * @param zone where it runs, as the settings say; empty if they don't
+ * @param name the name of the fleet
+ * @param listen the address that receives datagrams and calls of other members
+ * @param advertise the address announced to other members
+ * @param seeds addresses of members to contact first
+ * @param stateDir the folder in which known members are saved; null if they are not
+ * @param periodMs the interval between probes of other members
+ * @param service the service whose section of the fleet's configuration applies here; null if none
+ * @param zone the zone of this balancer by the settings; empty if they name none
  */
 record FleetConfig(String name, InetSocketAddress listen, InetSocketAddress advertise,
         List<InetSocketAddress> seeds, Path stateDir, double periodMs, String service, String zone) {
 
     private static final Set<String> KEYS = Set.of("name", "listen", "advertise", "seeds", "state_dir",
             "probe_period_ms", "service");
-    private static final double USUAL_PERIOD_MS = 1_000;
-    private static final double SHORTEST_PERIOD_MS = 100;
-    private static final double LONGEST_PERIOD_MS = 60_000;
+    private static final double DEFAULT_PERIOD_MS = 1_000;
+    private static final double MIN_PERIOD_MS = 100;
+    private static final double MAX_PERIOD_MS = 60_000;
 
-    /** Reads it; null if there is none. Throws {@link IllegalArgumentException} that names the key. */
+    /** Parses it; null if absent. Throws {@link IllegalArgumentException}, whose message names the key. */
     static FleetConfig parse(JsonNode root) {
-        JsonNode given = root.path("fleet");
-        if (given.isMissingNode()) {
+        JsonNode fleet = root.path("fleet");
+        if (fleet.isMissingNode()) {
             return null;
         }
-        if (!given.isObject()) {
-            throw new IllegalArgumentException("fleet is no object");
+        if (!fleet.isObject()) {
+            throw new IllegalArgumentException("fleet must be an object");
         }
-        given.fieldNames().forEachRemaining(key -> {
+        fleet.fieldNames().forEachRemaining(key -> {
             if (!KEYS.contains(key)) {
-                throw new IllegalArgumentException("fleet." + key + " is no key of fleet");
+                throw new IllegalArgumentException("fleet." + key + " is an unknown key");
             }
         });
-        String name = given.path("name").asText("");
+        String name = fleet.path("name").asText("");
         requireName("fleet.name", name);
         requireName("name", root.path("name").asText("balancer"));
-        InetSocketAddress listen = address(given.path("listen"), "fleet.listen");
+        InetSocketAddress listen = address(fleet.path("listen"), "fleet.listen");
         List<InetSocketAddress> seeds = new ArrayList<>();
-        for (JsonNode seed : given.path("seeds")) {
+        for (JsonNode seed : fleet.path("seeds")) {
             seeds.add(address(seed, "fleet.seeds[" + seeds.size() + "]"));
         }
-        double period = given.path("probe_period_ms").asDouble(USUAL_PERIOD_MS);
-        if (!(period >= SHORTEST_PERIOD_MS && period <= LONGEST_PERIOD_MS)) {
-            throw new IllegalArgumentException("fleet.probe_period_ms is no number from "
-                    + (int) SHORTEST_PERIOD_MS + " to " + (int) LONGEST_PERIOD_MS);
+        double period = fleet.path("probe_period_ms").asDouble(DEFAULT_PERIOD_MS);
+        if (!(period >= MIN_PERIOD_MS && period <= MAX_PERIOD_MS)) {
+            throw new IllegalArgumentException("fleet.probe_period_ms must be a number from "
+                    + (int) MIN_PERIOD_MS + " to " + (int) MAX_PERIOD_MS);
         }
-        return new FleetConfig(name, listen, given.has("advertise")
-                ? address(given.path("advertise"), "fleet.advertise") : listen, List.copyOf(seeds),
-                folder(given), period, service(given), zone(root.path("settings")));
+        return new FleetConfig(name, listen, fleet.has("advertise")
+                ? address(fleet.path("advertise"), "fleet.advertise") : listen, List.copyOf(seeds),
+                folder(fleet), period, service(fleet), zone(root.path("settings")));
     }
 
-    private static String service(JsonNode given) {
-        if (!given.has("service")) {
+    private static String service(JsonNode fleet) {
+        if (!fleet.has("service")) {
             return null;
         }
-        requireName("fleet.service", given.path("service").asText());
-        return given.path("service").textValue();
+        requireName("fleet.service", fleet.path("service").asText());
+        return fleet.path("service").textValue();
     }
 
-    /** Only says who is near, so one that can't be told stops nothing. */
+    /** The zone only serves to prefer near members, so an invalid one is not an error. */
     private static String zone(JsonNode settings) {
         String zone = settings.path("zones").path(settings.path("zone").asInt(-1)).asText("");
         try {
@@ -80,9 +80,9 @@
         }
     }
 
-    private static Path folder(JsonNode given) {
+    private static Path folder(JsonNode fleet) {
         try {
-            return NodeConfig.folder(given, "state_dir");
+            return NodeConfig.folder(fleet, "state_dir");
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("fleet." + e.getMessage(), e);
         }
@@ -96,16 +96,16 @@
         }
     }
 
-    private static InetSocketAddress address(JsonNode given, String key) {
+    private static InetSocketAddress address(JsonNode value, String key) {
         try {
-            InetSocketAddress address = UpstreamList.address(given.asText(""));
+            InetSocketAddress address = UpstreamList.address(value.asText(""));
             if (address.getAddress().isLoopbackAddress() && address.getPort() != 0) {
                 return address;
             }
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
         }
-        throw new IllegalArgumentException(key + ": '" + given.asText()
-                + "' is no loopback address with a port");
+        throw new IllegalArgumentException(key + ": '" + value.asText()
+                + "' is not a loopback address with a port");
     }
 }
--- a/src/test/java/cranedeal/lab/slope/DataPathTest.java
+++ b/src/test/java/cranedeal/lab/slope/DataPathTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the bench of the data path counts; how fast anything is, is not asserted. */
+/** Tests what the data path's bench counts; it asserts no speeds. */
 @Timeout(300)
 class DataPathTest {
 
@@ -38,7 +38,7 @@
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Answers server = new Answers("200", "503", "500", "gone")) {
             DataPathClient client = new DataPathClient(loops.next());
-            DataPathClient.Block block = client.play(List.of(server.address()), 400, 0.5, 7);
+            DataPathClient.Results block = client.run(List.of(server.address()), 400, 0.5, 7);
             assertEquals(server.taken(), block.calls());
             assertTrue(block.calls() > 100, block.calls() + " calls");
             assertEquals(0, block.unanswered());
@@ -48,8 +48,8 @@
             assertEquals(block.calls(), block.served() + block.refused() + block.failed());
             assertEquals(block.served(), block.latency().getTotalCount());
             assertEquals(block.calls(), block.lateness().getTotalCount());
-            // The same seed plays the same calls again.
-            assertEquals(block.calls(), client.play(List.of(server.address()), 400, 0.5, 7).calls());
+            // The same seed gives the same calls again.
+            assertEquals(block.calls(), client.run(List.of(server.address()), 400, 0.5, 7).calls());
         } finally {
             loops.shutdownGracefully().syncUninterruptibly();
         }
@@ -63,9 +63,9 @@
                 [1.001s] GC(1) Pause Young (Allocation Failure) 9M->3M(24M) 0.866ms
                 [2.500s] GC(2) Eden: 6656K(6656K)->0K(6656K) From: 831K(832K)->830K(832K)
                 """;
-        assertEquals(1_024.0 * (6_000 + 6_656) / 2, DataPathStage.allocatedPerS(log), 1e-6);
-        assertTrue(Double.isNaN(DataPathStage.allocatedPerS(log.lines().findFirst().orElseThrow())));
-        assertTrue(Double.isNaN(DataPathStage.allocatedPerS("")));
+        assertEquals(1_024.0 * (6_000 + 6_656) / 2, DataPathBench.allocatedPerS(log), 1e-6);
+        assertTrue(Double.isNaN(DataPathBench.allocatedPerS(log.lines().findFirst().orElseThrow())));
+        assertTrue(Double.isNaN(DataPathBench.allocatedPerS("")));
     }
 
     @Test
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void whatGivesNoLineIsRefused() {
+    void rejectsOptionsThatGiveNoLine() {
         for (String[] wrong : new String[][] {{"data-path", "--rates", "1,2,3"},
             {"data-path", "--along", "lists"}, {"data-path", "--along", "zones"},
             {"data-path", "--rates", "0,1,2,3"}, {"data-path", "--lists", "0"}, {"data-path", "--pairs", "0"},
@@ -133,7 +133,7 @@
         }
     }
 
-    /** A server whose answers take turns, whatever connection they are on. */
+    /** A server that cycles through its answers across all connections. */
     private static final class Answers implements AutoCloseable {
 
         private final ServerSocket server = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
--- a/src/test/java/cranedeal/node/AdminEndpointTest.java
+++ b/src/test/java/cranedeal/node/AdminEndpointTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators see at their door, and what their drain does to callers. */
+/** Tests the operators' endpoint, and the effect of a drain and of disabled upstreams on callers. */
 @Timeout(60)
 class AdminEndpointTest {
 
@@ -34,16 +34,16 @@
         "GET,/ops/drain/start,405", "POST,/ops/drain/stop,405", "PUT,/ops/drain/stop,200",
         "PUT,/ops/drain,404", "PUT,/ops/drain/start/now,404", "GET,/,404", "GET,/_health,404",
         "GET,/ops/%zz,400"})
-    void eachCallHasItsAnswer(String method, String path, int status) throws Exception {
+    void eachPathAndMethodGetsItsStatus(String method, String path, int status) throws Exception {
         try (NodeFixture fixture = fixture()) {
-            assertEquals(status, fixture.order(method, path));
+            assertEquals(status, fixture.adminRequest(method, path));
             assertEquals(200, health(fixture));
             fixture.assertServes();
         }
     }
 
     @Test
-    void theFiguresComeAsLines() throws Exception {
+    void statsAreReturnedAsLines() throws Exception {
         try (NodeFixture fixture = fixture();
                 HttpPeer operator = HttpPeer.connect(fixture.node.adminAddress())) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whatIsNoCallIsTurnedDown() throws Exception {
+    void malformedHttpIsRejected() throws Exception {
         try (NodeFixture fixture = fixture();
                 HttpPeer operator = HttpPeer.connect(fixture.node.adminAddress())) {
             operator.write("drain\r\n\r\n");
@@ -64,15 +64,15 @@
     }
 
     @Test
-    void callersThatSendNoWholeCallKeepNobodyOut() throws Exception {
+    void incompleteCallsDoNotBlockOthers() throws Exception {
         List<HttpPeer> silent = new ArrayList<>();
         try (NodeFixture fixture = fixture()) {
-            for (int i = 0; i < 3 * AdminEndpoint.CONNECTIONS; i++) {
+            for (int i = 0; i < 3 * AdminEndpoint.MAX_CONNECTIONS; i++) {
                 silent.add(HttpPeer.connect(fixture.node.adminAddress()));
                 silent.get(i).write("GET /ops/rea");
             }
-            assertEquals(200, fixture.order("GET", "/ops/readiness"));
-            // The last one was evicted by nobody, so its time must have run out.
+            assertEquals(200, fixture.adminRequest("GET", "/ops/readiness"));
+            // No later connection evicted the last one, so it must have timed out.
             assertTrue(silent.get(silent.size() - 1).awaitClose());
         } finally {
             for (HttpPeer peer : silent) {
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void itAnswersWhileTheNodeIsBusyAndTakesBackAnOrderThatHasToWait() throws Exception {
+    void itAnswersWhileTheNodeIsBusyAndWithdrawsACommandThatWaitsTooLong() throws Exception {
         try (NodeFixture fixture = fixture()) {
             CountDownLatch busy = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
@@ -98,8 +98,8 @@
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "30"));
             busy.await();
-            assertEquals(200, fixture.order("GET", "/ops/stats"));
-            assertEquals(503, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("GET", "/ops/stats"));
+            assertEquals(503, fixture.adminRequest("PUT", "/ops/drain/start"));
             over.countDown();
             fixture.upstreams.get(0).accept();
             assertEquals(200, health(fixture));
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aDrainSendsCallersAwayAndItsEndTakesThemBack() throws Exception {
+    void aDrainClosesCallersAndItsEndAcceptsThemAgain() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             for (int round = 0; round < 2; round++) {
@@ -117,18 +117,18 @@
                 HttpPeer kept = fixture.caller();
                 kept.write(NodeFixture.HEALTH);
                 assertEquals(200, kept.read().status());
-                assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
-                assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
-                assertEquals(503, fixture.order("GET", "/ops/readiness"));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
+                assertEquals(503, fixture.adminRequest("GET", "/ops/readiness"));
                 assertEquals(503, health(fixture));
-                // Who is still there is served, and told to leave.
+                // A caller that is still connected is served, and its connection is closed.
                 kept.write(NodeFixture.get("1", "10"));
                 HttpPeer.Message answer = kept.read();
                 assertEquals(503, answer.status());
                 assertEquals("close", answer.header("Connection"));
                 assertTrue(idle.awaitClose());
-                assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
-                assertEquals(200, fixture.order("GET", "/ops/readiness"));
+                assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/stop"));
+                assertEquals(200, fixture.adminRequest("GET", "/ops/readiness"));
                 assertEquals(200, health(fixture));
                 HttpPeer again = fixture.caller();
                 again.write(NodeFixture.HEALTH);
@@ -138,16 +138,16 @@
     }
 
     @Test
-    void anUpstreamThatIsOutGetsNothingUntilItIsBack() throws Exception {
+    void aDisabledUpstreamGetsNothingUntilItIsEnabled() throws Exception {
         try (NodeFixture fixture = new NodeFixture(2)) {
             fixture.adminEnabled = true;
             fixture.start(cranedeal.LatencyWeightedBalancer::new);
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/down/s-0000000a"));
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/up/s-0000000a"));
-            assertEquals(404, fixture.order("PUT", "/ops/upstreams/down/"));
-            assertEquals(405, fixture.order("GET", "/ops/upstreams/down/s-00000000"));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000000"));
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000000"));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/down/s-0000000a"));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/up/s-0000000a"));
+            assertEquals(404, fixture.adminRequest("PUT", "/ops/upstreams/down/"));
+            assertEquals(405, fixture.adminRequest("GET", "/ops/upstreams/down/s-00000000"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/s-00000000"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/s-00000000"));
             assertTrue(fixture.node.stats().contains("edge_proxy.targets_disabled=1\n"),
                     fixture.node.stats());
             HttpPeer caller = fixture.caller();
@@ -160,11 +160,12 @@
                 assertEquals(200, caller.read().status());
             }
             assertEquals(0, fixture.upstreams.get(0).pendingConnections());
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/up/s-00000000"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/up/s-00000000"));
             assertTrue(fixture.node.stats().contains("edge_proxy.targets_disabled=0\n"),
                     fixture.node.stats());
-            assertEquals(200, fixture.order("PUT", "/ops/upstreams/down/s-00000001"));
-            // It is cold, and the first of some requests that it has earned goes there; none goes elsewhere.
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/upstreams/down/s-00000001"));
+            // The enabled upstream is cold, so it gets the first request of its share; no other goes
+            // elsewhere.
             for (int i = 0; i < 20; i++) {
                 fixture.caller().write(NodeFixture.get("back" + i, "10"));
             }
@@ -174,12 +175,12 @@
     }
 
     @Test
-    void aDrainCutsOffNoRequestThatIsOnItsWayIn() throws Exception {
+    void aDrainDoesNotCutOffAPartiallyReceivedRequest() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.balancer.onRequest = request -> fixture.balancer.actions.refuse(request.id(), 0);
             String request = NodeFixture.get("1", "10");
             List<HttpPeer> callers = new ArrayList<>();
-            // Cut within the first line, behind it, and within the head.
+            // Cut within the request line, after it, and within the headers.
             for (int cut : new int[] {3, request.indexOf("\r\n") + 2, request.length() - 5}) {
                 HttpPeer caller = fixture.caller();
                 caller.write(NodeFixture.HEALTH);
@@ -190,7 +191,7 @@
             HttpPeer idle = fixture.caller();
             idle.write(NodeFixture.HEALTH);
             assertEquals(200, idle.read().status());
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
             assertTrue(idle.awaitClose());
             int at = 0;
             for (int cut : new int[] {3, request.indexOf("\r\n") + 2, request.length() - 5}) {
@@ -204,9 +205,9 @@
     }
 
     @Test
-    void noOrderUndoesTheDrainOfSigterm() throws Exception {
+    void operatorsCannotUndoTheDrainOfSigterm() throws Exception {
         try (NodeFixture fixture = fixture()) {
-            assertEquals(200, fixture.order("PUT", "/ops/drain/start"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/start"));
             HttpPeer caller = fixture.caller();
             caller.write(NodeFixture.get("1", "30"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
@@ -219,12 +220,12 @@
                 }
             });
             drain.start();
-            // Only a drain by hand says no to the front.
+            // Only an operator's drain makes the health check of the front fail.
             while (health(fixture) != 200) {
                 Thread.onSpinWait();
             }
-            assertEquals(200, fixture.order("PUT", "/ops/drain/stop"));
-            assertEquals(503, fixture.order("GET", "/ops/readiness"));
+            assertEquals(200, fixture.adminRequest("PUT", "/ops/drain/stop"));
+            assertEquals(503, fixture.adminRequest("GET", "/ops/readiness"));
             upstream.write(NodeFixture.ok("taken"));
             assertEquals("close", caller.read().header("Connection"));
             drain.join();
--- a/src/test/java/cranedeal/node/PublishedConfigTest.java
+++ b/src/test/java/cranedeal/node/PublishedConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the fleet publishes lies over a balancer's own file, whole or not at all. */
+/** Tests that a section published by the fleet overrides a balancer's own file as a whole, or not at all. */
 @Timeout(60)
 class PublishedConfigTest {
 
@@ -40,11 +40,11 @@
     }
 
     @Test
-    void aSectionIsInForceUntilItGoesAndAReloadKeepsIt() throws Exception {
+    void aSectionStaysInForceOverReloadsUntilItIsRemoved() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
             assertTrue(shows(fixture, "success.tile-view=0"), fixture.node.stats());
-            // The file changes, and what was published still goes before it.
+            // The file changes, and the published section still overrides it.
             Path file = folder.resolve("config.json");
             Files.writeString(file, fixture.config().replace("look-up", "look-over").replace("credit-spend",
                     "debit"));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aKeyThatOnlyASectionHasCanGoAgain() throws Exception {
+    void aKeyOnlyInASectionMayBeRemoved() throws Exception {
         try (NodeFixture fixture = fixture()) {
             ObjectNode more = NodeConfig.JSON.createObjectNode();
             more.putObject("settings").putObject("rules").put("maxShare", 0.5);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aSectionThatIsWrongInAnyPartChangesNothing() throws Exception {
+    void anInvalidSectionChangesNothing() throws Exception {
         try (NodeFixture fixture = fixture()) {
             fixture.node.applyPublished(section(fixture, "tile-order", "tile-view"));
             ObjectNode bad = (ObjectNode) section(fixture, "tile-order", "tile-look");
@@ -82,7 +82,8 @@
             ConfigException e = assertThrows(ConfigException.class, () -> fixture.node.applyPublished(bad));
             assertTrue(e.getMessage().contains("settings.limits.attemptsCap"), e.getMessage());
             ObjectNode fewer = (ObjectNode) section(fixture, "tile-order", "tile-look");
-            ((ArrayNode) fewer.at("/settings/services")).forEach(one -> ((ObjectNode) one).remove("worth"));
+            ((ArrayNode) fewer.at("/settings/services")).forEach(
+                    service -> ((ObjectNode) service).remove("worth"));
             e = assertThrows(ConfigException.class, () -> fixture.node.applyPublished(fewer));
             assertTrue(e.getMessage().contains("worth is missing"), e.getMessage());
             ObjectNode zones = NodeConfig.JSON.createObjectNode();
--- a/src/test/java/cranedeal/node/UpgradeTest.java
+++ b/src/test/java/cranedeal/node/UpgradeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes at one address: what callers and operators see while one replaces the other. */
+/** Tests a hot restart: two processes at one address, one of which replaces the other. */
 @Timeout(120)
 class UpgradeTest {
 
@@ -50,26 +50,26 @@
         }
     }
 
-    /** Starts a process and returns its door once that says that the process takes clients. */
+    /** Starts a process and returns the address of its admin endpoint once the process is ready. */
     private InetSocketAddress start() throws Exception {
-        InetSocketAddress door = free();
+        InetSocketAddress admin = free();
         Path file = Files.createTempFile(folder, "node", ".json");
         Files.writeString(file, fixture.config()
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + address.getPort() + "\"")
                 .replace("\"admin_addr\":\"127.0.0.1:0\"",
-                        "\"admin_addr\":\"127.0.0.1:" + door.getPort() + "\""));
+                        "\"admin_addr\":\"127.0.0.1:" + admin.getPort() + "\""));
         Process process = DrainTest.start(folder, file, "serve");
         processes.add(process);
-        while (order(door, "GET", "/ops/readiness") != 200) {
+        while (operatorCall(admin, "GET", "/ops/readiness") != 200) {
             assertTrue(process.isAlive());
             Thread.onSpinWait();
         }
-        return door;
+        return admin;
     }
 
-    /** An operator's call; 0 if nobody is there. */
-    private static int order(InetSocketAddress door, String method, String path) throws IOException {
-        try (HttpPeer operator = HttpPeer.connect(door)) {
+    /** Makes an operator's call and returns its status; 0 if the connection is refused. */
+    private static int operatorCall(InetSocketAddress admin, String method, String path) throws IOException {
+        try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().status();
         } catch (java.net.ConnectException e) {
@@ -77,9 +77,9 @@
         }
     }
 
-    /** How many upstreams get nothing, by the figures of a process. */
-    private static String disabled(InetSocketAddress door) throws IOException {
-        try (HttpPeer operator = HttpPeer.connect(door)) {
+    /** The metric of disabled upstreams, as shown by a process. */
+    private static String disabled(InetSocketAddress admin) throws IOException {
+        try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body().lines().filter(line ->
                     line.contains("targets_disabled")).findFirst()
@@ -92,45 +92,46 @@
     }
 
     @Test
-    void ordersInTheStateFolderOutlastEveryProcess() throws Exception {
+    void overridesInTheStateFolderSurviveEveryProcess() throws Exception {
         fixture.stateDir = folder.resolve("state");
         InetSocketAddress first = start();
-        assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
+        assertEquals(200, operatorCall(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
         assertEquals("edge_proxy.targets_disabled=1", disabled(second));
-        // The one hears of the other's orders.
-        assertEquals(200, order(second, "PUT", "/ops/upstreams/up/s-00000000"));
+        // Each process applies the overrides set at the other one.
+        assertEquals(200, operatorCall(second, "PUT", "/ops/upstreams/up/s-00000000"));
         while (!disabled(first).endsWith("=0")) {
             Thread.onSpinWait();
         }
-        assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
+        assertEquals(200, operatorCall(first, "PUT", "/ops/upstreams/down/s-00000000"));
         processes.get(0).destroyForcibly().waitFor();
         killLast();
         InetSocketAddress third = start();
         assertEquals("edge_proxy.targets_disabled=1", disabled(third));
-        assertEquals(200, order(third, "PUT", "/ops/upstreams/up/s-00000000"));
+        assertEquals(200, operatorCall(third, "PUT", "/ops/upstreams/up/s-00000000"));
         killLast();
         assertEquals("edge_proxy.targets_disabled=0", disabled(start()));
-        assertFalse(Files.exists(folder.resolve("orders")), "not kept where it does not last");
+        assertFalse(Files.exists(folder.resolve("orders")), "not saved in the shared folder");
     }
 
-    /** Whether the process that was started last says that it knows what an earlier one had learnt. */
-    private boolean lastRecalls() throws IOException {
+    /** Returns true if the last process logged that it restored the warm-start state of an earlier one. */
+    private boolean lastRestoredWarmState() throws IOException {
         BufferedReader log = processes.get(processes.size() - 1).errorReader();
         String line = log.readLine();
-        while (line != null && !line.contains("learnt")) {
+        while (line != null && !line.contains("warm-start state")) {
             line = log.readLine();
         }
-        return line != null && line.contains("recalls what was learnt") && line.contains(" of 1 upstreams");
+        return line != null && line.contains("restored warm-start state")
+                && line.contains(" of 1 upstreams");
     }
 
     @Test
-    void whatWasLearntOutlastsAnUpgradeAndAKillAndIsNotGuessedFromAFileThatIsDamaged() throws Exception {
+    void warmStateSurvivesUpgradeAndKillAndADamagedFileIsIgnored() throws Exception {
         fixture.stateDir = folder.resolve("state");
         start();
-        Path learnt = fixture.stateDir.resolve("learnt");
+        Path stateFile = fixture.stateDir.resolve("learnt");
         HttpPeer client = caller();
-        for (int i = 0; !Files.exists(learnt); i++) {
+        for (int i = 0; !Files.exists(stateFile); i++) {
             client.write(NodeFixture.get("r" + i, "20"));
             HttpPeer upstream = fixture.upstreams.get(0).accept();
             upstream.read();
@@ -138,25 +139,25 @@
             assertEquals(200, client.read().status());
         }
         start();
-        assertTrue(lastRecalls());
+        assertTrue(lastRestoredWarmState());
         processes.get(0).destroyForcibly().waitFor();
         killLast();
         start();
-        assertTrue(lastRecalls());
+        assertTrue(lastRestoredWarmState());
         killLast();
-        byte[] bytes = Files.readAllBytes(learnt);
+        byte[] bytes = Files.readAllBytes(stateFile);
         bytes[bytes.length / 2] ^= 1;
-        Files.write(learnt, bytes);
+        Files.write(stateFile, bytes);
         start();
-        assertFalse(lastRecalls());
+        assertFalse(lastRestoredWarmState());
     }
 
     @Test
-    void anyThreadMayAskForASuccessor() throws Exception {
+    void anyThreadMayCheckForASuccessor() throws Exception {
         ProcessHandover processes = ProcessHandover.join(folder);
-        List<CompletableFuture<Boolean>> asked = new ArrayList<>();
+        List<CompletableFuture<Boolean>> results = new ArrayList<>();
         for (int thread = 0; thread < 4; thread++) {
-            asked.add(CompletableFuture.supplyAsync(() -> {
+            results.add(CompletableFuture.supplyAsync(() -> {
                 try {
                     boolean any = false;
                     for (int i = 0; i < 5_000; i++) {
@@ -168,8 +169,8 @@
                 }
             }));
         }
-        for (CompletableFuture<Boolean> one : asked) {
-            assertFalse(one.get());
+        for (CompletableFuture<Boolean> result : results) {
+            assertFalse(result.get());
         }
         processes.leave();
     }
@@ -182,7 +183,7 @@
     }
 
     @Test
-    void theFollowerTakesOverWhileCallersGoOn() throws Exception {
+    void theSuccessorTakesOverWithoutInterruptingCallers() throws Exception {
         start();
         HttpPeer used = caller();
         HttpPeer idle = caller();
@@ -192,7 +193,7 @@
         start();
         Process old = processes.get(0);
         old.destroy();
-        // Each new connection is served, whoever gets it; but for one that comes as the old socket closes.
+        // Each new connection is served by either process, except one that arrives as the old socket closes.
         int reset = 0;
         while (old.isAlive()) {
             try {
@@ -213,7 +214,7 @@
     }
 
     @Test
-    void aSecondProcessWithoutTheFolderIsTurnedDown() throws Exception {
+    void aSecondProcessWithoutTheSharedFolderFailsToStart() throws Exception {
         start();
         Path file = Files.createTempFile(folder, "node", ".json");
         Files.writeString(file, fixture.config().replace("\"listen\":\"127.0.0.1:0\"",
@@ -226,14 +227,14 @@
     }
 
     @Test
-    void aProcessThatDiedIsNoFollower() throws Exception {
+    void aProcessThatDiedIsNotASuccessor() throws Exception {
         start();
         start();
         Process died = processes.get(1).destroyForcibly();
         assertTrue(died.waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         HttpPeer kept = caller();
         processes.get(0).destroy();
-        // A drain without a follower goes on to take connections before it sends callers away.
+        // A drain without a successor keeps accepting connections before it closes those of callers.
         HttpPeer.Message answer = null;
         int served = 0;
         while (answer == null || answer.header("Connection") == null) {
@@ -247,42 +248,42 @@
         assertTrue(processes.get(0).waitFor(HttpPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    private static String stats(InetSocketAddress door) throws IOException {
-        try (HttpPeer operator = HttpPeer.connect(door)) {
+    private static String stats(InetSocketAddress admin) throws IOException {
+        try (HttpPeer operator = HttpPeer.connect(admin)) {
             operator.write("GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n");
             return operator.read().body();
         }
     }
 
-    private static boolean hasOut(InetSocketAddress door) throws IOException {
-        return stats(door).contains("edge_proxy.targets_disabled=1\n");
+    private static boolean hasDisabledUpstream(InetSocketAddress admin) throws IOException {
+        return stats(admin).contains("edge_proxy.targets_disabled=1\n");
     }
 
     @Test
-    void ordersHoldForBothProcessesWhicheverIsTold() throws Exception {
+    void overridesApplyToBothProcesses() throws Exception {
         InetSocketAddress first = start();
-        assertEquals(200, order(first, "PUT", "/ops/upstreams/down/s-00000000"));
+        assertEquals(200, operatorCall(first, "PUT", "/ops/upstreams/down/s-00000000"));
         InetSocketAddress second = start();
-        assertTrue(hasOut(second));
-        assertEquals(200, order(second, "PUT", "/ops/upstreams/up/s-00000000"));
-        while (hasOut(first)) {
+        assertTrue(hasDisabledUpstream(second));
+        assertEquals(200, operatorCall(second, "PUT", "/ops/upstreams/up/s-00000000"));
+        while (hasDisabledUpstream(first)) {
             Thread.sleep(1);
         }
-        assertEquals(200, order(first, "PUT", "/ops/drain/start"));
-        while (order(second, "GET", "/ops/readiness") == 200) {
+        assertEquals(200, operatorCall(first, "PUT", "/ops/drain/start"));
+        while (operatorCall(second, "GET", "/ops/readiness") == 200) {
             Thread.sleep(1);
         }
-        assertEquals(200, order(second, "PUT", "/ops/drain/stop"));
-        while (order(first, "GET", "/ops/readiness") != 200) {
+        assertEquals(200, operatorCall(second, "PUT", "/ops/drain/stop"));
+        while (operatorCall(first, "GET", "/ops/readiness") != 200) {
             Thread.sleep(1);
         }
     }
 
     @Test
-    void newSettingsReachBothProcessesWhicheverHasTheSignal() throws Exception {
+    void aReloadReachesBothProcesses() throws Exception {
         start();
         InetSocketAddress second = start();
-        // Each has a file of its own here.
+        // Each process has its own configuration file in this test.
         try (var files = Files.list(folder)) {
             for (Path file : files.filter(path -> path.toString().endsWith(".json")).toList()) {
                 Files.writeString(file, Files.readString(file).replace("tile-order", "tile-view"));
@@ -292,7 +293,7 @@
         while (!stats(second).contains("edge_proxy.success.tile-view=0\n")) {
             Thread.sleep(1);
         }
-        // Only the signal counts.
+        // Only the process that got the signal counts a reload.
         assertTrue(stats(second).contains("edge_proxy.reload_success=0\n"));
     }
 }
--- a/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
+++ b/src/test/java/cranedeal/node/discovery/VirtualDiscovery.java
@@ -9,48 +9,50 @@
 import java.util.function.DoubleFunction;
 import java.util.function.IntToLongFunction;
 
-/** Processes that watch one discovery, in virtual time: calls, connections and answers are events. */
+/**
+ * Simulates processes that watch one discovery in virtual time; calls, connections and answers are events.
+ */
 final class VirtualDiscovery {
 
-    static final int LONGEST_WAIT_MS = 2_500;
+    static final int MAX_WAIT_MS = 2_500;
     private static final double CONNECT_TIMEOUT_MS = 1_000;
     private static final long FIRST_VERSION = 41;
 
-    /** What becomes of a call. */
-    enum Fate { ANSWERED, SILENT, HALF, CUT, RESET, REFUSED, NOT_CONNECTED, HELD }
+    /** What happens to a call. */
+    enum Outcome { ANSWERED, SILENT, HALF, CUT, RESET, REFUSED, NOT_CONNECTED, HELD }
 
     /**
-     * How discovery works.
+     * How fast discovery answers.
      *
-     * @param inTurn whether it works through calls in turn, also those that were given up, and each takes
-     *     {@code answerMs}; otherwise each answer is under way for so long
+     * @param serial whether it serves calls one at a time, including cancelled ones, each in
+     *     {@code answerMs}; otherwise calls are served at once and each answer is delayed by {@code answerMs}
      */
-    record Pace(boolean inTurn, double answerMs) { }
+    record Speed(boolean serial, double answerMs) { }
 
-    private record Event(double at, long order, Runnable what) { }
+    private record Event(double at, long sequence, Runnable action) { }
 
-    private record Waiting(Watcher watcher, long id, long index, Fate fate) { }
+    private record PendingCall(Watcher watcher, long id, long index, Outcome outcome) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Pace pace;
-    private final DoubleFunction<Fate> fates;
-    private final List<Waiting> waiting = new ArrayList<>();
-    /** When each version came to be. */
+            Comparator.comparingDouble(Event::at).thenComparingLong(Event::sequence));
+    private final Speed speed;
+    private final DoubleFunction<Outcome> outcomes;
+    private final List<PendingCall> pendingCalls = new ArrayList<>();
+    /** When each version was created. */
     private final Map<Long, Double> changes = new HashMap<>();
     final List<Watcher> watchers = new ArrayList<>();
-    private long order;
+    private long nextSequence;
     private double now;
     private double busyUntil;
     private long version = FIRST_VERSION;
-    /** When answers come that are held back on the way until then. */
+    /** The time at which held-back answers arrive. */
     double heldUntil;
     long calls;
 
-    /** A discovery at a pace; {@code fates} gives what becomes of a call that is sent at a time. */
-    VirtualDiscovery(Pace pace, DoubleFunction<Fate> fates) {
-        this.pace = pace;
-        this.fates = fates;
+    /** Creates a discovery; {@code fates} returns what happens to a call sent at a given time. */
+    VirtualDiscovery(Speed pace, DoubleFunction<Outcome> fates) {
+        this.speed = pace;
+        this.outcomes = fates;
         changes.put(version, Double.NEGATIVE_INFINITY);
     }
 
@@ -62,67 +64,68 @@
         return version;
     }
 
-    /** When a version came to be, in ms. */
+    /** When a version was created, in ms. */
     double changedAt(long which) {
         return changes.get(which);
     }
 
-    void at(double time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    void schedule(double time, Runnable action) {
+        events.add(new Event(time, nextSequence++, action));
     }
 
-    /** Starts processes between 0 and a time. */
+    /** Starts processes, spread evenly between 0 and {@code within}. */
     void start(int count, double within, IntToLongFunction seeds) {
         for (int i = 0; i < count; i++) {
             Watcher watcher = new Watcher(seeds.applyAsLong(i));
             watchers.add(watcher);
             watcher.startedAt = within * i / count;
-            at(watcher.startedAt, () -> watcher.schedule.watch(now, true));
+            schedule(watcher.startedAt, () -> watcher.schedule.watch(now, true));
         }
     }
 
     void run(double until) {
         for (Event event = events.poll(); event != null && event.at() <= until; event = events.poll()) {
             now = event.at();
-            event.what().run();
+            event.action().run();
         }
         now = until;
     }
 
-    /** The list changes. */
+    /** Changes the list. */
     void change() {
         version++;
         changes.put(version, now);
-        List<Waiting> all = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingCall> all = List.copyOf(pendingCalls);
+        pendingCalls.clear();
         all.forEach(this::answer);
     }
 
-    private void serve(Waiting call, int waitMs) {
+    private void serve(PendingCall call, int waitMs) {
         if (version > call.index()) {
             answer(call);
             return;
         }
-        waiting.add(call);
-        at(now + waitMs, () -> {
-            if (waiting.remove(call)) {
+        pendingCalls.add(call);
+        schedule(now + waitMs, () -> {
+            if (pendingCalls.remove(call)) {
                 answer(call);
             }
         });
     }
 
-    /** Words the answer now; it is under way for as long as the pace has it. */
-    private void answer(Waiting call) {
-        long told = version;
-        at(now + (pace.inTurn() ? 0 : pace.answerMs()), () -> {
+    /** Creates the answer from the current list; it arrives after the delay of the pace. */
+    private void answer(PendingCall call) {
+        long answeredVersion = version;
+        schedule(now + (speed.serial() ? 0 : speed.answerMs()), () -> {
             Watcher watcher = call.watcher();
-            switch (call.fate()) {
-                case ANSWERED -> watcher.answered(call, told);
-                case HELD -> at(Math.max(now, heldUntil), () -> watcher.answered(call, told));
-                case HALF -> watcher.begun(call.id());
+            switch (call.outcome()) {
+                case ANSWERED -> watcher.answered(call, answeredVersion);
+                case HELD -> schedule(Math.max(now, heldUntil),
+                        () -> watcher.answered(call, answeredVersion));
+                case HALF -> watcher.answerStarted(call.id());
                 case CUT -> {
-                    watcher.begun(call.id());
-                    at(now + 100, () -> watcher.failed(call.id()));
+                    watcher.answerStarted(call.id());
+                    schedule(now + 100, () -> watcher.failed(call.id()));
                 }
                 default -> { }
             }
@@ -133,39 +136,39 @@
     final class Watcher implements WatchSchedule.Actions {
 
         final WatchSchedule schedule;
-        private final Map<Long, Fate> open = new HashMap<>();
-        /** When each version was in force. */
+        private final Map<Long, Outcome> open = new HashMap<>();
+        /** When each version came into force. */
         final Map<Long, Double> inForce = new HashMap<>();
-        /** When answers came, whatever they said. */
-        final List<Double> heardAt = new ArrayList<>();
+        /** When answers arrived, accepted or not. */
+        final List<Double> answeredAt = new ArrayList<>();
         double startedAt;
-        int mostOut;
+        int maxInFlight;
         private double wakeAt;
 
         Watcher(long seed) {
-            schedule = new WatchSchedule(this, LONGEST_WAIT_MS, FIRST_VERSION, seed);
+            schedule = new WatchSchedule(this, MAX_WAIT_MS, FIRST_VERSION, seed);
         }
 
         @Override
         public void call(long id, long index, int waitMs) {
             calls++;
-            Fate fate = fates.apply(now);
+            Outcome fate = outcomes.apply(now);
             open.put(id, fate);
-            mostOut = Math.max(mostOut, open.size());
+            maxInFlight = Math.max(maxInFlight, open.size());
             switch (fate) {
-                case REFUSED -> at(now + 1, () -> failed(id));
-                case NOT_CONNECTED -> at(now + CONNECT_TIMEOUT_MS, () -> failed(id));
-                case RESET -> at(now + waitMs / 2.0, () -> failed(id));
+                case REFUSED -> schedule(now + 1, () -> failed(id));
+                case NOT_CONNECTED -> schedule(now + CONNECT_TIMEOUT_MS, () -> failed(id));
+                case RESET -> schedule(now + waitMs / 2.0, () -> failed(id));
                 default -> {
-                    Waiting call = new Waiting(this, id, index, fate);
-                    busyUntil = Math.max(busyUntil, now) + (pace.inTurn() ? pace.answerMs() : 0);
-                    at(pace.inTurn() ? busyUntil : now, () -> serve(call, waitMs));
+                    PendingCall call = new PendingCall(this, id, index, fate);
+                    busyUntil = Math.max(busyUntil, now) + (speed.serial() ? speed.answerMs() : 0);
+                    schedule(speed.serial() ? busyUntil : now, () -> serve(call, waitMs));
                 }
             }
         }
 
         @Override
-        public void giveUp(long id, CallEnd why) {
+        public void cancel(long id, CallEnd why) {
             open.remove(id);
         }
 
@@ -173,7 +176,7 @@
         public void wakeAt(double at) {
             wakeAt = at;
             if (at < Double.POSITIVE_INFINITY) {
-                at(Math.max(now, at), () -> {
+                schedule(Math.max(now, at), () -> {
                     if (wakeAt == at) {
                         schedule.timer(now);
                     }
@@ -187,24 +190,24 @@
             }
         }
 
-        private void begun(long id) {
+        private void answerStarted(long id) {
             if (open.containsKey(id)) {
                 schedule.answerStarted(now, id);
             }
         }
 
-        private void answered(Waiting call, long told) {
+        private void answered(PendingCall call, long answeredVersion) {
             if (open.remove(call.id()) == null) {
                 return;
             }
-            heardAt.add(now);
-            boolean taken = schedule.accepts(call.id(), told, false);
+            answeredAt.add(now);
+            boolean accepted = schedule.accepts(call.id(), answeredVersion, false);
             long before = schedule.version();
-            for (long each = before + 1; taken && each <= told; each++) {
+            for (long each = before + 1; accepted && each <= answeredVersion; each++) {
                 inForce.put(each, now);
             }
-            if (taken) {
-                schedule.answered(now, call.id(), told, told > call.index());
+            if (accepted) {
+                schedule.answered(now, call.id(), answeredVersion, answeredVersion > call.index());
             } else {
                 schedule.outdated(now, call.id());
             }
