--- a/src/main/java/cranedeal/Call.java
+++ b/src/main/java/cranedeal/Call.java
@@ -4,24 +4,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request being worked on, with its attempts: what happened, no decisions. */
+/** The state of a request in progress and its attempts; makes no decisions. */
 final class Call {
 
-    /** Share of an expected latency that goes with the hinted work; the rest is waiting that all share. */
-    private static final double HINT_SHARE = 0.5;
+    /**
+     * Share of the expected latency that grows with the hinted work; the rest is queueing common to all
+     * requests.
+     */
+    private static final double WORK_SHARE = 0.5;
 
-    /** One attempt; {@code result} is null while it is out. */
+    /** One attempt; {@code result} is null while it is in flight. */
     static final class Attempt {
         final Call call;
         final Server server;
         final int number;
-        /** From when its time counts, and the host's spare time at that moment. */
+        /** Start of its timing, and the host's idle time at that moment. */
         double sentAt;
-        double spareAtSend;
+        double idleTimeAtSend;
         LoadBalancer.Result result;
         boolean streaming;
-        /** Whether it was taken as a sign of overload while it was out. */
-        boolean strained;
+        /** True if it signalled overload while it was in flight. */
+        boolean overdue;
 
         Attempt(Call call, Server server) {
             this.call = call;
@@ -29,74 +32,77 @@
             this.number = call.attempts.size();
         }
 
-        /** Its time counts from now. */
-        void sent(double now, double spareTime) {
+        /** Starts its timing. */
+        void markSent(double now, double idleTime) {
             sentAt = now;
-            spareAtSend = spareTime;
+            idleTimeAtSend = idleTime;
         }
     }
 
     final LoadBalancer.Request request;
     final LoadBalancer.ServiceClass type;
-    /** What is known of its class; another record of it after a change of settings. */
-    ClassRecord record;
+    /** Statistics of its class; replaced when the settings change. */
+    ClassStats stats;
     final long id;
-    /** From when the request's time counts. */
+    /** Start of the request's timing. */
     double arrivedAt;
-    /** The host's spare time at its arrival. */
-    final double spareAtArrival;
-    /** Whether its body is still on its way. */
-    boolean arriving;
+    /** The host's idle time when the request arrived. */
+    final double idleTimeAtArrival;
+    /** True while its body is still arriving. */
+    boolean bodyPending;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** The unfinished requests of its key in order of arrival, itself among them; null if it is free. */
-    ArrayDeque<Call> line;
-    /** Until when an attempt that was given up may still be running. */
-    double restsUntil = Double.NEGATIVE_INFINITY;
-    /** When an answer stops being worth its work. */
-    double usefulEnd;
-    /** The greatest l of a server that it may go to while one that it was drawn to has no room. */
-    double worst = Double.MAX_VALUE;
-    /** That server; null before. */
-    Server crowded;
-    /** Whether it has waited for room. */
-    boolean waited;
-    /** When its waiting is to end, if it is held; the earliest time for which a timer is set. */
-    double heldUntil = Double.POSITIVE_INFINITY;
-    int running;
+    /**
+     * The unfinished requests with its key in order of arrival, including this one; null if it is not
+     * ordered.
+     */
+    ArrayDeque<Call> keyQueue;
+    /** Until when an abandoned attempt may still be running. */
+    double keyRestsUntil = Double.NEGATIVE_INFINITY;
+    /** Time from which an answer is no longer worth its work. */
+    double usefulUntil;
+    /** Max cost of a server that it may be sent to while the drawn server has no room. */
+    double maxCost = Double.MAX_VALUE;
+    /** The drawn server that had no room, or null. */
+    Server fullServer;
+    /** True if it has waited for room. */
+    boolean waitedForRoom;
+    /** End of its wait if it is queued; the earliest time for which a timer is set. */
+    double queuedUntil = Double.POSITIVE_INFINITY;
+    int inFlight;
     boolean done;
     boolean streaming;
 
-    Call(LoadBalancer.Request request, ClassRecord record, double arrivedAt, double spareAtArrival) {
-        this.spareAtArrival = spareAtArrival;
+    Call(LoadBalancer.Request request, ClassStats stats, double arrivedAt, double idleTimeAtArrival) {
+        this.idleTimeAtArrival = idleTimeAtArrival;
         this.request = request;
-        this.record = record;
-        this.type = record.type;
+        this.stats = stats;
+        this.type = stats.type;
         this.id = request.id();
         this.arrivedAt = arrivedAt;
     }
 
-    /** The request's hinted work relative to the mean of its class. */
-    double size() {
-        double mean = record.hint.value();
+    /** Returns the request's hinted work relative to the mean of its class. */
+    double relativeWork() {
+        double mean = stats.workHint.value();
         return request.cost() > 0 && mean > 0 ? request.cost() / mean : 1;
     }
 
-    /** The part of an expected latency that its hinted work makes out. */
-    double hintFactor() {
-        return 1 - HINT_SHARE + HINT_SHARE * size();
+    /** Returns the factor on the expected latency that results from its hinted work. */
+    double workFactor() {
+        return 1 - WORK_SHARE + WORK_SHARE * relativeWork();
     }
 
-    /** The latency that is expected of it on a mean server, in ms. */
-    double expected() {
-        return record.latency.value() * hintFactor();
+    /** Returns its expected latency on a mean server, in ms. */
+    double expectedLatency() {
+        return stats.latency.value() * workFactor();
     }
 
-    /** Ms after which it is slower than nearly all. */
+    /** Returns the ms after which it is slower than nearly all calls of its class. */
     double slowAfter() {
-        return expected() * record.slowRatio;
+        return expectedLatency() * stats.slowRatio;
     }
 
-    boolean tried(Server server) {
+    boolean hasTried(Server server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server) {
                 return true;
@@ -105,7 +111,7 @@
         return false;
     }
 
-    /** The earliest attempt that is out or was not proven never to have run; null if there is none. */
+    /** Returns the earliest attempt that is in flight or may have run; null if there is none. */
     Attempt firstMaybeRun() {
         for (Attempt attempt : attempts) {
             if (attempt.result == null || !attempt.result.neverRan()) {
--- a/src/main/java/cranedeal/DrawCounts.java
+++ b/src/main/java/cranedeal/DrawCounts.java
@@ -1,6 +1,6 @@
 package cranedeal;
 
-/** How many draws there were since the start, and how many servers they looked at: what a draw costs. */
+/** Counts the draws since the start, and the servers that they examined. */
 final class DrawCounts {
     long draws;
     long examined;
--- a/src/main/java/cranedeal/LatencyWeightedBalancer.java
+++ b/src/main/java/cranedeal/LatencyWeightedBalancer.java
@@ -11,331 +11,355 @@
 import cranedeal.Call.Attempt;
 
 /**
- * All decisions of cranedeal. Read {@link LoadBalancer} (LoadBalancer.java) first: it is the interface.
+ * The load balancing algorithm. Read {@link LoadBalancer} (LoadBalancer.java) first: it is the interface.
  *
- * <p>The ordinary path: every server has a cost l = base + p * (1/s - 1), where base is its smoothed served
- * latency, s its windowed success share and p the class's steady time-out; each call goes to a ready server
- * drawn at random in proportion to 1/l. The file follows a request: arrival, the draw, the send, the
- * outcome, the next attempt or the final answer; then the evidence behind l, then the server list.
+ * <p>In the usual case every server has a cost l = base + p * (1/s - 1), where base is its smoothed latency
+ * of served calls, s its success rate over a recent window and p the class's aim. Each call goes to a ready
+ * server drawn at random with a probability in proportion to 1/l. The file follows a request: arrival, draw,
+ * send, outcome, next attempt or final answer; then come the observations behind l and the server list.
  */
 public final class LatencyWeightedBalancer implements LoadBalancer {
 
-    /** Calls of a class broken one after the other that end what was known of a server that served them. */
-    private static final int OUTAGE = 2;
-    /** Share of the calls served that counts on at each further fault: an outage is felt in a few calls. */
+    /** Consecutive failed calls of a class after which the earlier successes of a server lose weight. */
+    private static final int OUTAGE_FAILURES = 2;
+    /** Share of the served calls that is kept at each further failure, so that few calls reveal an outage. */
     private static final double SERVED_KEPT = 0.5;
-    /** Share of the calls broken that counts on once it serves again: it has recovered. */
-    private static final double BROKEN_KEPT = 0.1;
+    /** Share of the failed calls that is kept at the first success after an outage. */
+    private static final double FAILED_KEPT = 0.1;
     /** Weight of a sample in the averages over all servers (class latency, machine type, cost hints). */
     private static final double FLEET_GAIN = 0.02;
-    /** Expected latency before any was seen, as a share of the class's aim. */
-    private static final double FIRST_GUESS = 0.2;
-    /** Ms below which latencies are not told apart; keeps every l above zero. */
-    private static final double LEAST_LATENCY = 0.01;
-    /** How many times the l of a server without room another's may be to take the call instead. */
-    private static final double NOT_MUCH_WORSE = 4;
-    /** Share of calls slower than the delay after which a second copy or attempt is worth its work. */
+    /** Expected latency before the first sample, as a share of the class's aim. */
+    private static final double INITIAL_LATENCY = 0.2;
+    /** Lower bound of latencies in ms; keeps every l above zero. */
+    private static final double MIN_LATENCY = 0.01;
+    /** Max cost of a substitute, as a multiple of the cost of the drawn server that has no room. */
+    private static final double MAX_COST_RATIO = 4;
+    /**
+     * Share of calls that exceed the delay after which a hedged request or a new attempt is worth its work.
+     */
     private static final double SLOW_SHARE = 0.05;
-    /** Step of the quantile estimate behind that delay, relative to its value. */
+    /** Step of the quantile estimate of that delay, relative to its value. */
     private static final double SLOW_STEP = 0.05;
-    /** That delay over the expected latency, at first and within bounds: for even and long-tailed classes. */
-    private static final double FIRST_SLOW_RATIO = 3;
-    private static final double LEAST_SLOW_RATIO = 1.5;
-    private static final double MOST_SLOW_RATIO = 10;
-    /** Without second copies an attempt that may be repeated is given up after this many such delays. */
-    private static final double GIVE_UP = 2;
-    /** The least share of its aim that it has even so: a pause, here or there, is no slow server. */
-    private static final double LEAST_WAIT = 0.1;
-    /** Calls beyond the first that each request earns: bounds retries and copies when all is slow. */
-    private static final double EXTRA_PER_REQUEST = 0.1;
-    /** Most unused earnings kept, and those granted at start. */
-    private static final double EXTRA_SAVED = 3;
-    /** Least share of the expected latency that must be left for a send to make sense. */
-    private static final double TOO_LATE = 0.25;
-    /** The most of its aim that must be left for it. */
-    private static final double MOST_RESERVED = 0.5;
+    /**
+     * Ratio of that delay to the expected latency: initial value and bounds, for uniform and long-tailed
+     * classes.
+     */
+    private static final double INITIAL_SLOW_RATIO = 3;
+    private static final double MIN_SLOW_RATIO = 1.5;
+    private static final double MAX_SLOW_RATIO = 10;
+    /** Without hedging, a repeatable attempt is abandoned after this many such delays. */
+    private static final double GIVE_UP_FACTOR = 2;
+    /** Min duration of such an attempt, as a share of the aim: a short pause does not mean a slow server. */
+    private static final double MIN_ATTEMPT_TIME = 0.1;
+    /**
+     * Retries and hedged requests that each request adds to the budget; bounds them when all servers are
+     * slow.
+     */
+    private static final double RETRIES_PER_REQUEST = 0.1;
+    /** Max size of the retry budget, and its size at start. */
+    private static final double MAX_RETRY_BUDGET = 3;
+    /** A send needs at least this share of the expected latency as remaining time. */
+    private static final double MIN_TIME_LEFT = 0.25;
+    /** Upper bound of that remaining time, as a share of the aim. */
+    private static final double MAX_TIME_RESERVED = 0.5;
     /** Share of the allowed multiple of a cold server's capacity that its send budget uses. */
     private static final double COLD_MARGIN = 0.3;
-    /** The least wait advised to a refused client, in ms. */
-    private static final double LEAST_RETURN = 20;
+    /** Min retry-after for a refused client, in ms. */
+    private static final double MIN_RETRY_AFTER = 20;
     /**
-     * Ms between looks at the requests that are held, whatever their number: what time alone brings, such as
-     * evidence that fades, wakes nobody.
+     * Ms between checks of the queued requests, regardless of their number: no event announces changes that
+     * come with time alone, such as decaying observations.
      */
-    private static final double LOOK_AGAIN = 20;
-    /** Held requests of a class that are looked at at once, and as a list brings new servers. */
-    private static final int WOKEN_AT_ONCE = 4;
-    private static final int WOKEN_BY_LIST = 64;
-    /** Most wait before the registry is asked again, of askEvery and in ms: its news count as told 6 s on. */
-    private static final double ASK_AGAIN = 0.2;
-    private static final double ASK_SOON = 1_200;
-    /** The longest wait advised to a refused client, of its aim: it should come back in good time. */
-    private static final double RETURN_SHARE = 0.5;
+    private static final double QUEUE_CHECK_MS = 20;
+    /** Max queued requests of a class that one event wakes, and that a new list wakes. */
+    private static final int MAX_WOKEN = 4;
+    private static final int MAX_WOKEN_BY_LIST = 64;
+    /**
+     * Max delay before the watch is retried, as a share of askEvery and in ms: an update counts as known 6 s
+     * after it was made.
+     */
+    private static final double WATCH_RETRY_SHARE = 0.2;
+    private static final double MAX_WATCH_RETRY = 1_200;
+    /**
+     * Max retry-after for a refused client, as a share of its aim, so that its retry still arrives in time.
+     */
+    private static final double MAX_RETRY_AFTER = 0.5;
     private static final long WATCH_TOKEN = -1;
-    private static final long HELD_TOKEN = -2;
-    private static final int HOLD_TIMER = 0xff;
-    private static final int STRAIN_TIMER = 0x80;
+    private static final long QUEUE_TOKEN = -2;
+    private static final int QUEUE_TIMER = 0xff;
+    private static final int OVERDUE_TIMER = 0x80;
 
     private final Actions actions;
     private Settings settings;
     private SplittableRandom random;
     private Map<Long, Server> servers = new LinkedHashMap<>();
-    private long serversSeen;
+    private long serversCreated;
     private final CostModel costs = new CostModel();
     private final LoadShedding shedding = new LoadShedding(FLEET_GAIN);
     private final DrawCounts drawCounts = new DrawCounts();
     private final UnservedCounts unserved = new UnservedCounts();
-    private final OverloadSigns signs;
+    private final OverloadDetector overload;
     private ReadyServers ready;
-    private final HeldRequests held = new HeldRequests();
-    /** Whether the timer that looks at them is set. */
-    private boolean lookSet;
-    /** What operators have taken out of use, and when. */
-    private final Map<Long, Double> bannedAt = new HashMap<>();
-    /** What they have put back of late and what has had no call since, and when. */
-    private final Map<Long, Double> putBackAt = new HashMap<>();
-    /** What an earlier process knew of servers not listed so far, when, and its place of each class. */
-    private final Map<Long, WarmState.UpstreamState> recalled = new HashMap<>();
-    private double recalledAt;
-    private int[] recalledPlaces;
+    private final RequestQueue queue = new RequestQueue();
+    /** True while the timer that checks the queue is set. */
+    private boolean queueTimerSet;
+    /** Upstreams that operators have disabled, and since when. */
+    private final Map<Long, Double> disabledAt = new HashMap<>();
+    /**
+     * Upstreams that operators have enabled again recently and that have had no call since, and since when.
+     */
+    private final Map<Long, Double> reenabledAt = new HashMap<>();
+    /** Warm-start state of servers not listed so far, its time, and its index of each present class. */
+    private final Map<Long, WarmState.UpstreamState> restored = new HashMap<>();
+    private double restoredAt;
+    private int[] restoredIndices;
     private final Map<Long, Call> calls = new HashMap<>();
-    /** Rule 5: the requests of each key that are not settled; looked up by key only, dropped when empty. */
-    private final Map<Long, ArrayDeque<Call>> lines = new HashMap<>();
-    private ClassRecord[] classes;
-    private Server.Kind[] kinds;
-    private double extraCalls = EXTRA_SAVED;
+    /** Rule 5: the unsettled requests of each key. Looked up by key only; an empty queue is removed. */
+    private final Map<Long, ArrayDeque<Call>> keyQueues = new HashMap<>();
+    private ClassStats[] classes;
+    private Server.MachineTypeStats[] machineTypes;
+    private double retryBudget = MAX_RETRY_BUDGET;
     private double coldUntil = Double.NEGATIVE_INFINITY;
 
-    /** Creates an instance that asks its host for actions through {@code actions}. */
+    /** Creates an instance that requests its actions from the host through {@code actions}. */
     public LatencyWeightedBalancer(Actions actions) {
         this.actions = actions;
-        signs = new OverloadSigns(actions);
+        overload = new OverloadDetector(actions);
     }
 
     @Override
-    public void start(double now, Settings given, long seed) {
-        settings = given;
+    public void start(double now, Settings initial, long seed) {
+        settings = initial;
         random = new SplittableRandom(seed);
-        classes = new ClassRecord[given.classes().size()];
-        Arrays.setAll(classes, i -> unseen(i, given.classes().get(i)));
-        chooseLeaders();
-        kinds = new Server.Kind[given.machineTypes()];
-        Arrays.setAll(kinds, i -> new Server.Kind(FLEET_GAIN));
-        indexServers(now);
-        if (given.subscribe()) {
+        classes = new ClassStats[initial.classes().size()];
+        Arrays.setAll(classes, i -> newClassStats(i, initial.classes().get(i)));
+        assignLeaders();
+        machineTypes = new Server.MachineTypeStats[initial.machineTypes()];
+        Arrays.setAll(machineTypes, i -> new Server.MachineTypeStats(FLEET_GAIN));
+        rebuildIndex(now);
+        if (initial.subscribe()) {
             actions.watch(true);
         }
     }
 
-    /** Builds all that rests on the settings and the servers that are ready. */
-    private void indexServers(double now) {
+    /** Rebuilds everything that depends on the settings, including the index of ready servers. */
+    private void rebuildIndex(double now) {
         servers.values().forEach(server -> withdraw(server, now));
-        costs.retune(settings, classes);
-        shedding.retune(settings, classes);
-        signs.retune(settings);
-        ready = new ReadyServers(settings, classes, kinds, costs, drawCounts, now);
+        costs.configure(settings, classes);
+        shedding.configure(settings, classes);
+        overload.configure(settings);
+        ready = new ReadyServers(settings, classes, machineTypes, costs, drawCounts, now);
         for (Server server : servers.values()) {
-            server.queued = false;
-            readyOrNot(server, now);
+            server.refreshQueued = false;
+            updateReadiness(server, now);
         }
         ready.choosePreferred(now);
     }
 
-    private static ClassRecord unseen(int index, ServiceClass type) {
-        return new ClassRecord(index, type, FIRST_GUESS * type.aim(), FIRST_SLOW_RATIO, FLEET_GAIN);
+    private static ClassStats newClassStats(int index, ServiceClass serviceClass) {
+        return new ClassStats(index, serviceClass, INITIAL_LATENCY * serviceClass.aim(), INITIAL_SLOW_RATIO,
+                FLEET_GAIN);
     }
 
-    private void chooseLeaders() {
-        for (ClassRecord c : classes) {
+    private void assignLeaders() {
+        for (ClassStats c : classes) {
             c.leader = Arrays.stream(classes).filter(c::sharesPlacement).findFirst().orElse(c);
         }
     }
 
-    /** All that was learnt stays, by the names of classes; a call goes on by the rules that it began with. */
+    /** Observations are kept by class name. A request in progress keeps the rules of its original class. */
     @Override
-    public void settingsChanged(double now, Settings given) {
-        Map<String, ClassRecord> before = new HashMap<>();
-        Arrays.stream(classes).forEach(c -> before.put(c.type.name(), c));
-        int[] places = new int[given.classes().size()];
-        Map<ClassRecord, ClassRecord> successors = new HashMap<>();
-        ClassRecord[] next = new ClassRecord[places.length];
-        for (int i = 0; i < places.length; i++) {
-            ServiceClass type = given.classes().get(i);
-            ClassRecord old = before.get(type.name());
-            places[i] = old == null ? -1 : old.index;
-            next[i] = old == null ? unseen(i, type) : old.retuned(i, type);
-            successors.put(old, next[i]);
-        }
-        calls.values().forEach(call -> call.record = successors.getOrDefault(call.record, call.record));
-        before.values().forEach(old -> old.index = -1);
-        servers.values().forEach(server -> server.retune(places));
-        recalled.clear();
-        classes = next;
-        chooseLeaders();
-        Server.Kind[] known = kinds;
-        kinds = new Server.Kind[Math.max(known.length, given.machineTypes())];
-        Arrays.setAll(kinds, i -> i < known.length ? known[i] : new Server.Kind(FLEET_GAIN));
-        if (given.subscribe() && !settings.subscribe()) {
+    public void settingsChanged(double now, Settings changed) {
+        Map<String, ClassStats> oldClasses = new HashMap<>();
+        Arrays.stream(classes).forEach(c -> oldClasses.put(c.type.name(), c));
+        int[] oldIndices = new int[changed.classes().size()];
+        Map<ClassStats, ClassStats> successors = new HashMap<>();
+        ClassStats[] newClasses = new ClassStats[oldIndices.length];
+        for (int i = 0; i < oldIndices.length; i++) {
+            ServiceClass type = changed.classes().get(i);
+            ClassStats old = oldClasses.get(type.name());
+            oldIndices[i] = old == null ? -1 : old.index;
+            newClasses[i] = old == null ? newClassStats(i, type) : old.withSettings(i, type);
+            successors.put(old, newClasses[i]);
+        }
+        calls.values().forEach(call -> call.stats = successors.getOrDefault(call.stats, call.stats));
+        oldClasses.values().forEach(old -> old.index = -1);
+        servers.values().forEach(server -> server.remapClasses(oldIndices));
+        restored.clear();
+        classes = newClasses;
+        assignLeaders();
+        Server.MachineTypeStats[] oldTypes = machineTypes;
+        machineTypes = new Server.MachineTypeStats[Math.max(oldTypes.length, changed.machineTypes())];
+        Arrays.setAll(machineTypes, i -> i < oldTypes.length
+                ? oldTypes[i] : new Server.MachineTypeStats(FLEET_GAIN));
+        if (changed.subscribe() && !settings.subscribe()) {
             actions.watch(true);
         }
-        settings = given;
-        indexServers(now);
-        wakeHeld(WOKEN_BY_LIST, now);
+        settings = changed;
+        rebuildIndex(now);
+        wakeQueued(MAX_WOKEN_BY_LIST, now);
     }
 
     // ---- A request arrives -------------------------------------------------------------------------
 
     @Override
     public void request(double now, Request request) {
-        take(now, request, false);
+        accept(now, request, false);
     }
 
     @Override
     public void requestStarted(double now, Request request) {
-        take(now, request, true);
+        accept(now, request, true);
     }
 
-    private void take(double now, Request request, boolean arriving) {
+    private void accept(double now, Request request, boolean bodyPending) {
         Call call = new Call(request, classes[request.serviceClass()], now, actions.idleTime(now));
-        call.arriving = arriving;
+        call.bodyPending = bodyPending;
         calls.put(request.id(), call);
-        extraCalls = Math.min(EXTRA_SAVED, extraCalls + EXTRA_PER_REQUEST);
+        retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRIES_PER_REQUEST);
         if (request.cost() > 0) {
-            call.record.hint.add(request.cost());
+            call.stats.workHint.add(request.cost());
         }
-        call.usefulEnd = usefulEnd(call, request.deadline(), now);
+        call.usefulUntil = usefulUntil(call, request.deadline(), now);
         ready.advance(now);
-        // What is refused is demand too, or refusing would starve those that could take it; but clients'
-        // repeats of it are not, and where nobody tells them apart only accepted requests count.
-        boolean toldApart = settings.retriesMarked();
-        if (toldApart && !request.retry()) {
+        // Refused requests count as demand too, as refusing would otherwise starve the cold servers that
+        // could take them. Retries of refused requests do not count; where they aren't marked, only accepted
+        // requests count.
+        boolean marked = settings.retriesMarked();
+        if (marked && !request.retry()) {
             earnColdBudget(call, now);
         }
-        double refused = shedding.refused(call.record, now);
+        double refused = shedding.refusalProbability(call.stats, now);
         if (refused > 0 && random.nextDouble() < refused) {
             unserved.shed();
             refuseOrFail(call, now);
             return;
         }
-        if (!toldApart) {
+        if (!marked) {
             earnColdBudget(call, now);
         }
         if (call.type.inOrder() && request.key() != 0) {
-            call.line = lines.computeIfAbsent(request.key(), key -> new ArrayDeque<>());
-            call.line.addLast(call);
+            call.keyQueue = keyQueues.computeIfAbsent(request.key(), key -> new ArrayDeque<>());
+            call.keyQueue.addLast(call);
         }
         dispatch(call, now);
     }
 
-    /** Where a late answer is worth nothing, the work for it is better spent on others. */
-    private static double usefulEnd(Call call, double deadline, double now) {
+    /**
+     * Returns when an answer stops being worth its work: at the aim if a late answer has no worth, otherwise
+     * at the deadline.
+     */
+    private static double usefulUntil(Call call, double deadline, double now) {
         double stretched = call.type.aim() + call.type.aimStretch() * call.request.cost();
         double aim = now + Math.min(call.type.deadline(), stretched);
         return call.type.lateWorth() > 0 ? deadline : Math.min(deadline, aim);
     }
 
-    /** Only now an attempt that is out can be late, or a sign of overload. */
+    /** From now on attempts in flight can be late and can signal overload. */
     @Override
     public void bodyArrived(double now, long requestId, double deadline) {
         Call call = calls.get(requestId);
-        if (call == null || !call.arriving) {
+        if (call == null || !call.bodyPending) {
             return;
         }
-        call.arriving = false;
+        call.bodyPending = false;
         call.arrivedAt = now;
-        call.usefulEnd = usefulEnd(call, deadline, now);
+        call.usefulUntil = usefulUntil(call, deadline, now);
         for (Attempt attempt : call.attempts) {
             if (attempt.result == null) {
-                attempt.sent(now, actions.idleTime(now));
-                begins(attempt, now);
-                ready.touch(attempt.server, now);
+                attempt.markSent(now, actions.idleTime(now));
+                trackInFlight(attempt, now);
+                ready.update(attempt.server, now);
             }
         }
     }
 
-    /** Only once it has the whole body, the server has work with it. */
-    private void begins(Attempt attempt, double now) {
-        attempt.server.out.addLast(attempt);
+    /** Counts an attempt as in flight; its server starts work only once it has the whole body. */
+    private void trackInFlight(Attempt attempt, double now) {
+        attempt.server.inFlight.addLast(attempt);
         if (settings.tier() == 0) {
-            actions.setTimer(attempt.call.id << 8 | STRAIN_TIMER | attempt.number,
-                    now + OverloadSigns.strainedAfter(attempt.call));
+            actions.setTimer(attempt.call.id << 8 | OVERDUE_TIMER | attempt.number,
+                    now + OverloadDetector.overdueAfter(attempt.call));
         }
     }
 
     /**
-     * Sends the next attempt. A request that never ran is held while it waits for its turn, or for a server
-     * that is ready, open to it, warm enough and not full; it is refused as soon as that cannot end in time,
-     * and where those worth going to are full, once it is strained.
+     * Sends the next attempt. A request without attempts is queued while it waits for its turn, or for a
+     * server that is ready, allowed, warm enough and not full. It is refused as soon as it can't be served in
+     * time or, if the suitable servers are full, once it has waited for the overdue share of its aim.
      */
     private void dispatch(Call call, double now) {
-        double latest = call.usefulEnd - reserved(call) - ahead(call);
-        boolean itsTurn = call.line == null || call.line.peekFirst() == call;
-        Server server = itsTurn && now < latest ? draw(call, true, now) : null;
-        if (server == null && call.worst < Double.MAX_VALUE) {
-            latest = Math.min(latest, call.arrivedAt + OverloadSigns.STRAINED * call.type.aim());
-            signs.waited(call, now >= latest, now);
+        double latestSend = call.usefulUntil - reservedTime(call) - expectedTurnWait(call);
+        boolean itsTurn = call.keyQueue == null || call.keyQueue.peekFirst() == call;
+        Server server = itsTurn && now < latestSend ? draw(call, true, now) : null;
+        if (server == null && call.maxCost < Double.MAX_VALUE) {
+            latestSend = Math.min(latestSend,
+                    call.arrivedAt + OverloadDetector.OVERDUE_SHARE * call.type.aim());
+            overload.onWait(call, now >= latestSend, now);
         }
         if (server != null) {
-            held.release(call);
+            queue.remove(call);
             send(call, server, now);
-        } else if (now < latest && call.attempts.isEmpty()) {
-            hold(call, itsTurn, latest, now);
+        } else if (now < latestSend && call.attempts.isEmpty()) {
+            enqueue(call, itsTurn, latestSend, now);
         } else {
             answerUnserved(call, now);
         }
     }
 
     /**
-     * The time that must be left for a send to make sense. However long calls are expected to take, one that
-     * has all of its aim left is tried: where none is, nothing would ever show that they take less.
+     * Returns the remaining time that a send needs. It is limited to a share of the aim, so that a request
+     * with its whole aim left is always tried: otherwise a too high latency estimate would never be
+     * corrected.
      */
-    private static double reserved(Call call) {
-        return Math.min(TOO_LATE * call.expected(), MOST_RESERVED * call.type.aim());
+    private static double reservedTime(Call call) {
+        return Math.min(MIN_TIME_LEFT * call.expectedLatency(), MAX_TIME_RESERVED * call.type.aim());
     }
 
     /**
-     * Has a request wait until something changes, at the longest until a time. One that waits for its turn
-     * is woken by those before it.
+     * Queues a request until something changes, at most until the given time. A request that waits for its
+     * turn is woken by its predecessors instead.
      */
-    private void hold(Call call, boolean itsTurn, double latest, double now) {
-        if (latest < call.heldUntil) {
-            call.heldUntil = latest;
-            actions.setTimer(call.id << 8 | HOLD_TIMER, latest);
+    private void enqueue(Call call, boolean itsTurn, double latestSend, double now) {
+        if (latestSend < call.queuedUntil) {
+            call.queuedUntil = latestSend;
+            actions.setTimer(call.id << 8 | QUEUE_TIMER, latestSend);
         }
         if (itsTurn) {
-            held.hold(call);
-            lookLater(now);
+            queue.add(call);
+            scheduleQueueCheck(now);
         }
     }
 
-    /** Sees to it that the requests held are looked at again, if there are any. */
-    private void lookLater(double now) {
-        if (held.size() > 0 && !lookSet) {
-            lookSet = true;
-            actions.setTimer(HELD_TOKEN, now + LOOK_AGAIN);
+    /** Schedules the next check of the queue, if it is not empty. */
+    private void scheduleQueueCheck(double now) {
+        if (queue.size() > 0 && !queueTimerSet) {
+            queueTimerSet = true;
+            actions.setTimer(QUEUE_TOKEN, now + QUEUE_CHECK_MS);
         }
     }
 
-    /** Something has changed that the requests held may have waited for: the next of each class try again. */
-    private void wakeHeld(int most, double now) {
-        if (held.size() > 0) {
-            wake(held.first(most, call -> true), now);
+    /** Retries the first queued requests of each class after a change that they may have waited for. */
+    private void wakeQueued(int limitPerClass, double now) {
+        if (queue.size() > 0) {
+            wake(queue.first(limitPerClass, call -> true), now);
         }
     }
 
     /**
-     * A server has room again. None of the others had any when these requests were held, so the first of each
-     * class that may go there goes there, without another draw.
+     * Sends the first queued requests of each class to a server that has room again. No other server had room
+     * when they were queued, so no new draw is needed.
      */
-    private void wakeHeldFor(Server server, double now) {
-        if (held.size() == 0 || !ready.contains(server)) {
+    private void wakeQueuedFor(Server server, double now) {
+        if (queue.size() == 0 || !ready.contains(server)) {
             return;
         }
-        for (Call call : held.first(WOKEN_AT_ONCE, call -> call.type.admits(server.listed))) {
-            boolean fits = !call.done && call.attempts.isEmpty() && now < call.heldUntil
-                    && isOpen(server, call, now) && costs.atRest(server, call.record, now) <= call.worst;
+        for (Call call : queue.first(MAX_WOKEN, call -> call.type.admits(server.listed))) {
+            boolean fits = !call.done && call.attempts.isEmpty() && now < call.queuedUntil
+                    && canTakeCall(server, call, now)
+                    && costs.idleCost(server, call.stats, now) <= call.maxCost;
             if (fits) {
-                held.release(call);
+                queue.remove(call);
                 send(call, server, now);
             }
         }
@@ -349,64 +373,66 @@
         }
     }
 
-    private void lookAtHeld(double now) {
-        lookSet = false;
+    private void checkQueue(double now) {
+        queueTimerSet = false;
         ready.advance(now);
-        wakeHeld(WOKEN_AT_ONCE, now);
-        lookLater(now);
+        wakeQueued(MAX_WOKEN, now);
+        scheduleQueueCheck(now);
     }
 
-    /** Rule 5: the time that the requests before it in its line are expected to take. */
-    private static double ahead(Call call) {
-        return call.line == null ? 0 : call.line.stream().takeWhile(other -> other != call)
-                .mapToDouble(Call::expected).sum();
+    /** Rule 5: returns the expected time of the preceding requests in its key queue. */
+    private static double expectedTurnWait(Call call) {
+        return call.keyQueue == null ? 0 : call.keyQueue.stream().takeWhile(other -> other != call)
+                .mapToDouble(Call::expectedLatency).sum();
     }
 
     /**
-     * Rule 5: a request leaves its line once it is over, no attempt is out and none that was given up may
-     * still be running; then the next one goes. One that leaves before its turn moves nobody.
+     * Rule 5: removes a request from its key queue once it is over, none of its attempts is in flight and
+     * none that was abandoned may still run. If it was first, the next one is sent.
      */
-    private void leaveLine(Call call, double now) {
-        boolean first = call.line.peekFirst() == call;
-        call.line.remove(call);
-        if (call.line.isEmpty()) {
-            lines.remove(call.request.key());
+    private void leaveKeyQueue(Call call, double now) {
+        boolean first = call.keyQueue.peekFirst() == call;
+        call.keyQueue.remove(call);
+        if (call.keyQueue.isEmpty()) {
+            keyQueues.remove(call.request.key());
         } else if (first) {
-            dispatch(call.line.peekFirst(), now);
+            dispatch(call.keyQueue.peekFirst(), now);
         }
     }
 
     // ---- The draw ----------------------------------------------------------------------------------
 
     /**
-     * A ready server at random in proportion to 1/l, or null if none may be used; one that the request has
-     * tried only when all have been tried and nothing is out. Where the one drawn can't take a call now,
-     * another may that is not much worse; otherwise the request is to wait, since those that fail what they
-     * get always have room.
+     * Draws a ready server at random in proportion to 1/l; returns null if none can be used. A server that
+     * the request has already tried is drawn only if all have been tried and no attempt is in flight. If the
+     * drawn server can't take a call now, a server of similar cost may replace it; otherwise the request has
+     * to wait, since servers that fail their calls always have room.
      */
     private Server draw(Call call, boolean untried, double now) {
         Limits limits = settings.limits();
-        if (call.attempts.size() >= limits.maxAttempts() || call.running > 0 && !limits.parallelAttempts()) {
+        if (call.attempts.size() >= limits.maxAttempts() || call.inFlight > 0 && !limits.parallelAttempts()) {
             return null;
         }
-        Predicate<Server> usable = server -> !(untried && call.tried(server)) && mayGoTo(call, server, now)
-                && (call.worst == Double.MAX_VALUE || costs.atRest(server, call.record, now) <= call.worst);
+        Predicate<Server> usable = server -> !(untried && call.hasTried(server))
+                && isAllowed(call, server, now)
+                && (call.maxCost == Double.MAX_VALUE
+                || costs.idleCost(server, call.stats, now) <= call.maxCost);
         Server drawn = draw(call, false, usable, now);
-        if (drawn == null && untried && call.running == 0 && !call.attempts.isEmpty()
-                && call.worst == Double.MAX_VALUE) {
+        if (drawn == null && untried && call.inFlight == 0 && !call.attempts.isEmpty()
+                && call.maxCost == Double.MAX_VALUE) {
             return draw(call, false, now);
         }
-        if (drawn == null || isOpen(drawn, call, now)) {
+        if (drawn == null || canTakeCall(drawn, call, now)) {
             return drawn;
         }
-        call.crowded = drawn;
-        call.worst = Math.min(call.worst, NOT_MUCH_WORSE * costs.atRest(drawn, call.record, now));
-        return draw(call, true, server -> usable.test(server) && isOpen(server, call, now), now);
+        call.fullServer = drawn;
+        call.maxCost = Math.min(call.maxCost, MAX_COST_RATIO * costs.idleCost(drawn, call.stats, now));
+        return draw(call, true, server -> usable.test(server) && canTakeCall(server, call, now), now);
     }
 
-    /** Draws among the servers that what may have run leaves to a request. */
-    private Server draw(Call call, boolean open, Predicate<Server> fits, double now) {
-        ClassRecord record = call.record;
+    /** Draws among the servers that remain allowed after the attempts that may have run. */
+    private Server draw(Call call, boolean openOnly, Predicate<Server> fits, double now) {
+        ClassStats record = call.stats;
         if (record.index < 0) {
             return ready.drawFromAll(record, fits, random, now);
         }
@@ -416,60 +442,68 @@
         }
         int zone = first != null && call.type.dedupScope() == DedupScope.ZONE ? first.server.listed.zone()
                 : ReadyServers.ANY_ZONE;
-        return ready.draw(record, zone, open, fits, random, now);
+        return ready.draw(record, zone, openOnly, fits, random, now);
     }
 
-    /** Whether it can take a call now. */
-    private static boolean isOpen(Server server, Call call, double now) {
-        return !server.closed && CostModel.hasRoom(server, call.type.aim(), now);
+    /** Returns true if a server can take a call now. */
+    private static boolean canTakeCall(Server server, Call call, double now) {
+        return !server.outOfBudget && CostModel.hasRoom(server, call.type.aim(), now);
     }
 
-    /** Rules 6 and 2: placement; an attempt that may have run ties a request to its group, or ends it. */
-    private static boolean mayGoTo(Call call, Server server, double now) {
+    /**
+     * Rules 6 and 2: checks the placement, and limits a request with an attempt that may have run to that
+     * attempt's deduplication scope and window.
+     */
+    private static boolean isAllowed(Call call, Server server, double now) {
         if (!call.type.admits(server.listed)) {
             return false;
         }
         Attempt first = call.firstMaybeRun();
-        ServiceClass c = call.type;
-        if (first == null || c.idempotency() == Idempotency.IDEMPOTENT) {
+        ServiceClass serviceClass = call.type;
+        if (first == null || serviceClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        Upstream from = first.server.listed;
-        return c.idempotency() == Idempotency.DEDUPLICATED && now < first.sentAt + c.dedupWindow()
-                && (c.dedupScope() == DedupScope.ALL || (c.dedupScope() == DedupScope.ZONE
-                ? from.zone() == server.listed.zone() : from.cell() == server.listed.cell()));
+        Upstream firstUpstream = first.server.listed;
+        return serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                && now < first.sentAt + serviceClass.dedupWindow()
+                && (serviceClass.dedupScope() == DedupScope.ALL
+                        || (serviceClass.dedupScope() == DedupScope.ZONE
+                                ? firstUpstream.zone() == server.listed.zone()
+                                : firstUpstream.cell() == server.listed.cell()));
     }
 
     // ---- Rule 4: servers that have just started ----------------------------------------------------
 
     /**
-     * Every request earns the cold servers open to it a part of a call: their warmth's share of the traffic
-     * times what the rule allows, less a margin. Shares need no history and add up over siblings that do
-     * alike. Counting requests, not sends, lets a fleet that is cold as a whole begin; the half that is
-     * taken as warm at least keeps it from being pushed over. It is half of those that the traffic was spread
-     * over before: when warm servers leave, what came for them is no measure of those that stay.
+     * Adds a part of a call to the send budget of each cold server that may serve this request: its share of
+     * the traffic by warmth, times the allowed overload factor, less a margin. Shares need no history, and
+     * those of siblings that do the same add up. Requests rather than sends are counted, so that a completely
+     * cold fleet can start; at least half of the servers are assumed warm, so that this does not overload
+     * them. That half refers to the servers that the traffic was spread over before: if warm servers leave,
+     * their traffic must not count towards those that remain.
      */
     private void earnColdBudget(Call call, double now) {
-        double warm = 0;
-        int open = 0;
-        for (Placement placement : ready.placements()) {
-            if (call.type.admits(placement.example)) {
-                warm += placement.warmth(now);
-                open += placement.size();
+        double warmServers = 0;
+        int openServers = 0;
+        for (ServerPool pool : ready.pools()) {
+            if (call.type.admits(pool.example)) {
+                warmServers += pool.warmth(now);
+                openServers += pool.size();
             }
         }
-        call.record.spread = now < coldUntil ? Math.max(call.record.spread, warm) : warm;
-        if (now >= coldUntil || open == 0) {
+        call.stats.warmServers = now < coldUntil
+                ? Math.max(call.stats.warmServers, warmServers) : warmServers;
+        if (now >= coldUntil || openServers == 0) {
             return;
         }
-        double part = Math.min(1, COLD_MARGIN * settings.rules().fallMultiple());
-        part /= Math.max(warm, Math.max(call.record.spread, open) / 2);
+        double share = Math.min(1, COLD_MARGIN * settings.rules().overloadFactor());
+        share /= Math.max(warmServers, Math.max(call.stats.warmServers, openServers) / 2);
         boolean opened = false;
-        for (Placement placement : ready.placements()) {
-            opened |= call.type.admits(placement.example) && ready.earn(placement, part, now);
+        for (ServerPool pool : ready.pools()) {
+            opened |= call.type.admits(pool.example) && ready.earn(pool, share, now);
         }
         if (opened) {
-            wakeHeld(WOKEN_AT_ONCE, now);
+            wakeQueued(MAX_WOKEN, now);
         }
     }
 
@@ -477,57 +511,62 @@
 
     private void send(Call call, Server server, double now) {
         Attempt attempt = new Attempt(call, server);
-        attempt.sent(now, actions.idleTime(now));
-        double timeout = call.arriving ? 0 : call.usefulEnd - now;
+        attempt.markSent(now, actions.idleTime(now));
+        double timeout = call.bodyPending ? 0 : call.usefulUntil - now;
         double slowAfter = call.slowAfter();
-        double giveUpAfter = Math.max(GIVE_UP * slowAfter, LEAST_WAIT * call.type.aim());
+        double giveUpAfter = Math.max(GIVE_UP_FACTOR * slowAfter, MIN_ATTEMPT_TIME * call.type.aim());
         boolean repeatable = call.type.idempotency() != Idempotency.AT_MOST_ONCE && !call.type.streamed();
-        if (repeatable && settings.limits().parallelAttempts() && slowAfter + call.expected() < timeout) {
+        if (repeatable && settings.limits().parallelAttempts()
+                && slowAfter + call.expectedLatency() < timeout) {
             actions.setTimer(call.id << 8 | attempt.number, now + slowAfter);
-        } else if (repeatable && extraCalls >= 1 && giveUpAfter + call.expected() < timeout) {
+        } else if (repeatable && retryBudget >= 1 && giveUpAfter + call.expectedLatency() < timeout) {
             timeout = giveUpAfter;
         }
         call.attempts.add(attempt);
-        putBackAt.remove(server.listed.id());
-        call.worst = Double.MAX_VALUE;
-        call.running++;
-        if (!call.arriving) {
-            begins(attempt, now);
+        reenabledAt.remove(server.listed.id());
+        call.maxCost = Double.MAX_VALUE;
+        call.inFlight++;
+        if (!call.bodyPending) {
+            trackInFlight(attempt, now);
         }
         ready.sent(server, now);
-        ready.touch(server, now);
+        ready.update(server, now);
         actions.send(call.id, server.listed.id(), timeout);
     }
 
-    /** A call is slower than nearly all: a second copy elsewhere, if the budget has one. */
+    /**
+     * Handles a timer: the retry of a watch, a check of the queue, the end of a queue wait, an overdue call,
+     * or a call slower than nearly all others, for which a hedged request is sent if the budget allows.
+     */
     @Override
     public void timer(double now, long token) {
         Call call = calls.get(token >>> 8);
         int number = (int) (token & 0xff);
         if (token == WATCH_TOKEN) {
             actions.watch(true);
-        } else if (token == HELD_TOKEN) {
-            lookAtHeld(now);
+        } else if (token == QUEUE_TOKEN) {
+            checkQueue(now);
         } else if (call == null) {
             return;
         } else if (call.done) {
-            forgetIfSettled(call, now);
-        } else if (number == HOLD_TIMER && call.attempts.isEmpty()) {
-            call.heldUntil = Double.POSITIVE_INFINITY;
+            removeIfSettled(call, now);
+        } else if (number == QUEUE_TIMER && call.attempts.isEmpty()) {
+            call.queuedUntil = Double.POSITIVE_INFINITY;
             dispatch(call, now);
-        } else if (number >= STRAIN_TIMER && number < HOLD_TIMER) {
-            // Overload is felt when a call becomes overdue: by the time it ends, a crowd has gathered.
-            Attempt attempt = call.attempts.get(number - STRAIN_TIMER);
+        } else if (number >= OVERDUE_TIMER && number < QUEUE_TIMER) {
+            // Overload is signalled as soon as a call is overdue: by the time it ends, many more have piled
+            // up.
+            Attempt attempt = call.attempts.get(number - OVERDUE_TIMER);
             if (attempt.result == null && !attempt.streaming) {
-                signs.overdue(attempt, token, now);
+                overload.onOverdueTimer(attempt, token, now);
             }
         } else if (!call.streaming && call.attempts.size() == number + 1
                 && call.attempts.get(number).result == null
-                && extraCalls >= 1 && call.record.leader.pressure < LoadShedding.CALM
-                && call.usefulEnd - now > call.expected()) {
+                && retryBudget >= 1 && call.stats.leader.pressure < LoadShedding.MAX_HEDGING_PRESSURE
+                && call.usefulUntil - now > call.expectedLatency()) {
             Server server = draw(call, true, now);
             if (server != null) {
-                extraCalls -= 1;
+                retryBudget -= 1;
                 send(call, server, now);
             }
         }
@@ -544,48 +583,50 @@
         }
         Attempt attempt = call.attempts.get(outcome.attempt());
         attempt.result = outcome.result();
-        attempt.server.out.remove(attempt);
-        call.running--;
+        attempt.server.inFlight.remove(attempt);
+        call.inFlight--;
         if (outcome.result() == Result.TIMEOUT || outcome.result() == Result.RESET
                 || outcome.result() == Result.CANCELLED) {
-            call.restsUntil = now + settings.rules().orderSettle();
+            call.keyRestsUntil = now + settings.rules().orderSettle();
         }
-        learn(attempt, outcome, now);
-        boolean counted = attempt.streaming && !call.type.streamed();
-        boolean inGoodTime = outcome.elapsed() < OverloadSigns.strainedAfter(call);
-        // What breaks at once tells of a fault, not of a crowd.
+        recordOutcome(attempt, outcome, now);
+        boolean alreadyCounted = attempt.streaming && !call.type.streamed();
+        boolean inTime = outcome.elapsed() < OverloadDetector.overdueAfter(call);
+        // A call that fails at once indicates a fault rather than overload.
         boolean ended = outcome.result() != Result.CANCELLED && outcome.result() != Result.NOT_SENT;
-        if (!counted && ended && (!inGoodTime || outcome.result() == Result.OK
+        if (!alreadyCounted && ended && (!inTime || outcome.result() == Result.OK
                 || outcome.result() == Result.FULL || outcome.result() == Result.TIMEOUT)) {
-            signs.ended(attempt, outcome.result() == Result.OK && inGoodTime, now);
+            overload.onEnded(attempt, outcome.result() == Result.OK && inTime, now);
         }
         if (outcome.result() == Result.OK && attempt.number > 0) {
-            // It served where another did not: sick servers, not a jam, and worth as many again.
-            extraCalls = Math.min(EXTRA_SAVED, extraCalls + 1);
+            // Another server served the request, so single servers fail and there is no overload: refund the
+            // retry.
+            retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + 1);
         }
-        ready.touch(attempt.server, now);
-        freeConnection(attempt.server, outcome.result(), now);
+        ready.update(attempt.server, now);
+        closeIdleIfFull(attempt.server, outcome.result(), now);
         if (outcome.requestClosed() || call.done) {
-            over(call, now);
-        } else if (call.running == 0 && (outcome.result() == Result.NOT_SENT || extraCalls < 1)) {
+            finish(call, now);
+        } else if (call.inFlight == 0 && (outcome.result() == Result.NOT_SENT || retryBudget < 1)) {
             answerUnserved(call, now);
-        } else if (call.running == 0) {
-            extraCalls -= 1;
+        } else if (call.inFlight == 0) {
+            retryBudget -= 1;
             dispatch(call, now);
         }
-        wakeHeldFor(attempt.server, now);
+        wakeQueuedFor(attempt.server, now);
     }
 
     /**
-     * Idle connections of many balancers fill a server's table, and it turns callers away though it has
-     * time to spare. Whoever meets a full table gives back what it does not use there, as long as idle ones
-     * last. Elsewhere connections stay: a failed connect may as well mean that a server is down.
+     * Closes idle connections to a server whose connection table is full. Idle connections of many balancers
+     * can fill the table, and the server then rejects connections though it has spare capacity. So after a
+     * failed connect, unused connections to that server are closed for as long as idle connections last.
+     * Connections to other servers are kept: a failed connect may also mean that a server is down.
      */
-    private void freeConnection(Server server, Result result, double now) {
+    private void closeIdleIfFull(Server server, Result result, double now) {
         if (result == Result.CONNECT_FAILED) {
-            server.crowdedUntil = now + settings.limits().connectionIdle();
+            server.tableFullUntil = now + settings.limits().connectionIdle();
         }
-        if (now < server.crowdedUntil && server.out.isEmpty()) {
+        if (now < server.tableFullUntil && server.inFlight.isEmpty()) {
             actions.closeIdle(server.listed.id());
         }
     }
@@ -595,45 +636,47 @@
         refuseOrFail(call, now);
     }
 
-    /** Rule 1's one final answer: a refusal only where trying again is known to be harmless. */
+    /** Rule 1: gives the one final answer, a refusal only where a retry is known to be harmless. */
     private void refuseOrFail(Call call, double now) {
-        ServiceClass c = call.type;
-        boolean harmless = c.idempotency() == Idempotency.IDEMPOTENT || call.firstMaybeRun() == null
-                || c.idempotency() == Idempotency.DEDUPLICATED && c.dedupScope() == DedupScope.ALL;
+        ServiceClass serviceClass = call.type;
+        boolean harmless = serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                || call.firstMaybeRun() == null
+                || serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                && serviceClass.dedupScope() == DedupScope.ALL;
         if (harmless) {
-            actions.refuse(call.id, settings.limits().retryAfter() ? comeBackAfter(call) : 0);
+            actions.refuse(call.id, settings.limits().retryAfter() ? retryAfter(call) : 0);
         } else {
             actions.fail(call.id);
         }
-        over(call, now);
+        finish(call, now);
     }
 
-    /** When a refused client ought to return: the later, the more has to go before there is room for it. */
-    private double comeBackAfter(Call call) {
-        double longest = Math.min(settings.limits().maxRetryAfter(), RETURN_SHARE * call.type.aim());
-        return Math.min(longest, LEAST_RETURN + longest * call.record.leader.pressure);
+    /** Returns the retry-after for a refused client, which grows with the pressure. */
+    private double retryAfter(Call call) {
+        double longest = Math.min(settings.limits().maxRetryAfter(), MAX_RETRY_AFTER * call.type.aim());
+        return Math.min(longest, MIN_RETRY_AFTER + longest * call.stats.leader.pressure);
     }
 
-    /** The request has its answer: copies still out only waste work. */
-    private void over(Call call, double now) {
+    /** Ends a request and cancels its attempts in flight, which would only waste work. */
+    private void finish(Call call, double now) {
         for (Attempt attempt : call.attempts) {
             if (!call.done && attempt.result == null && !attempt.streaming && settings.limits().cancel()) {
                 actions.cancel(call.id, attempt.number);
             }
         }
         call.done = true;
-        held.release(call);
-        forgetIfSettled(call, now);
+        queue.remove(call);
+        removeIfSettled(call, now);
     }
 
-    private void forgetIfSettled(Call call, double now) {
-        if (call.running > 0) {
+    private void removeIfSettled(Call call, double now) {
+        if (call.inFlight > 0) {
             return;
         }
-        if (call.line != null && now < call.restsUntil) {
-            actions.setTimer(call.id << 8 | HOLD_TIMER, call.restsUntil);
-        } else if (calls.remove(call.id) != null && call.line != null) {
-            leaveLine(call, now);
+        if (call.keyQueue != null && now < call.keyRestsUntil) {
+            actions.setTimer(call.id << 8 | QUEUE_TIMER, call.keyRestsUntil);
+        } else if (calls.remove(call.id) != null && call.keyQueue != null) {
+            leaveKeyQueue(call, now);
         }
     }
 
@@ -641,17 +684,17 @@
     public void streamStarted(double now, long requestId, int attempt, double elapsed) {
         Call call = calls.get(requestId);
         if (call != null && attempt < call.attempts.size()) {
-            Attempt begun = call.attempts.get(attempt);
+            Attempt streamingAttempt = call.attempts.get(attempt);
             call.streaming = true;
-            begun.streaming = true;
-            observeLatency(begun, elapsed);
+            streamingAttempt.streaming = true;
+            recordLatency(streamingAttempt, elapsed);
             if (!call.type.streamed()) {
-                // A large answer: its work is done, and how long it takes is up to its reader.
-                begun.server.out.remove(begun);
-                begun.server.count(call.record.index, true);
-                signs.ended(begun, elapsed < OverloadSigns.strainedAfter(call), now);
-                ready.touch(begun.server, now);
-                wakeHeldFor(begun.server, now);
+                // The work for a large answer is done; its duration from here on depends on the reader.
+                streamingAttempt.server.inFlight.remove(streamingAttempt);
+                streamingAttempt.server.count(call.stats.index, true);
+                overload.onEnded(streamingAttempt, elapsed < OverloadDetector.overdueAfter(call), now);
+                ready.update(streamingAttempt.server, now);
+                wakeQueuedFor(streamingAttempt.server, now);
             }
         }
     }
@@ -660,91 +703,97 @@
     public void clientGone(double now, long requestId) {
         Call call = calls.get(requestId);
         if (call != null) {
-            over(call, now);
+            finish(call, now);
         }
     }
 
-    // ---- The evidence behind l ---------------------------------------------------------------------
+    // ---- The observations behind l -----------------------------------------------------------------
 
-    /** Served calls succeed; errors, full, time-outs, failed and reset connections count against s. */
-    private void learn(Attempt attempt, Outcome outcome, double now) {
+    /**
+     * Records an outcome: served calls count as successes; errors, full servers, timeouts and failed or reset
+     * connections lower the success rate s.
+     */
+    private void recordOutcome(Attempt attempt, Outcome outcome, double now) {
         Server server = attempt.server;
         Result result = outcome.result();
-        // The copy that lost is evidence only when overdue, and then the same as a time-out.
-        boolean tooEarly = result == Result.CANCELLED
+        // A cancelled hedged request counts only if it was overdue, and then like a timeout.
+        boolean noEvidence = result == Result.CANCELLED
                 && (attempt.streaming || outcome.elapsed() <= attempt.call.slowAfter());
-        if (result == Result.NOT_SENT || tooEarly) {
+        if (result == Result.NOT_SENT || noEvidence) {
             return;
         }
-        server.fade(now, CostModel.EVIDENCE_FADE, CostModel.FADE_STEP);
+        server.decay(now, CostModel.EVIDENCE_DECAY, CostModel.DECAY_STEP);
         if (result == Result.OK || result == Result.ERROR || result == Result.RESET
                 || result == Result.CONNECT_FAILED) {
-            server.turn(attempt.call.record.index, result == Result.OK, OUTAGE, SERVED_KEPT, BROKEN_KEPT);
+            server.updateOutage(attempt.call.stats.index, result == Result.OK, OUTAGE_FAILURES, SERVED_KEPT,
+                    FAILED_KEPT);
         }
         if (result != Result.OK || !attempt.streaming || attempt.call.type.streamed()) {
-            server.count(attempt.call.record.index, result == Result.OK);
+            server.count(attempt.call.stats.index, result == Result.OK);
         }
         if (result == Result.OK) {
             if (!attempt.streaming) {
-                observeLatency(attempt, outcome.elapsed());
+                recordLatency(attempt, outcome.elapsed());
             }
         } else if (result == Result.CANCELLED || result == Result.TIMEOUT) {
-            observeRatio(attempt.call.record, Double.MAX_VALUE);
+            updateSlowRatio(attempt.call.stats, Double.MAX_VALUE);
         }
     }
 
-    private void observeLatency(Attempt attempt, double elapsed) {
+    private void recordLatency(Attempt attempt, double elapsed) {
         Call call = attempt.call;
         if (actions.localDelay(call.id, attempt.number) > 0) {
-            // What is left of the time may be nothing or all of it: among true latencies that is no sample.
+            // The remaining time may range from nothing to all of it, which is no valid latency sample.
             return;
         }
         Server server = attempt.server;
-        double perHint = Math.max(LEAST_LATENCY, elapsed) / call.hintFactor();
-        double relative = perHint / call.record.latency.value();
-        observeRatio(call.record, relative);
-        call.record.latency.add(perHint / CostModel.base(server));
+        double perHint = Math.max(MIN_LATENCY, elapsed) / call.workFactor();
+        double relative = perHint / call.stats.latency.value();
+        updateSlowRatio(call.stats, relative);
+        call.stats.latency.add(perHint / CostModel.relativeLatency(server));
         server.latencySum += relative;
         server.latencyCount += 1;
-        server.kind.latency.add(relative);
+        server.machineType.latency.add(relative);
     }
 
-    /** Moves the estimate of the latency over the expected one that only SLOW_SHARE of calls exceed. */
-    private static void observeRatio(ClassRecord c, double ratio) {
-        double slow = c.slowRatio * (1 + SLOW_STEP * (ratio > c.slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
-        c.slowRatio = Math.min(MOST_SLOW_RATIO, Math.max(LEAST_SLOW_RATIO, slow));
+    /**
+     * Updates the estimated quantile of latency over expected latency that only SLOW_SHARE of calls exceed.
+     */
+    private static void updateSlowRatio(ClassStats c, double ratio) {
+        double updated = c.slowRatio * (1 + SLOW_STEP * (ratio > c.slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
+        c.slowRatio = Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, updated));
     }
 
     @Override
     public DecisionStats stats() {
         double pressure = Arrays.stream(classes).mapToDouble(c -> c.leader.pressure).max().orElse(0);
-        return new DecisionStats(drawCounts.draws, drawCounts.examined, held.size(), unserved.snapshot(),
+        return new DecisionStats(drawCounts.draws, drawCounts.examined, queue.size(), unserved.snapshot(),
                 pressure);
     }
 
     @Override
     public WarmState warmState(double now) {
-        servers.values().forEach(server -> server.fade(now, CostModel.EVIDENCE_FADE, CostModel.FADE_STEP));
-        return new WarmState(Arrays.stream(classes).map(ClassRecord::learnt).toList(),
-                servers.values().stream().map(server -> server.learnt(now)).toList());
+        servers.values().forEach(server -> server.decay(now, CostModel.EVIDENCE_DECAY, CostModel.DECAY_STEP));
+        return new WarmState(Arrays.stream(classes).map(ClassStats::warmState).toList(),
+                servers.values().stream().map(server -> server.warmState(now)).toList());
     }
 
-    /** Evidence goes on fading over the time between, as if this process had been there all along. */
+    /** The observations decay for the time in between, as if this process had been running all along. */
     @Override
-    public void restoreWarmState(double now, WarmState learnt, double age) {
-        recalledAt = now - age;
-        recalledPlaces = new int[classes.length];
-        Arrays.fill(recalledPlaces, -1);
-        for (int i = 0; i < learnt.classes().size(); i++) {
-            WarmState.ClassState old = learnt.classes().get(i);
-            for (ClassRecord c : classes) {
-                if (c.type.name().equals(old.name())) {
-                    recalledPlaces[c.index] = i;
-                    c.recall(old, Math.exp(-age / CostModel.EVIDENCE_FADE));
+    public void restoreWarmState(double now, WarmState state, double age) {
+        restoredAt = now - age;
+        restoredIndices = new int[classes.length];
+        Arrays.fill(restoredIndices, -1);
+        for (int i = 0; i < state.classes().size(); i++) {
+            WarmState.ClassState saved = state.classes().get(i);
+            for (ClassStats c : classes) {
+                if (c.type.name().equals(saved.name())) {
+                    restoredIndices[c.index] = i;
+                    c.restore(saved, Math.exp(-age / CostModel.EVIDENCE_DECAY));
                 }
             }
         }
-        learnt.upstreams().forEach(old -> recalled.put(old.id(), old));
+        state.upstreams().forEach(old -> restored.put(old.id(), old));
     }
 
     // ---- The list of servers -----------------------------------------------------------------------
@@ -752,58 +801,58 @@
     @Override
     public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
         if (change == Change.FAILED) {
-            double most = Math.min(ASK_SOON, ASK_AGAIN * settings.rules().askEvery());
-            actions.setTimer(WATCH_TOKEN, now + most * (1 + random.nextDouble()) / 2);
+            double maxDelay = Math.min(MAX_WATCH_RETRY, WATCH_RETRY_SHARE * settings.rules().askEvery());
+            actions.setTimer(WATCH_TOKEN, now + maxDelay * (1 + random.nextDouble()) / 2);
             return;
         }
         if (change == Change.DELTA) {
-            upstreams.forEach(upstream -> takeIn(servers.get(upstream.id()), upstream, now));
+            upstreams.forEach(upstream -> applyEntry(servers.get(upstream.id()), upstream, now));
         } else {
-            Map<Long, Server> before = servers;
+            Map<Long, Server> unlisted = servers;
             servers = new LinkedHashMap<>();
             for (Upstream upstream : upstreams) {
-                Server known = before.remove(upstream.id());
-                takeIn(known == null ? servers.get(upstream.id()) : known, upstream, now);
+                Server known = unlisted.remove(upstream.id());
+                applyEntry(known == null ? servers.get(upstream.id()) : known, upstream, now);
             }
-            before.values().forEach(gone -> withdraw(gone, now));
+            unlisted.values().forEach(removed -> withdraw(removed, now));
         }
         ready.choosePreferred(now);
-        wakeHeld(WOKEN_BY_LIST, now);
+        wakeQueued(MAX_WOKEN_BY_LIST, now);
     }
 
-    /** Takes an entry in; {@code known} is what was known of that upstream, or null. */
-    private void takeIn(Server known, Upstream upstream, double now) {
+    /** Applies a list entry; {@code known} is the present record of that upstream, or null. */
+    private void applyEntry(Server known, Upstream upstream, double now) {
         if (upstream.state() == State.REMOVED) {
             servers.remove(upstream.id());
             withdraw(known, now);
         } else if (known == null || known.listed.startedAt() != upstream.startedAt()) {
-            // A restart is a new server: cold, with a clean record.
+            // A restarted server is a new one: cold, without observations.
             withdraw(known, now);
-            started(upstream, upstream.startedAt(), now);
+            addServer(upstream, upstream.startedAt(), now);
         } else {
-            if (!isPlacedAlike(known.listed, upstream)) {
+            if (!isSamePlacement(known.listed, upstream)) {
                 withdraw(known, now);
             }
             known.listed = upstream;
             servers.put(upstream.id(), known);
-            readyOrNot(known, now);
+            updateReadiness(known, now);
         }
     }
 
-    private static boolean isPlacedAlike(Upstream one, Upstream other) {
-        return one.zone() == other.zone() && one.machineType() == other.machineType()
-                && one.cell() == other.cell();
+    private static boolean isSamePlacement(Upstream first, Upstream second) {
+        return first.zone() == second.zone() && first.machineType() == second.machineType()
+                && first.cell() == second.cell();
     }
 
     /**
-     * Rule 3: only ready servers are ever drawn; what drains or is gone leaves at once, and so does what
-     * operators take out of use.
+     * Rule 3: returns true if a server may be drawn. Draining, removed and disabled servers are excluded at
+     * once.
      */
     private boolean isReady(Server server) {
-        return server.listed.state() == State.READY && !bannedAt.containsKey(server.listed.id());
+        return server.listed.state() == State.READY && !disabledAt.containsKey(server.listed.id());
     }
 
-    private void readyOrNot(Server server, double now) {
+    private void updateReadiness(Server server, double now) {
         if (isReady(server) && !ready.contains(server)) {
             ready.add(server, now);
         } else if (!isReady(server)) {
@@ -817,64 +866,65 @@
         }
     }
 
-    private void started(Upstream upstream, double listed, double now) {
-        Server.Kind kind = kinds[Math.min(upstream.machineType(), kinds.length - 1)];
-        WarmState.UpstreamState old = recalled.remove(upstream.id());
-        boolean same = old != null && old.listedStartedAt() == listed;
-        double at = same ? old.startedAt() : listed;
-        Server server = new Server(upstream, serversSeen++, at, kind, classes.length, now,
+    private void addServer(Upstream upstream, double listedStart, double now) {
+        Server.MachineTypeStats machineType =
+                machineTypes[Math.min(upstream.machineType(), machineTypes.length - 1)];
+        WarmState.UpstreamState saved = restored.remove(upstream.id());
+        boolean sameProcess = saved != null && saved.listedStartedAt() == listedStart;
+        double startedAt = sameProcess ? saved.startedAt() : listedStart;
+        Server server = new Server(upstream, serversCreated++, startedAt, machineType, classes.length, now,
                 random.nextDouble());
         servers.put(upstream.id(), server);
-        if (same) {
-            server.recall(old, recalledAt, recalledPlaces);
-            server.fade(now, CostModel.EVIDENCE_FADE, 0);
-            server.tellKind();
+        if (sameProcess) {
+            server.restore(saved, restoredAt, restoredIndices);
+            server.decay(now, CostModel.EVIDENCE_DECAY, 0);
+            server.updateMachineType();
         }
-        if (now < putBackAt.getOrDefault(upstream.id(), Double.NEGATIVE_INFINITY) + Server.OWED_WITHIN) {
-            owe(server, now);
+        if (now < reenabledAt.getOrDefault(upstream.id(), Double.NEGATIVE_INFINITY) + Server.TRIAL_WINDOW) {
+            scheduleTrial(server, now);
         }
-        if (at != 0) {
-            coldUntil = Math.max(coldUntil, at + settings.rules().warmUp());
+        if (startedAt != 0) {
+            coldUntil = Math.max(coldUntil, startedAt + settings.rules().warmUp());
         }
-        readyOrNot(server, now);
+        updateReadiness(server, now);
     }
 
-    /** Its siblings may be told at the same time, so each begins at a time of its own. */
-    private void owe(Server server, double now) {
-        server.owedFrom = now + random.nextDouble() * Server.OWED_WITHIN / 2;
-        ready.owe(server, now);
+    /** Schedules the trial of a server at a random time, as all siblings may be notified at once. */
+    private void scheduleTrial(Server server, double now) {
+        server.trialFrom = now + random.nextDouble() * Server.TRIAL_WINDOW / 2;
+        ready.scheduleTrial(server, now);
     }
 
     /**
-     * Operators take a server out of use to restart it, and the list tells of that late. Unless it has, the
-     * server is cold from now: taken for warm, it would be pushed over.
+     * Operators disable a server to restart it, and the list reports the restart late. Unless the list
+     * already has, the server is treated as cold from now on: treated as warm, it would be overloaded.
      */
     @Override
-    public void upstreamDisabled(double now, long upstream, boolean banned) {
+    public void upstreamDisabled(double now, long upstream, boolean disabled) {
         Server server = servers.get(upstream);
-        if (banned) {
-            bannedAt.putIfAbsent(upstream, now);
+        if (disabled) {
+            disabledAt.putIfAbsent(upstream, now);
             withdraw(server, now);
         } else {
-            putBack(upstream, server, now);
+            reenable(upstream, server, now);
         }
         ready.choosePreferred(now);
-        wakeHeld(WOKEN_BY_LIST, now);
+        wakeQueued(MAX_WOKEN_BY_LIST, now);
     }
 
-    private void putBack(long upstream, Server server, double now) {
-        Double since = bannedAt.remove(upstream);
-        if (since == null) {
+    private void reenable(long upstream, Server server, double now) {
+        Double disabledSince = disabledAt.remove(upstream);
+        if (disabledSince == null) {
             return;
         }
-        putBackAt.put(upstream, now);
-        putBackAt.values().removeIf(at -> now >= at + Server.OWED_WITHIN);
-        if (server != null && server.startedAt < since) {
+        reenabledAt.put(upstream, now);
+        reenabledAt.values().removeIf(enabledAt -> now >= enabledAt + Server.TRIAL_WINDOW);
+        if (server != null && server.startedAt < disabledSince) {
             withdraw(server, now);
-            started(server.listed, now, now);
+            addServer(server.listed, now, now);
         } else if (server != null) {
-            owe(server, now);
-            readyOrNot(server, now);
+            scheduleTrial(server, now);
+            updateReadiness(server, now);
         }
     }
 
--- a/src/main/java/cranedeal/LoadBalancer.java
+++ b/src/main/java/cranedeal/LoadBalancer.java
@@ -3,117 +3,135 @@
 import java.util.List;
 
 /**
- * The decisions of one load balancer instance: events go in, actions come out.
+ * Decides for one load balancer instance: the host reports events and carries out the actions.
  *
- * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time,
- * each with the time at which the event happens, and carries out what the instance asks of its
- * {@link Actions} during that call. All times and durations are milliseconds; the clock has no special
- * zero and never goes back. The same events, settings and seed give the same actions.
+ * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time, each
+ * with the time of the event, and performs the {@link Actions} that the instance requests during that call.
+ * All times and durations are in milliseconds; the origin of the clock is arbitrary, and it never goes back.
+ * The same events, settings and seed lead to the same actions.
  */
 public interface LoadBalancer {
 
-    /** Begins the instance's life; the first call, followed by a {@link Change#CACHED} list. */
+    /** Starts the instance. This is the first call; a {@link Change#CACHED} list follows. */
     void start(double now, Settings settings, long seed);
 
     /**
-     * News of the upstreams. {@link Change#DELTA} brings changed entries only, {@link Change#FULL} and
-     * {@link Change#CACHED} the whole list, {@link Change#FAILED} none: a call to the registry failed.
+     * Reports a change of the upstreams. {@link Change#DELTA} carries changed entries only,
+     * {@link Change#FULL} and {@link Change#CACHED} the whole list, {@link Change#FAILED} no entry: a call to
+     * the registry failed.
      */
     void upstreamsChanged(double now, Change change, List<Upstream> upstreams);
 
     /**
-     * The settings have changed; classes are known by their names. What is under way keeps its class, also
-     * one that is gone, and later requests have their index in the new settings.
+     * Replaces the settings. Classes are matched by name. Requests in progress keep their class, even if it
+     * was removed; later requests use indexes into the new settings.
      */
     default void settingsChanged(double now, Settings settings) { }
 
     /**
-     * Operators have taken an upstream out of use, whatever lists say of it, or have put it back. It may have
-     * been restarted meanwhile. It need not be listed, and may be told twice.
+     * Reports that operators have disabled an upstream, regardless of its state in the lists, or have enabled
+     * it again. It may have been restarted in between. It need not be listed, and the same state may be
+     * reported twice.
      */
-    default void upstreamDisabled(double now, long upstream, boolean banned) { }
+    default void upstreamDisabled(double now, long upstream, boolean disabled) { }
 
-    /** How many listed upstreams get no request now. */
+    /** Returns how many listed upstreams receive no requests at present. */
     default int excludedUpstreams() {
         return 0;
     }
 
-    /** What the decisions have cost so far. */
+    /** Returns counters of the decisions made so far. */
     default DecisionStats stats() {
         return DecisionStats.NONE;
     }
 
-    /** What is known by now that is of use to a later process of this instance; not what is under way. */
+    /**
+     * Returns what a later process of this instance can start with; requests in progress are not included.
+     */
     default WarmState warmState(double now) {
         return WarmState.EMPTY;
     }
 
     /**
-     * What an earlier process of this instance had learnt {@code age} ms ago: an opinion to begin with,
-     * which counts the less the older it is. Called at most once, between {@link #start} and the first list.
+     * Restores the state that an earlier process of this instance saved {@code age} ms ago; the older it is,
+     * the less weight it has. Called at most once, between {@link #start} and the first list.
      */
-    default void restoreWarmState(double now, WarmState learnt, double age) { }
+    default void restoreWarmState(double now, WarmState state, double age) { }
 
-    /** A request has arrived; the instance now owes it exactly one final answer. */
+    /** Reports a new request. The instance must give it exactly one final answer. */
     void request(double now, Request request);
 
     /**
-     * As {@link #request}, but its body is still on its way: until {@link #bodyArrived} an upstream can't
-     * begin with it, and no time counts.
+     * Like {@link #request}, for a request whose body is still arriving: an upstream can't start work on it,
+     * and no time limit applies, until {@link #bodyArrived}.
      */
     default void requestStarted(double now, Request request) {
         request(now, request);
     }
 
-    /** The whole body of a request that had begun is there; its client waits until the deadline. */
+    /** Reports that the body of a started request is complete; its client waits until the deadline. */
     default void bodyArrived(double now, long requestId, double deadline) { }
 
-    /** How an attempt ended; one such event for every {@link Actions#send}. */
+    /** Reports the end of an attempt; exactly one such event follows each {@link Actions#send}. */
     void attemptFinished(double now, Outcome outcome);
 
-    /** The streamed answer of an attempt has begun; neither time-out nor deadline counts any more. */
+    /**
+     * Reports that the streamed answer of an attempt has started; from now on neither its timeout nor the
+     * deadline applies.
+     */
     void streamStarted(double now, long requestId, int attempt, double elapsed);
 
-    /** The client has left; nothing more is owed. Outcomes of running attempts still follow. */
+    /**
+     * Reports that the client has disconnected and needs no answer. Outcomes of attempts in flight still
+     * follow.
+     */
     void clientGone(double now, long requestId);
 
-    /** A timer set by {@link Actions#setTimer} is due. */
+    /** Reports that a timer set by {@link Actions#setTimer} has expired. */
     void timer(double now, long token);
 
-    /** The result of a probe; {@code report} is null where none came. */
+    /** Reports the result of a probe; {@code report} is null if the upstream sent none. */
     default void probeResult(double now, long upstream, Result result, double elapsed, double[] report) { }
 
-    /** A message from another instance of the same tier. */
+    /** Delivers a message from another instance of the same tier. */
     default void peerMessage(double now, int sender, byte[] payload) { }
 
-    /** What an instance can ask of its host; all of it takes effect at the time of the event at hand. */
+    /**
+     * Actions that an instance requests from its host. All of them take effect at the time of the current
+     * event.
+     */
     interface Actions {
 
-        /** Sends an attempt; those of a request are numbered 0, 1, 2 ... in the order of these calls. */
+        /**
+         * Sends an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of these calls.
+         */
         void send(long requestId, long upstream, double timeout);
 
-        /** Final answer: refused, and trying again is harmless. 0 gives no advice on when. */
+        /**
+         * Final answer: refused; a retry is harmless. A {@code retryAfter} of 0 gives no advice on when to
+         * retry.
+         */
         void refuse(long requestId, double retryAfter);
 
-        /** Final answer: failed, with no promise about effects. */
+        /** Final answer: failed; the request may have taken effect. */
         void fail(long requestId);
 
         /** Stops waiting for one attempt. */
         void cancel(long requestId, int attempt);
 
-        /** Checks on an upstream. */
+        /** Sends a probe to an upstream. */
         void probe(long upstream);
 
         /** Closes this instance's idle connections to an upstream. */
         void closeIdle(long upstream);
 
-        /** Asks the registry once for the whole list. */
+        /** Requests the whole list from the registry once. */
         void fetch();
 
-        /** Subscribes to the registry's changes, or ends the subscription. */
+        /** Starts or stops watching the registry for changes. */
         void watch(boolean on);
 
-        /** Asks for a {@link LoadBalancer#timer} event at or after the given time. */
+        /** Requests a {@link LoadBalancer#timer} event at or after the given time. */
         void setTimer(long token, double at);
 
         /** Sends a message to one instance of this tier, or to all with {@link #ALL_PEERS}. */
@@ -123,39 +141,41 @@
         void log(String text);
 
         /**
-         * How long this process itself, rather than the upstream, has held up an attempt so far, in ms: its
-         * connection had come up or its answer had come, and nobody had looked yet; 0 where that is too short
-         * to matter. An outcome's elapsed time leaves that out already, as far as it is known.
+         * Returns for how many ms this process, rather than the upstream, has delayed an attempt so far: its
+         * connection was established or its answer had arrived, but the process had not yet handled that.
+         * Returns 0 where the delay is too short to matter. The elapsed time of an outcome already excludes
+         * this delay as far as it is known.
          */
         default double localDelay(long requestId, int attempt) {
             return 0;
         }
 
         /**
-         * For how long this process has had nothing to do up to now, in ms from an arbitrary origin. While it
-         * is busy this stands still; a host whose processor is never short moves on with the clock.
+         * Returns the total idle time of this process up to now, in ms from an arbitrary origin. It does not
+         * advance while the process is busy; for a host that is never short of CPU it advances with the
+         * clock.
          */
         default double idleTime(double now) {
             return now;
         }
 
-        /** Every other instance of the tier. */
+        /** Addresses every other instance of the tier. */
         int ALL_PEERS = -1;
     }
 
-    /** The kinds of news about upstreams. */
+    /** The kinds of upstream list updates. */
     enum Change { DELTA, FULL, CACHED, FAILED }
 
-    /** An upstream's state; a removed one is listed only in a {@link Change#DELTA}. */
+    /** The state of an upstream. A removed upstream is listed only in a {@link Change#DELTA}. */
     enum State { REMOVED, READY, DRAINING }
 
     /**
-     * One upstream as listed.
+     * An entry of the upstream list.
      *
      * @param id opaque address
      * @param zone index of its zone
      * @param machineType index of its machine type
-     * @param cell the handful of upstreams that share which keys they have seen
+     * @param cell the small group of upstreams that share a record of the keys they have seen
      * @param weight relative size, see {@link Settings#weightKind}
      * @param startedAt when its process last started; 0 for long ago
      */
@@ -167,11 +187,11 @@
      *
      * @param serviceClass index into {@link Settings#classes}
      * @param tenant index into {@link Settings#tenants}
-     * @param key what ties requests together; 0 for none
-     * @param deadline when the client gives this try up
-     * @param cost expected work in ms of a standard core; 0 when not known
-     * @param retry whether the client marked it as a repeat
-     * @param write whether it changes something
+     * @param key key shared by related requests; 0 for none
+     * @param deadline when the client stops waiting for this try
+     * @param cost expected work in ms of a standard core; 0 if unknown
+     * @param retry true if the client marked it as a retry
+     * @param write true if it changes data
      */
     record Request(long id, int serviceClass, int tenant, long key, double deadline, double cost,
             boolean retry, boolean write) { }
@@ -180,7 +200,7 @@
     enum Result {
         OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT;
 
-        /** Whether this proves that the attempt never ran. */
+        /** Returns true if this result proves that the attempt never ran. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
         }
@@ -189,7 +209,7 @@
     /**
      * The end of one attempt.
      *
-     * @param requestClosed whether the request is over; otherwise it is still owed its final answer
+     * @param requestClosed true if the request is over; otherwise it still needs its final answer
      * @param elapsed time since the attempt was sent
      * @param report the upstream's load report in the order of {@link Settings#reportFields}, or null
      */
@@ -197,100 +217,99 @@
             double elapsed, double[] report) { }
 
     /**
-     * What the decisions of an instance have cost.
+     * Counters of an instance's decisions.
      *
-     * @param draws how many draws of an upstream there were since the start
-     * @param examined how many upstreams these have looked at
-     * @param queued how many requests wait now for an upstream that can take them
-     * @param unserved the requests that were refused or failed since the start
-     * @param pressure the greatest share of the work asked for that is refused now, between 0 and 1
+     * @param draws number of random draws of an upstream since the start
+     * @param examined number of upstreams that these draws examined
+     * @param queued number of requests that wait at present for an upstream that can take them
+     * @param unserved requests that were refused or failed since the start
+     * @param pressure the greatest share of the requested work that is refused at present, from 0 to 1
      */
     record DecisionStats(long draws, long examined, int queued, Unserved unserved, double pressure) {
 
-        /** Nothing, or not known. */
+        /** All zero, also for an instance that does not count. */
         public static final DecisionStats NONE = new DecisionStats(0, 0, 0, new Unserved(0, 0, 0), 0);
     }
 
     /**
-     * How many requests an instance has refused or failed, by reason.
+     * Requests that an instance refused or failed, by reason.
      *
-     * @param shed refused on arrival, since signs of overload had been seen
+     * @param shed refused on arrival because of signs of overload
      * @param noUpstream never sent, as no upstream could take them in time
-     * @param attemptsFailed whose attempts failed, with no time or allowance left for another
+     * @param attemptsFailed all attempts failed, and no time or retry budget was left for another
      */
     record Unserved(long shed, long noUpstream, long attemptsFailed) { }
 
     /**
-     * What an instance has learnt of classes and upstreams.
+     * Warm-start state: what an instance has observed of classes and upstreams.
      *
      * @param classes in the order of {@link UpstreamState#servedByClass} and
      *     {@link UpstreamState#attemptsByClass}
-     * @param upstreams those that are listed
+     * @param upstreams the upstreams that are listed
      */
     record WarmState(List<ClassState> classes, List<UpstreamState> upstreams) {
 
-        /** Nothing at all. */
+        /** No state. */
         public static final WarmState EMPTY = new WarmState(List.of(), List.of());
 
         /**
-         * What was learnt of a class over all upstreams.
+         * Observations of a class over all upstreams.
          *
-         * @param latency served latency in ms for a request of mean cost on a mean upstream
+         * @param latency latency in ms of served requests, for a request of mean cost on a mean upstream
          * @param hint mean hinted work in ms; 0 if there were no hints
-         * @param slowRatio how many times the expected latency only the slowest calls take
+         * @param slowRatio ratio to the expected latency that only the slowest calls exceed
          */
         public record ClassState(String name, double latency, double hint, double slowRatio) { }
 
         /**
-         * What was learnt of one process of an upstream, in sums that fade.
+         * Observations of one process of an upstream, as sums that decay over time.
          *
-         * @param listedStartedAt when it started as listed; a process that started later is another one
-         * @param startedAt when it is taken to have started: as listed, or later
-         * @param observedFor ms since when there is evidence of it
-         * @param latencySum sum of its served latencies, relative to what was expected
-         * @param latencyCount how many these were
-         * @param totalServed calls served there, of all classes
-         * @param totalAttempts calls that have ended there, of all classes
-         * @param servedByClass calls served there, by class
-         * @param attemptsByClass calls that have ended there, by class
+         * @param listedStartedAt start time in the list; a process that started later is a different one
+         * @param startedAt assumed start time: as listed, or later
+         * @param observedFor ms since the first observation
+         * @param latencySum sum of the latencies of served calls, relative to the expected latency
+         * @param latencyCount number of latencies in that sum
+         * @param totalServed calls served, over all classes
+         * @param totalAttempts calls that have ended, over all classes
+         * @param servedByClass calls served, by class
+         * @param attemptsByClass calls that have ended, by class
          */
         public record UpstreamState(long id, double listedStartedAt, double startedAt, double observedFor,
                 double latencySum, double latencyCount, double totalServed, double totalAttempts,
                 double[] servedByClass, double[] attemptsByClass) { }
     }
 
-    /** Whether a request of a class may run more than once. */
+    /** How safe it is to run a request of a class more than once. */
     enum Idempotency { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
 
-    /** Which upstreams drop repeats of a request of a deduplicated class. */
+    /** The upstreams among which duplicates of a request of a deduplicated class are dropped. */
     enum DedupScope { ALL, ZONE, CELL }
 
-    /** How load reports come, if at all. */
+    /** How upstreams deliver load reports, if at all. */
     enum ReportMode { PIGGYBACK, PROBE, NONE }
 
-    /** What an upstream's weight means. */
+    /** The meaning of an upstream's weight. */
     enum WeightKind { NONE, NOMINAL, ROUGH, LIVE }
 
     /**
      * A class of requests.
      *
-     * @param aim answered within this it earns its full worth
-     * @param aimStretch the aim grows by this many times the request's own work
+     * @param aim latency target in ms: an answer within it earns the full worth
+     * @param aimStretch the aim grows by this factor times the request's own work
      * @param deadline how long a client waits over all its tries
      * @param lateWorth the share of the worth left after the aim
-     * @param dedupWindow how long repeats are dropped, from the first attempt that may have run
-     * @param streamed whether answers are streams
-     * @param inOrder whether requests with the same key take turns in order of arrival; all such classes
-     *     share their keys, and a request without a key is free
-     * @param zones the only zones it may be sent to; null where any will do, empty where none will
-     * @param machineTypes the only machine types it may be sent to; null where any will do, empty where none
-     *     will
+     * @param dedupWindow how long duplicates are dropped, from the first attempt that may have run
+     * @param streamed true if answers are streams
+     * @param inOrder true if requests with the same key run one at a time in order of arrival; all such
+     *     classes share their keys, and a request without a key is not ordered
+     * @param zones the only zones it may be sent to; null for any zone, empty for none
+     * @param machineTypes the only machine types it may be sent to; null for any type, empty for none
      */
     record ServiceClass(String name, double aim, double aimStretch, double deadline, double worth,
             double lateWorth, Idempotency idempotency, DedupScope dedupScope, double dedupWindow,
             boolean streamed, boolean inOrder, List<Integer> zones, List<Integer> machineTypes) {
 
-        /** Whether placement allows an upstream for this class, at any attempt. */
+        /** Returns true if requests of this class may be sent to this upstream. */
         public boolean admits(Upstream upstream) {
             return (zones == null || zones.contains(upstream.zone()))
                     && (machineTypes == null || machineTypes.contains(upstream.machineType()));
@@ -301,7 +320,7 @@
     record Tenant(String name, double share, double quotaPerSecond) { }
 
     /**
-     * What a site allows.
+     * Limits of a site.
      *
      * @param cpuPerRequest microseconds of CPU for a request with its outcomes; 0 for no limit
      * @param cpuPerSecond microseconds of CPU for an instance in a second
@@ -311,38 +330,42 @@
             double connectionIdle, int streamsPerConnection, double cpuPerRequest, double cpuPerSecond) { }
 
     /**
-     * The figures of the rules; see {@code docs/design.md}.
+     * Parameters of the rules; see {@code docs/design.md}.
      *
-     * @param orderSettle how long a key rests after an attempt that may still run was given up
+     * @param overloadFactor multiple of a cold server's capacity that may be sent to it over a window
+     * @param overloadWindow length of that window in ms
+     * @param orderSettle ms for which a key is blocked after an attempt was abandoned that may still run
      */
     record Rules(double answerGrace, double drainGrace, double askEvery, double startCapacity, double warmUp,
-            double fallMultiple, double fallAfter, double orderSettle) { }
+            double overloadFactor, double overloadWindow, double orderSettle) { }
 
     /**
-     * The weights of the parts of the result; a part that a site leaves out weighs 0.
+     * Weights of the parts of the result; a part that a site does not use has weight 0.
      *
-     * @param tail worth counts in full only while at most the share {@code tailMiss} misses its aim;
-     *     what is refused inside the aim is no miss
-     * @param nines tenfold steps by which the unserved worth lies below the whole, full at {@code topNines}
+     * @param tail the worth counts in full only while at most the share {@code tailMiss} misses its aim;
+     *     a refusal within the aim is not a miss
+     * @param nines powers of ten by which the unserved worth lies below the total; {@code topNines} of
+     *     them score in full
      */
     record Goal(double whole, double worstWindow, double worstClass, double worstTenant, double tail,
             double tailMiss, double nines, double topNines) { }
 
-    /** Points taken off the result, each for its share or rate. */
+    /** Points deducted from the result, each in proportion to its share or rate. */
     record Prices(double crossZone, double probe, double waste, double lateFail, double connection,
             double handshake, double peer, double registry) { }
 
     /**
-     * What an instance is told at its start.
+     * Settings of an instance.
      *
-     * @param position this instance's number among its siblings
-     * @param siblings how many instances its tier has
-     * @param tier the tier it sends to, 0 being the one that clients reach
-     * @param subscribe whether the registry tells only those who ask
-     * @param passesDeadline whether calls between tiers carry the time their caller has left
-     * @param warmKeys whether an upstream that served a key lately serves it cheaper
-     * @param worthByWork whether worth counts per unit of work rather than per request
-     * @param overShareWorth what a request beyond its tenant's share is worth, of its class's worth
+     * @param position index of this instance among its siblings
+     * @param siblings number of instances in its tier
+     * @param tier the tier it sends to; clients reach tier 0
+     * @param subscribe true if the registry notifies subscribers only
+     * @param passesDeadline true if calls between tiers carry the caller's remaining time
+     * @param warmKeys true if an upstream that served a key recently serves it at lower cost
+     * @param worthByWork true if worth counts per unit of work rather than per request
+     * @param overShareWorth worth of a request beyond its tenant's share, as a factor of its class's
+     *     worth
      */
     record Settings(int position, int siblings, int tier, int tiers, int zone, int zones, int machineTypes,
             boolean subscribe, boolean passesDeadline, boolean warmKeys, boolean retriesMarked,
--- a/src/main/java/cranedeal/LoadShedding.java
+++ b/src/main/java/cranedeal/LoadShedding.java
@@ -5,102 +5,107 @@
 import java.util.Comparator;
 
 /**
- * Under overload all would be late, so a part of the work is refused before any is spent on it: only where
- * clients arrive, since further down a refusal wastes what was done above. How much is the pressure, which
- * signs of overload raise and answers in good time lower.
+ * Refuses a part of the requests under overload, before any work is spent on them, as otherwise all would be
+ * late. This happens at the first tier only, as a refusal further down wastes the work done above. The
+ * refused share is the pressure, which signs of overload raise and timely answers lower.
  */
 final class LoadShedding {
 
-    /** Above this share of work refused nothing is sent in a second copy: it would deepen the jam. */
-    static final double CALM = 0.05;
-    /** Change of the share of work refused in a second of signs of overload, and in one of the opposite. */
+    /** Pressure above which no hedged requests are sent, as these would add to the overload. */
+    static final double MAX_HEDGING_PRESSURE = 0.05;
+    /** Change of the pressure per second of overload signs, and per second of timely answers. */
     private static final double PRESSURE_UP = 0.9;
     private static final double PRESSURE_DOWN = 0.22;
-    /** The longest time in ms for which one outcome stands. */
-    private static final double LONGEST_GAP = 250;
-    private static final double MOST_PRESSURE = 0.95;
+    /** Max time in ms that one outcome stands for. */
+    private static final double MAX_SIGNAL_MS = 250;
+    private static final double MAX_PRESSURE = 0.95;
     private static final int PLAN_STEPS = 10;
     private static final double MS_PER_S = 1_000;
-    /** The part of all work that a plan may leave unrefused for want of precision. */
+    /** A plan may miss its target by one part in this number of all work, because of limited precision. */
     private static final double PLAN_PRECISION = 1_000;
-    /** Least share of the requests that a class is reckoned with; keeps ratios finite. */
-    private static final double SEEN_LEAST = 1e-6;
+    /** Lower bound of a class's share of requests; keeps ratios finite. */
+    private static final double MIN_REQUEST_SHARE = 1e-6;
 
     private final double shareGain;
     private Settings settings;
-    private ClassRecord[] classes;
+    private ClassStats[] classes;
 
-    /** With the weight of a request in the shares of classes. */
+    /** Takes the weight of one request in the classes' shares of the requests. */
     LoadShedding(double shareGain) {
         this.shareGain = shareGain;
     }
 
-    /** From now on goes by these settings. */
-    void retune(Settings given, ClassRecord[] records) {
-        settings = given;
-        classes = records;
+    /** Applies new settings. */
+    void configure(Settings newSettings, ClassStats[] newClasses) {
+        settings = newSettings;
+        classes = newClasses;
     }
 
-    /** Counts a request that has arrived; returns the probability with which it is to be refused. */
-    double refused(ClassRecord of, double now) {
-        for (ClassRecord c : classes) {
-            c.share += shareGain * ((c == of ? 1 : 0) - c.share);
+    /** Counts a new request and returns the probability with which it is to be refused. */
+    double refusalProbability(ClassStats serviceClass, double now) {
+        for (ClassStats c : classes) {
+            c.requestShare += shareGain * ((c == serviceClass ? 1 : 0) - c.requestShare);
         }
-        if (of.leader.ease(now, PRESSURE_DOWN / MS_PER_S) == 0) {
+        if (serviceClass.leader.decayPressure(now, PRESSURE_DOWN / MS_PER_S) == 0) {
             return 0;
         }
-        plan(of.leader);
-        return of.refused;
+        plan(serviceClass.leader);
+        return serviceClass.refusedShare;
     }
 
     /**
-     * Each sign stands for the time since the one before: the level moves as fast where traffic is thin, or
-     * where so much is refused that few outcomes come, and does not outlast its cause.
+     * Applies a sign of overload or a timely answer. Each stands for the time since the previous one, so the
+     * pressure changes as fast under low traffic or when so much is refused that few outcomes arrive, and
+     * does not outlast its cause.
      */
-    static void feel(ClassRecord leader, boolean fine, double now) {
-        double seconds = Math.min(LONGEST_GAP, now - leader.feltAt) / MS_PER_S;
-        leader.feltAt = now;
-        double changed = leader.pressure + (fine ? -PRESSURE_DOWN : PRESSURE_UP) * seconds;
-        leader.pressure = Math.min(MOST_PRESSURE, Math.max(0, changed));
+    static void signal(ClassStats leader, boolean inTime, double now) {
+        double seconds = Math.min(MAX_SIGNAL_MS, now - leader.signalledAt) / MS_PER_S;
+        leader.signalledAt = now;
+        double changed = leader.pressure + (inTime ? -PRESSURE_DOWN : PRESSURE_UP) * seconds;
+        leader.pressure = Math.min(MAX_PRESSURE, Math.max(0, changed));
     }
 
     /**
-     * How much of each class to refuse so that the pressure's share of their work goes, at least loss: the
-     * cheapest worth per work first, but no class more than pays: the worst one counts by itself too.
-     * Classes of one placement share their pressure: what is bound to crowded servers is shed alone.
+     * Plans the refused share of each class so that the pressure's share of the work is refused at the least
+     * loss: the classes with the lowest worth per work first, but no class beyond the optimal cap, since the
+     * worst class also counts by itself. Classes with the same placement share their pressure, so overload of
+     * restricted servers affects only the classes restricted to them.
      */
-    private void plan(ClassRecord leader) {
-        ClassRecord[] cheapestFirst = Arrays.stream(classes).filter(c -> c.leader == leader)
-                .sorted(Comparator.comparingDouble(c -> worth(c) / work(c))).toArray(ClassRecord[]::new);
+    private void plan(ClassStats leader) {
+        ClassStats[] cheapestFirst = Arrays.stream(classes).filter(c -> c.leader == leader)
+                .sorted(Comparator.comparingDouble(c -> worth(c) / work(c))).toArray(ClassStats[]::new);
         double allWork = Arrays.stream(cheapestFirst).mapToDouble(this::work).sum();
         double allWorth = Arrays.stream(cheapestFirst).mapToDouble(this::worth).sum();
-        double forWorst = settings.goal().worstClass();
-        double[] parts = new double[cheapestFirst.length];
-        double least = Double.MAX_VALUE;
+        double worstClassWeight = settings.goal().worstClass();
+        double[] refusedShares = new double[cheapestFirst.length];
+        double minLoss = Double.MAX_VALUE;
         for (int step = 1; step <= PLAN_STEPS; step++) {
-            double most = (double) step / PLAN_STEPS;
-            double left = leader.pressure * allWork;
-            double loss = forWorst * most;
-            for (int i = 0; i < parts.length; i++) {
-                parts[i] = Math.min(most, left / work(cheapestFirst[i]));
-                left -= parts[i] * work(cheapestFirst[i]);
-                loss += (1 - forWorst) * parts[i] * worth(cheapestFirst[i]) / allWorth;
+            double maxPart = (double) step / PLAN_STEPS;
+            double remaining = leader.pressure * allWork;
+            double loss = worstClassWeight * maxPart;
+            for (int i = 0; i < refusedShares.length; i++) {
+                refusedShares[i] = Math.min(maxPart, remaining / work(cheapestFirst[i]));
+                remaining -= refusedShares[i] * work(cheapestFirst[i]);
+                loss += (1 - worstClassWeight) * refusedShares[i] * worth(cheapestFirst[i]) / allWorth;
             }
-            if (left < allWork / PLAN_PRECISION && loss < least) {
-                least = loss;
-                for (int i = 0; i < parts.length; i++) {
-                    cheapestFirst[i].refused = parts[i];
+            if (remaining < allWork / PLAN_PRECISION && loss < minLoss) {
+                minLoss = loss;
+                for (int i = 0; i < refusedShares.length; i++) {
+                    cheapestFirst[i].refusedShare = refusedShares[i];
                 }
             }
         }
     }
 
-    /** A class's part of the work asked for; hints tell it best, else served latencies. */
-    private double work(ClassRecord c) {
-        return (c.share + SEEN_LEAST) * (c.hint.value() > 0 ? c.hint.value() : c.latency.value());
+    /** Returns a class's part of the requested work, from hints if there are any, else from latencies. */
+    private double work(ClassStats serviceClass) {
+        return (serviceClass.requestShare + MIN_REQUEST_SHARE)
+                * (serviceClass.workHint.value() > 0 ? serviceClass.workHint.value()
+                : serviceClass.latency.value());
     }
 
-    private double worth(ClassRecord c) {
-        return c.type.worth() * (settings.worthByWork() ? work(c) : c.share + SEEN_LEAST);
+    private double worth(ClassStats serviceClass) {
+        return serviceClass.type.worth() * (settings.worthByWork()
+                ? work(serviceClass) : serviceClass.requestShare + MIN_REQUEST_SHARE);
     }
 }
--- a/src/main/java/cranedeal/PreferredSubset.java
+++ b/src/main/java/cranedeal/PreferredSubset.java
@@ -7,27 +7,28 @@
 import java.util.SplittableRandom;
 
 /**
- * The servers that an instance prefers: every so many-th in an order by zone and machine type, each sibling
- * beginning at its own place. So a subset is a small picture of the fleet, and every server is in as many
- * subsets as the others. Each round of siblings shuffles anew, so that no two servers share all callers.
+ * The servers that an instance prefers: every n-th server in an order by zone and machine type, where each
+ * sibling starts at a different offset. So a subset is representative of the fleet, and all servers are in
+ * equally many subsets. Each round of siblings uses another shuffle, so that no two servers share all
+ * callers.
  *
- * <p>The order is kept sorted: a change takes a binary search and a shift, and the members of the subset are
- * found by their ranks. Only where the round changes all are sorted anew.
+ * <p>The order is kept sorted: a change takes a binary search and a shift, and members are found by rank.
+ * Only a change of the round sorts all servers again.
  */
 final class PreferredSubset {
 
-    /** Servers in a subset: enough to lose a few, few enough to know. */
+    /** Servers in a subset: enough to lose a few of them, few enough to have recent observations of each. */
     private static final int SIZE = 8;
     private static final int ID_FACTOR = 31;
     private static final Comparator<Server> ORDER = Comparator.<Server>comparingInt(s -> s.listed.zone())
-            .thenComparingInt(s -> s.listed.machineType()).thenComparingDouble(s -> s.shuffled)
-            .thenComparingLong(s -> s.order);
+            .thenComparingInt(s -> s.listed.machineType()).thenComparingDouble(s -> s.shuffleKey)
+            .thenComparingLong(s -> s.sequence);
 
     private final List<Server> ordered = new ArrayList<>();
-    private List<Server> chosen = List.of();
+    private List<Server> selected = List.of();
     private long round;
 
-    /** All servers, in order. */
+    /** Returns all servers, in order. */
     List<Server> ordered() {
         return ordered;
     }
@@ -38,51 +39,51 @@
 
     void add(Server server) {
         shuffle(server);
-        int at = Collections.binarySearch(ordered, server, ORDER);
-        ordered.add(at < 0 ? -at - 1 : at, server);
+        int rank = Collections.binarySearch(ordered, server, ORDER);
+        ordered.add(rank < 0 ? -rank - 1 : rank, server);
     }
 
-    /** Takes a server out whose zone and machine type are as they were when it was added. */
+    /** Removes a server whose zone and machine type are unchanged since it was added. */
     void remove(Server server) {
-        int at = Collections.binarySearch(ordered, server, ORDER);
-        if (at >= 0) {
-            ordered.remove(at);
+        int rank = Collections.binarySearch(ordered, server, ORDER);
+        if (rank >= 0) {
+            ordered.remove(rank);
         }
     }
 
     private void shuffle(Server server) {
-        server.shuffled = new SplittableRandom(server.listed.id() * ID_FACTOR + round).nextDouble();
+        server.shuffleKey = new SplittableRandom(server.listed.id() * ID_FACTOR + round).nextDouble();
     }
 
     /**
-     * Chooses the subset of the servers as they are now.
+     * Updates the subset for the present servers.
      *
-     * @return those that have come into it or have left it
+     * @return the servers that have joined or left it
      */
-    List<Server> choose(int position) {
+    List<Server> select(int position) {
         int stride = Math.max(1, ordered.size() / SIZE);
         if (position / stride != round) {
             round = position / stride;
             ordered.forEach(this::shuffle);
             ordered.sort(ORDER);
         }
-        List<Server> now = new ArrayList<>();
+        List<Server> members = new ArrayList<>();
         for (int rank = Math.floorMod(-position, stride); rank < ordered.size(); rank += stride) {
-            now.add(ordered.get(rank));
+            members.add(ordered.get(rank));
         }
         List<Server> changed = new ArrayList<>();
-        chosen.forEach(server -> server.chosen = false);
-        now.forEach(server -> server.chosen = true);
-        addChanged(chosen, changed);
-        addChanged(now, changed);
-        chosen = now;
+        selected.forEach(server -> server.selected = false);
+        members.forEach(server -> server.selected = true);
+        addChanged(selected, changed);
+        addChanged(members, changed);
+        selected = members;
         return changed;
     }
 
-    private static void addChanged(List<Server> from, List<Server> changed) {
-        for (Server server : from) {
-            if (server.preferred != server.chosen) {
-                server.preferred = server.chosen;
+    private static void addChanged(List<Server> candidates, List<Server> changed) {
+        for (Server server : candidates) {
+            if (server.preferred != server.selected) {
+                server.preferred = server.selected;
                 changed.add(server);
             }
         }
--- a/src/main/java/cranedeal/HeldRequests.java
+++ b/src/main/java/cranedeal/RequestQueue.java
@@ -9,10 +9,10 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for a server that can take them, by class in the order in which they came. What they
- * wait for wakes them: whoever learns of it asks for the next ones of each class, a few at a time.
+ * Requests that wait for a server that can take them, by class in order of arrival. They don't poll: each
+ * event that may end their wait retries the first few of each class.
  */
-final class HeldRequests {
+final class RequestQueue {
 
     private final Map<String, LinkedHashSet<Call>> waiting = new LinkedHashMap<>();
     private int size;
@@ -21,30 +21,32 @@
         return size;
     }
 
-    /** Holds a request; one that is held already keeps its place. */
-    void hold(Call call) {
+    /** Adds a request; one that is queued already keeps its place. */
+    void add(Call call) {
         if (waiting.computeIfAbsent(call.type.name(), name -> new LinkedHashSet<>()).add(call)) {
             size++;
         }
     }
 
-    /** The request waits no more. */
-    void release(Call call) {
-        LinkedHashSet<Call> same = size == 0 ? null : waiting.get(call.type.name());
-        if (same != null && same.remove(call)) {
+    /** Removes a request if it is queued. */
+    void remove(Call call) {
+        LinkedHashSet<Call> sameClass = size == 0 ? null : waiting.get(call.type.name());
+        if (sameClass != null && sameClass.remove(call)) {
             size--;
-            if (same.isEmpty()) {
+            if (sameClass.isEmpty()) {
                 waiting.remove(call.type.name());
             }
         }
     }
 
-    /** The first requests of each class, at most so many of each, that fulfil a condition. */
-    List<Call> first(int most, Predicate<Call> condition) {
+    /**
+     * Returns the first requests of each class that meet a condition, examining at most {@code most} of each.
+     */
+    List<Call> first(int limitPerClass, Predicate<Call> condition) {
         List<Call> first = new ArrayList<>();
         for (LinkedHashSet<Call> calls : waiting.values()) {
             Iterator<Call> next = calls.iterator();
-            for (int i = 0; i < most && next.hasNext(); i++) {
+            for (int i = 0; i < limitPerClass && next.hasNext(); i++) {
                 Call call = next.next();
                 if (condition.test(call)) {
                     first.add(call);
--- a/src/main/java/cranedeal/Server.java
+++ b/src/main/java/cranedeal/Server.java
@@ -2,202 +2,217 @@
 
 import java.util.ArrayDeque;
 
-/** What was seen of one server by this instance: sums of evidence that fade, no decisions. */
+/** What this instance observed of one server, as sums that decay over time; makes no decisions. */
 final class Server {
 
-    /** What was seen of a machine type: mean relative latency and share of calls served. */
-    static final class Kind {
-        final Mean latency;
-        final Mean served;
+    /** Observations of a machine type: mean relative latency and share of calls served. */
+    static final class MachineTypeStats {
+        final MovingAverage latency;
+        final MovingAverage served;
 
-        Kind(double gain) {
-            latency = new Mean(1, gain);
-            served = new Mean(1, gain);
+        MachineTypeStats(double gain) {
+            latency = new MovingAverage(1, gain);
+            served = new MovingAverage(1, gain);
         }
     }
 
-    /** Ms after operators have put a server back until which it is to have its first call. */
-    static final double OWED_WITHIN = 5_000;
-    /** It is in no bin of a class. */
+    /** Ms after operators enable a server within which it should get its first call (its trial). */
+    static final double TRIAL_WINDOW = 5_000;
+    /** Marks a server that is in no bin of a class. */
     static final int NO_SLOT = -1;
 
     LoadBalancer.Upstream listed;
-    /** The place of its process among all that were ever listed; no two have the same. */
-    final long order;
-    /** When its process is taken to have started last: what the list says, or later; 0 for long ago. */
+    /** Creation number of this record; unique. */
+    final long sequence;
+    /** Assumed start time of its process: as listed, or later; 0 for long ago. */
     final double startedAt;
-    final Kind kind;
-    /** Own attempts in flight there, oldest first. */
-    final ArrayDeque<Call.Attempt> out = new ArrayDeque<>();
-    /** Served latencies relative to what was expected, and how many. */
+    final MachineTypeStats machineType;
+    /** This instance's attempts in flight there, oldest first. */
+    final ArrayDeque<Call.Attempt> inFlight = new ArrayDeque<>();
+    /** Sum and number of the latencies of served calls, relative to the expected latency. */
     double latencySum;
     double latencyCount;
-    /** Calls served and ended there, of all classes and of each. */
+    /** Calls served and calls ended there, over all classes and by class. */
     double served;
-    double tries;
-    double[] servedOf;
-    double[] triesOf;
-    /** Calls of each class that it has broken since it last served one of them. */
-    private int[] faultsOf;
-    /** Whether it belongs to the subset of the fleet that this instance prefers. */
+    double attempts;
+    double[] servedByClass;
+    double[] attemptsByClass;
+    /** Consecutive failures of each class since its last success. */
+    private int[] faultsByClass;
+    /** True if it belongs to the subset that this instance prefers. */
     boolean preferred;
-    /** Sends that it has earned while cold. */
+    /** Send budget while it is cold, in calls. */
     double coldBudget;
-    /** Until when it is taken to have a full table of connections. */
-    double crowdedUntil = Double.NEGATIVE_INFINITY;
-    /** From when it is owed a call, as operators have put it back; NaN if it is not. */
-    double owedFrom = Double.NaN;
-    /** Where it stands in the order by which the preferred subset is chosen, and scratch for the choice. */
-    double shuffled;
-    boolean chosen;
-    /** Whether it is cold, and then whether it has not earned a call; kept by its placement. */
+    /** Until when its connection table is assumed to be full. */
+    double tableFullUntil = Double.NEGATIVE_INFINITY;
+    /** Start of its trial after operators enabled it; NaN if it has none. */
+    double trialFrom = Double.NaN;
+    /** Random sort key for the choice of the preferred subset, and scratch for that choice. */
+    double shuffleKey;
+    boolean selected;
+    /** True if it is cold, and if its send budget is below one call; maintained by its pool. */
     boolean cold;
-    boolean closed;
-    /** Whether it is owed a call now. */
-    boolean owed;
-    /** When that begins or ends. */
-    double owingAt;
-    /** The parts that its placement had earned when its own budget was reckoned, and when it is due. */
+    boolean outOfBudget;
+    /** True while its trial lasts. */
+    boolean inTrial;
+    /** When its trial starts or ends. */
+    double trialChangesAt;
+    /**
+     * The sums of its pool when its own budget was last computed, and the sum at which it has a whole call.
+     */
     double earnedBefore;
     double earnedByTimeBefore;
     double dueAtEarned;
-    /** Its placement and group among the ready servers; null while it is not ready. */
-    Placement placement;
+    /** Its pool and group among the ready servers; null while it is not ready. */
+    ServerPool pool;
     ServerGroup group;
-    /** Its bin for each class and its place there; {@link #NO_SLOT} if it is in none. */
+    /** Its bin for each class and its slot there; {@link #NO_SLOT} if it is in none. */
     int[] bins;
     int[] slots;
-    /** Whether it is to be weighed anew, and when. */
-    boolean queued;
+    /** True if it is queued for a refresh of its weights, and when that is due. */
+    boolean refreshQueued;
     double refreshAt;
-    /** Its part of the evidence of all, and when that was counted. */
-    double countedTries;
+    /** Its contribution to the total number of attempts, and when that was computed. */
+    double countedAttempts;
     double countedAt;
-    /** Since when there is evidence of it. */
-    double knownSince;
-    private double fadedAt;
+    /** Time of the first observation. */
+    double observedSince;
+    private double decayedAt;
 
-    Server(LoadBalancer.Upstream listed, long order, double startedAt, Kind kind, int classes, double now,
-            double coldBudget) {
-        this.order = order;
+    Server(LoadBalancer.Upstream listed, long sequence, double startedAt, MachineTypeStats machineType,
+            int classes, double now, double coldBudget) {
+        this.sequence = sequence;
         this.startedAt = startedAt;
-        servedOf = new double[classes];
-        triesOf = new double[classes];
-        faultsOf = new int[classes];
+        servedByClass = new double[classes];
+        attemptsByClass = new double[classes];
+        faultsByClass = new int[classes];
         this.listed = listed;
-        this.kind = kind;
+        this.machineType = machineType;
         this.coldBudget = coldBudget;
-        fadedAt = now;
-        knownSince = now;
+        decayedAt = now;
+        observedSince = now;
     }
 
-    /** What a later process is to know of it. */
-    LoadBalancer.WarmState.UpstreamState learnt(double now) {
+    /** Returns its warm-start state. */
+    LoadBalancer.WarmState.UpstreamState warmState(double now) {
         return new LoadBalancer.WarmState.UpstreamState(listed.id(), listed.startedAt(), startedAt,
-                now - knownSince, latencySum, latencyCount, served, tries, servedOf.clone(),
-                triesOf.clone());
+                now - observedSince, latencySum, latencyCount, served, attempts, servedByClass.clone(),
+                attemptsByClass.clone());
     }
 
-    /** Takes in what was known at a time; for each class its place there, negative for one that is new. */
-    void recall(LoadBalancer.WarmState.UpstreamState old, double at, int[] places) {
-        latencySum = old.latencySum();
-        latencyCount = old.latencyCount();
-        served = old.totalServed();
-        tries = old.totalAttempts();
-        servedOf = old.servedByClass();
-        triesOf = old.attemptsByClass();
-        retune(places);
-        fadedAt = at;
-        knownSince = at - old.observedFor();
+    /**
+     * Restores state saved at the given time. {@code places} holds for each class its index in that state,
+     * negative for a new class.
+     */
+    void restore(LoadBalancer.WarmState.UpstreamState saved, double savedAt, int[] oldIndices) {
+        latencySum = saved.latencySum();
+        latencyCount = saved.latencyCount();
+        served = saved.totalServed();
+        attempts = saved.totalAttempts();
+        servedByClass = saved.servedByClass();
+        attemptsByClass = saved.attemptsByClass();
+        remapClasses(oldIndices);
+        decayedAt = savedAt;
+        observedSince = savedAt - saved.observedFor();
     }
 
-    /** Shows its machine type what was recalled of it, where that still weighs as much as a call. */
-    void tellKind() {
+    /** Adds restored observations to its machine type, where they still weigh as much as a call. */
+    void updateMachineType() {
         if (latencyCount >= 1) {
-            kind.latency.add(latencySum / latencyCount);
+            machineType.latency.add(latencySum / latencyCount);
         }
-        if (tries >= 1) {
-            kind.served.add(served / tries);
+        if (attempts >= 1) {
+            machineType.served.add(served / attempts);
         }
     }
 
-    /** Takes new settings in: for each class its place before, negative for one that is new. */
-    void retune(int[] before) {
-        double[] oldServed = servedOf;
-        double[] oldTries = triesOf;
-        servedOf = new double[before.length];
-        triesOf = new double[before.length];
-        faultsOf = new int[before.length];
-        for (int i = 0; i < before.length; i++) {
-            if (before[i] >= 0) {
-                servedOf[i] = oldServed[before[i]];
-                triesOf[i] = oldTries[before[i]];
+    /** Reorders the classes for new settings: for each class its previous index, negative for a new class. */
+    void remapClasses(int[] oldIndices) {
+        double[] oldServed = servedByClass;
+        double[] oldTries = attemptsByClass;
+        servedByClass = new double[oldIndices.length];
+        attemptsByClass = new double[oldIndices.length];
+        faultsByClass = new int[oldIndices.length];
+        for (int i = 0; i < oldIndices.length; i++) {
+            if (oldIndices[i] >= 0) {
+                servedByClass[i] = oldServed[oldIndices[i]];
+                attemptsByClass[i] = oldTries[oldIndices[i]];
             }
         }
     }
 
-    /** The calls that ended there as they have faded by now, to the moment. */
-    double triesBy(double now, double constant) {
-        return tries * Math.exp((fadedAt - now) / constant);
+    /** Returns the number of ended calls, decayed up to now. */
+    double decayedAttempts(double now, double timeConstant) {
+        return attempts * Math.exp((decayedAt - now) / timeConstant);
     }
 
-    /** Lets all evidence fade with the given time constant, at most once a step. */
-    void fade(double now, double constant, double step) {
-        if (now - fadedAt < step) {
+    /** Decays all observations with the given time constant, at most once per step. */
+    void decay(double now, double timeConstant, double step) {
+        if (now - decayedAt < step) {
             return;
         }
-        double kept = Math.exp((fadedAt - now) / constant);
+        double kept = Math.exp((decayedAt - now) / timeConstant);
         latencySum *= kept;
         latencyCount *= kept;
         served *= kept;
-        tries *= kept;
-        for (int i = 0; i < triesOf.length; i++) {
-            servedOf[i] *= kept;
-            triesOf[i] *= kept;
+        attempts *= kept;
+        for (int i = 0; i < attemptsByClass.length; i++) {
+            servedByClass[i] *= kept;
+            attemptsByClass[i] *= kept;
         }
-        fadedAt = now;
+        decayedAt = now;
     }
 
     /**
-     * A call was served or broken, which says nothing of a crowd. Once {@code run} of a class are broken one
-     * after the other, those served before are of another time, and once one is served again, those broken:
-     * of these the given shares are kept, at each fault and at the return.
+     * Detects outages from served and failed calls that do not indicate overload. After {@code run}
+     * consecutive failures of a class, the earlier successes are outdated, and after the next success so are
+     * the failures: the given shares of them are kept, at each further failure and at the recovery.
      */
-    void turn(int serviceClass, boolean wasServed, int run, double servedKept, double brokenKept) {
+    void updateOutage(int serviceClass, boolean wasServed, int outageFailures, double servedKept,
+            double brokenKept) {
         if (serviceClass < 0) {
             return;
         }
-        int faults = wasServed ? faultsOf[serviceClass] : Math.min(run, faultsOf[serviceClass] + 1);
-        faultsOf[serviceClass] = wasServed ? 0 : faults;
-        if (faults == run) {
-            // The sums over all classes stay: what is served in a second, and so its room, goes by them.
-            double broken = (wasServed ? brokenKept : 1) * (triesOf[serviceClass] - servedOf[serviceClass]);
-            servedOf[serviceClass] *= wasServed ? 1 : servedKept;
-            triesOf[serviceClass] = servedOf[serviceClass] + broken;
+        int faults = wasServed ? faultsByClass[serviceClass]
+                : Math.min(outageFailures, faultsByClass[serviceClass] + 1);
+        faultsByClass[serviceClass] = wasServed ? 0 : faults;
+        if (faults == outageFailures) {
+            // The sums over all classes stay, as they measure throughput and thereby the room of the server.
+            double broken = (wasServed ? brokenKept : 1)
+                    * (attemptsByClass[serviceClass] - servedByClass[serviceClass]);
+            servedByClass[serviceClass] *= wasServed ? 1 : servedKept;
+            attemptsByClass[serviceClass] = servedByClass[serviceClass] + broken;
         }
     }
 
     void count(int serviceClass, boolean wasServed) {
-        kind.served.add(wasServed ? 1 : 0);
-        tries += 1;
+        machineType.served.add(wasServed ? 1 : 0);
+        attempts += 1;
         served += wasServed ? 1 : 0;
         if (serviceClass >= 0) {
-            triesOf[serviceClass] += 1;
-            servedOf[serviceClass] += wasServed ? 1 : 0;
+            attemptsByClass[serviceClass] += 1;
+            servedByClass[serviceClass] += wasServed ? 1 : 0;
         }
     }
 
-    /** Latency relative to the mean of all servers, pooled with {@code pool} samples of its machine type. */
-    double base(double pool) {
-        return (latencySum + pool * kind.latency.value()) / (latencyCount + pool);
+    /**
+     * Returns the latency relative to the mean of all servers, pooled with {@code pool} samples of its
+     * machine type.
+     */
+    double relativeLatency(double pool) {
+        return (latencySum + pool * machineType.latency.value()) / (latencyCount + pool);
     }
 
-    /** A class's share of calls served, pooled with that of all classes, and that with its machine type's. */
-    double success(int serviceClass, double kindPool, double classPool) {
-        double all = (served + kindPool * kind.served.value()) / (tries + kindPool);
+    /**
+     * Returns the success rate of a class, pooled with that of all classes, which is pooled with that of its
+     * machine type.
+     */
+    double successRate(int serviceClass, double kindPool, double classPool) {
+        double overall = (served + kindPool * machineType.served.value()) / (attempts + kindPool);
         if (serviceClass < 0) {
-            return all;
+            return overall;
         }
-        return (servedOf[serviceClass] + classPool * all) / (triesOf[serviceClass] + classPool);
+        return (servedByClass[serviceClass] + classPool * overall)
+                / (attemptsByClass[serviceClass] + classPool);
     }
 }
--- a/src/main/java/cranedeal/ServerGroup.java
+++ b/src/main/java/cranedeal/ServerGroup.java
@@ -1,28 +1,28 @@
 package cranedeal;
 
 /**
- * Ready servers that share the factors of their weights: those of one placement, in the preferred subset or
- * outside it, open to calls or cold without having earned one. For each class that they are open to their
- * weights are kept in bins.
+ * Ready servers with the same factor of their weights: those of one pool, inside or outside the preferred
+ * subset, and with or without send budget. For each class that may be sent to them their weights are kept in
+ * bins.
  */
 final class ServerGroup {
 
-    final Placement placement;
-    /** Whether they count as of the preferred subset. */
+    final ServerPool pool;
+    /** True if they count as members of the preferred subset. */
     final boolean preferred;
-    /** Whether they are cold and have not earned a call. */
-    final boolean closed;
-    /** By class; null for one that they are not open to. */
+    /** True if they are cold and have not earned a call. */
+    final boolean outOfBudget;
+    /** Indexed by class; null for a class that must not be sent to them. */
     final WeightBins[] bins;
     private int size;
 
-    ServerGroup(Placement placement, boolean preferred, boolean closed, ClassRecord[] classes) {
-        this.placement = placement;
+    ServerGroup(ServerPool pool, boolean preferred, boolean outOfBudget, ClassStats[] classes) {
+        this.pool = pool;
         this.preferred = preferred;
-        this.closed = closed;
+        this.outOfBudget = outOfBudget;
         bins = new WeightBins[classes.length];
-        for (ClassRecord c : classes) {
-            if (c.type.admits(placement.example)) {
+        for (ClassStats c : classes) {
+            if (c.type.admits(pool.example)) {
                 bins[c.index] = new WeightBins(c.index);
             }
         }
@@ -45,14 +45,14 @@
     void remove(Server server) {
         size--;
         server.group = null;
-        for (WeightBins ofClass : bins) {
-            if (ofClass != null) {
-                ofClass.remove(server);
+        for (WeightBins classBins : bins) {
+            if (classBins != null) {
+                classBins.remove(server);
             }
         }
     }
 
-    /** Moves a server to the bins of its present weights. */
+    /** Moves a server to the bins of its current weights. */
     void reweigh(Server server, double[] weights) {
         for (int i = 0; i < bins.length; i++) {
             if (bins[i] != null && server.bins[i] != WeightBins.binOf(weights[i])) {
--- a/src/main/java/cranedeal/UnservedCounts.java
+++ b/src/main/java/cranedeal/UnservedCounts.java
@@ -1,18 +1,18 @@
 package cranedeal;
 
-/** Counts the requests that were refused or failed since the start, by reason. */
+/** Counts the refused and failed requests since the start, by reason. */
 final class UnservedCounts {
 
     private long shed;
     private long noUpstream;
     private long attemptsFailed;
 
-    /** A request was refused on arrival, as the load shedding has it. */
+    /** Counts a request that the load shedding refused on arrival. */
     void shed() {
         shed++;
     }
 
-    /** A request could not be served, after so many attempts. */
+    /** Counts a request that was not served after the given number of attempts. */
     void unserved(int attempts) {
         if (attempts == 0) {
             noUpstream++;
@@ -21,7 +21,7 @@
         }
     }
 
-    /** What has been counted so far. */
+    /** Returns the current counts. */
     LoadBalancer.Unserved snapshot() {
         return new LoadBalancer.Unserved(shed, noUpstream, attemptsFailed);
     }
--- a/src/main/java/cranedeal/wire/LittleEndian.java
+++ b/src/main/java/cranedeal/wire/LittleEndian.java
@@ -4,7 +4,7 @@
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
 
-/** Little-endian values in a byte array. */
+/** Reads and writes little-endian values in a byte array. */
 final class LittleEndian {
 
     private static final VarHandle SHORT = view(short[].class);
@@ -48,7 +48,7 @@
         return (double) DOUBLE.get(bytes, at);
     }
 
-    /** An upstream's four address bytes and port, kept as they came. */
+    /** Reads an upstream: four address bytes and a port, in their order on the wire. */
     static long getUpstream(byte[] bytes, int at) {
         return getUnsignedInt(bytes, at) | (long) getShort(bytes, at + 4) << 32;
     }
--- a/src/main/java/cranedeal/wire/Main.java
+++ b/src/main/java/cranedeal/wire/Main.java
@@ -11,7 +11,10 @@
 import java.io.PrintStream;
 import cranedeal.LatencyWeightedBalancer;
 
-/** The command line: {@code wire} reads batches on standard input and answers on standard output. */
+/**
+ * Entry point of the adapter: the command {@code wire} reads batches on standard input and writes replies to
+ * standard output.
+ */
 public final class Main {
 
     private static final int BUFFER_BYTES = 1 << 16;
--- a/src/main/java/cranedeal/wire/MalformedInputException.java
+++ b/src/main/java/cranedeal/wire/MalformedInputException.java
@@ -1,6 +1,6 @@
 package cranedeal.wire;
 
-/** Input that the wire does not allow; the message says what and where, in one line. */
+/** Thrown for input that violates the wire format; the message says in one line what is wrong and where. */
 public final class MalformedInputException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cranedeal/wire/ReplyWriter.java
+++ b/src/main/java/cranedeal/wire/ReplyWriter.java
@@ -6,7 +6,10 @@
 import java.util.Arrays;
 import cranedeal.LoadBalancer;
 
-/** Collects one reply: the actions of each instance as fixed records, texts and payloads in the tail. */
+/**
+ * Collects one reply: the actions of each instance as fixed-size records, with texts and payloads in the
+ * tail.
+ */
 final class ReplyWriter implements LoadBalancer.Actions {
 
     static final int RECORD_BYTES = 32;
@@ -19,36 +22,36 @@
     private int count;
     private int instance;
 
-    /** The instance for which the actions that follow are written. */
+    /** Selects the instance of the following actions. */
     void select(int number) {
         instance = number;
     }
 
     @Override
     public void refuse(long requestId, double retryAfter) {
-        int at = record(0);
-        LittleEndian.putLong(records, at + 5, requestId);
-        LittleEndian.putDouble(records, at + 13, retryAfter);
+        int offset = record(0);
+        LittleEndian.putLong(records, offset + 5, requestId);
+        LittleEndian.putDouble(records, offset + 13, retryAfter);
     }
 
     @Override
     public void probe(long upstream) {
-        int at = record(1);
-        LittleEndian.putUpstream(records, at + 5, upstream);
+        int offset = record(1);
+        LittleEndian.putUpstream(records, offset + 5, upstream);
     }
 
     @Override
     public void fail(long requestId) {
-        int at = record(2);
-        LittleEndian.putLong(records, at + 5, requestId);
+        int offset = record(2);
+        LittleEndian.putLong(records, offset + 5, requestId);
     }
 
     @Override
     public void send(long requestId, long upstream, double timeout) {
-        int at = record(3);
-        LittleEndian.putLong(records, at + 5, requestId);
-        LittleEndian.putUpstream(records, at + 13, upstream);
-        LittleEndian.putDouble(records, at + 19, timeout);
+        int offset = record(3);
+        LittleEndian.putLong(records, offset + 5, requestId);
+        LittleEndian.putUpstream(records, offset + 13, upstream);
+        LittleEndian.putDouble(records, offset + 19, timeout);
     }
 
     /** Reports that the decision code failed. */
@@ -58,8 +61,8 @@
 
     @Override
     public void closeIdle(long upstream) {
-        int at = record(5);
-        LittleEndian.putUpstream(records, at + 5, upstream);
+        int offset = record(5);
+        LittleEndian.putUpstream(records, offset + 5, upstream);
     }
 
     @Override
@@ -69,15 +72,15 @@
 
     @Override
     public void watch(boolean on) {
-        int at = record(7);
-        records[at + 5] = (byte) (on ? 1 : 0);
+        int offset = record(7);
+        records[offset + 5] = (byte) (on ? 1 : 0);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        int at = record(8);
-        LittleEndian.putLong(records, at + 5, requestId);
-        LittleEndian.putShort(records, at + 13, attempt);
+        int offset = record(8);
+        LittleEndian.putLong(records, offset + 5, requestId);
+        LittleEndian.putShort(records, offset + 13, attempt);
     }
 
     @Override
@@ -85,9 +88,9 @@
         if (payload.length > MAX_PEER_BYTES) {
             throw new IllegalArgumentException("a peer message holds " + MAX_PEER_BYTES + " bytes at most");
         }
-        int at = record(9);
-        LittleEndian.putInt(records, at + 5, peer);
-        putTail(at + 9, payload);
+        int offset = record(9);
+        LittleEndian.putInt(records, offset + 5, peer);
+        putTail(offset + 9, payload);
     }
 
     @Override
@@ -102,7 +105,7 @@
         LittleEndian.putDouble(records, record + 13, at);
     }
 
-    /** Writes the reply and starts the next one. */
+    /** Writes the reply and starts a new one. */
     void writeTo(OutputStream out) throws IOException {
         byte[] header = new byte[8];
         LittleEndian.putInt(header, 0, used + tailUsed);
@@ -116,18 +119,18 @@
         count = 0;
     }
 
-    /** Where the new record begins; it may replace {@link #records}, so it is called before they are read. */
-    private int record(int code) {
-        int at = used;
-        if (at + RECORD_BYTES > records.length) {
+    /** Appends an empty record and returns its offset. It may replace {@link #records}, so call it first. */
+    private int record(int actionCode) {
+        int offset = used;
+        if (offset + RECORD_BYTES > records.length) {
             records = Arrays.copyOf(records, records.length * 2);
         }
-        Arrays.fill(records, at, at + RECORD_BYTES, (byte) 0);
-        records[at] = (byte) code;
-        LittleEndian.putInt(records, at + 1, instance);
+        Arrays.fill(records, offset, offset + RECORD_BYTES, (byte) 0);
+        records[offset] = (byte) actionCode;
+        LittleEndian.putInt(records, offset + 1, instance);
         used += RECORD_BYTES;
         count++;
-        return at;
+        return offset;
     }
 
     private void putTail(int at, byte[] bytes) {
--- a/src/main/java/cranedeal/wire/SettingsParser.java
+++ b/src/main/java/cranedeal/wire/SettingsParser.java
@@ -131,7 +131,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // reported below, like a value that is not finite
+            // Reported below, like a value that is not finite.
         }
         throw invalid(key);
     }
@@ -169,7 +169,7 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    /** Indices of the list; null where the key is absent, which is not the same as an empty list. */
+    /** Returns the indexes in a list, or null if the key is absent, which differs from an empty list. */
     private List<Integer> indices(String key) {
         if (!values.containsKey(key)) {
             return null;
@@ -186,7 +186,7 @@
     }
 
     private <T> List<T> items(String key, Function<String, T> item) {
-        // A site without tenants leaves the whole list out.
+        // A site without tenants omits the whole list.
         int count = values.containsKey(key + ".count") ? integer(key + ".count") : 0;
         if (count < 0 || count > MAX_ITEMS) {
             throw invalid(key + ".count");
--- a/src/main/java/cranedeal/wire/WireHost.java
+++ b/src/main/java/cranedeal/wire/WireHost.java
@@ -17,13 +17,13 @@
 import cranedeal.LoadBalancer.State;
 import cranedeal.LoadBalancer.Upstream;
 
-/** Reads batches of events, hands each to its instance, and answers every batch with one reply. */
+/** Reads batches of events, passes each event to its instance, and answers each batch with one reply. */
 final class WireHost {
 
     static final int HEADER_BYTES = 16;
     static final int RECORD_BYTES = 48;
     static final int ENTRY_BYTES = 24;
-    /** Far above any batch seen, far below what an array can hold. */
+    /** Far larger than any batch in use, and far below the max size of an array. */
     private static final long MAX_FRAME_BYTES = 1L << 29;
     private static final int LISTS = 16;
     private static final int MAX_REPORT_VALUES = 4;
@@ -32,7 +32,7 @@
     private final ReplyWriter reply = new ReplyWriter();
     /** Looked up by number only, never iterated. */
     private final Map<Integer, Hosted> instances = new HashMap<>();
-    /** Upstream lists belong to the process: the same text for every instance that refers to it. */
+    /** Upstream lists, shared by all instances that refer to them. */
     private final List<List<Upstream>> lists = new ArrayList<>();
     private double clock = Double.NEGATIVE_INFINITY;
     private long frame;
@@ -40,7 +40,7 @@
     private byte[] body;
     private int tailAt;
 
-    /** An instance with the settings against which its events are checked. */
+    /** An instance and the settings that its events are checked against. */
     private record Hosted(LoadBalancer balancer, Settings settings) { }
 
     WireHost(Function<LoadBalancer.Actions, LoadBalancer> factory) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Serves until the input ends between two frames. */
+    /** Serves until the input ends, which must be between two frames. */
     void serve(InputStream in, OutputStream out) throws IOException {
         byte[] header = in.readNBytes(HEADER_BYTES);
         while (header.length > 0) {
@@ -92,8 +92,8 @@
         }
     }
 
-    private MalformedInputException malformed(String what) {
-        return new MalformedInputException("frame " + frame + ": " + what);
+    private MalformedInputException malformed(String problem) {
+        return new MalformedInputException("frame " + frame + ": " + problem);
     }
 
     private void handleEvent(int at) {
@@ -123,7 +123,7 @@
         decide(instance, event);
     }
 
-    /** Runs one event's decisions; a failure of the decision code is reported, never swallowed. */
+    /** Runs the decisions of one event; a failure of the decision code is reported in the reply. */
     private void decide(int instance, Runnable event) {
         reply.select(instance);
         try {
@@ -144,7 +144,7 @@
         decide(instance, () -> balancer.start(now, settings, seed));
     }
 
-    /** Checks an event's fields and binds them to the call that it stands for. */
+    /** Validates an event's fields and returns the call for it. */
     private Runnable decode(int code, int at, Hosted hosted) {
         LoadBalancer balancer = hosted.balancer();
         double now = clock;
@@ -157,8 +157,8 @@
             case 3:
                 long streamed = LittleEndian.getLong(body, at + 5);
                 int attempt = LittleEndian.getShort(body, at + 13);
-                double begun = number(at + 21, "elapsed");
-                return () -> balancer.streamStarted(now, streamed, attempt, begun);
+                double elapsedToStream = number(at + 21, "elapsed");
+                return () -> balancer.streamStarted(now, streamed, attempt, elapsedToStream);
             case 4:
                 Outcome outcome = readOutcome(at);
                 return () -> balancer.attemptFinished(now, outcome);
@@ -281,15 +281,15 @@
         return report;
     }
 
-    private double number(int at, String what) {
+    private double number(int at, String fieldName) {
         double value = LittleEndian.getDouble(body, at);
         if (!Double.isFinite(value)) {
-            throw new MalformedInputException(what + " " + value);
+            throw new MalformedInputException(fieldName + " " + value);
         }
         return value;
     }
 
-    /** Where a tail field's content begins in the body, once it is known to lie inside. */
+    /** Returns the offset of a tail field's content in the body, after a check that it lies inside. */
     private int tailOffset(int at, int unit) {
         long offset = LittleEndian.getUnsignedInt(body, at);
         long bytes = LittleEndian.getUnsignedInt(body, at + 4) * unit;
--- a/src/test/java/cranedeal/Bench.java
+++ b/src/test/java/cranedeal/Bench.java
@@ -15,16 +15,16 @@
 import cranedeal.LoadBalancer.Result;
 import cranedeal.LoadBalancer.Settings;
 
-/** One instance in virtual time: hands it events, keeps its actions, rings its timers. */
+/** A host for one instance in virtual time: passes events to it, records its actions and runs its timers. */
 final class Bench implements LoadBalancer.Actions {
 
     record Sent(long request, int attempt, long upstream, double timeout, double at) { }
 
-    private record Alarm(double at, long order, long token) { }
+    private record Timer(double at, long order, long token) { }
 
     final List<Sent> sends = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
-    /** The advice of the last refusal on when to return. */
+    /** Retry-after of the last refusal. */
     double retryAfter;
     final List<Long> failed = new ArrayList<>();
     final List<Sent> cancelled = new ArrayList<>();
@@ -37,9 +37,9 @@
     private Settings settings;
     private final LoadBalancer balancer;
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<Alarm> alarms =
-            new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
-    long alarmsSet;
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::order));
+    long timersSet;
 
     Bench(Settings settings, long seed) {
         this.settings = settings;
@@ -47,8 +47,8 @@
         balancer.start(now, settings, seed);
     }
 
-    /** What it has learnt becomes the opinion of another instance, some time later. */
-    void learnFrom(Bench earlier, double age) {
+    /** Restores the warm-start state of another instance, saved {@code age} ms ago. */
+    void restoreFrom(Bench earlier, double age) {
         balancer.restoreWarmState(now, earlier.balancer.warmState(earlier.now), age);
     }
 
@@ -56,20 +56,20 @@
         balancer.upstreamsChanged(now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
     }
 
-    void ban(long upstream, boolean banned) {
-        balancer.upstreamDisabled(now, upstream, banned);
+    void disable(long upstream, boolean disabled) {
+        balancer.upstreamDisabled(now, upstream, disabled);
     }
 
-    void retune(Settings replaced) {
-        settings = replaced;
-        balancer.settingsChanged(now, replaced);
+    void changeSettings(Settings changed) {
+        settings = changed;
+        balancer.settingsChanged(now, changed);
     }
 
-    LoadBalancer.DecisionStats work() {
+    LoadBalancer.DecisionStats stats() {
         return balancer.stats();
     }
 
-    int avoided() {
+    int excludedUpstreams() {
         return balancer.excludedUpstreams();
     }
 
@@ -86,7 +86,7 @@
         balancer.request(now, new Request(id, serviceClass, 0, key, deadline, cost, false, false));
     }
 
-    /** A request with a key and its class's whole deadline. */
+    /** Sends a request with a key and the full deadline of its class. */
     void keyed(long id, int serviceClass, long key) {
         request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0, key);
     }
@@ -95,7 +95,7 @@
         finishAfter(sent, result, now - sent.at());
     }
 
-    /** An outcome whose host has not yet heard that the request is over. */
+    /** Reports an outcome before the host knows that the request is over. */
     void finishUnclosed(Sent sent, Result result) {
         balancer.attemptFinished(now, new Outcome(sent.request(), sent.attempt(), sent.upstream(), result,
                 false, now - sent.at(), null));
@@ -107,7 +107,8 @@
 
     void finishAfter(Sent sent, Result result, double elapsed) {
         if (!finished.add(sent)) {
-            throw new AssertionError("a second outcome for " + sent + ": no attempt and no answer followed");
+            throw new AssertionError("second outcome for " + sent + ": the first led neither to a new attempt"
+                    + " nor to an answer");
         }
         if (result == Result.OK) {
             open.remove(sent.request());
@@ -116,8 +117,8 @@
                 !open.contains(sent.request()), elapsed, null));
     }
 
-    /** A request whose body is still to come, with the whole deadline of its class. */
-    void begin(long id, int serviceClass) {
+    /** Starts a request whose body is still arriving, with the full deadline of its class. */
+    void startRequest(long id, int serviceClass) {
         open.add(id);
         balancer.requestStarted(now, new Request(id, serviceClass, 0, id,
                 now + settings.classes().get(serviceClass).deadline(), 0, false, false));
@@ -136,11 +137,11 @@
         balancer.clientGone(now, id);
     }
 
-    /** Moves the clock on, ringing what falls due on the way. */
+    /** Advances the clock and runs the timers that expire. */
     void advance(double ms) {
         double until = now + ms;
-        while (!alarms.isEmpty() && alarms.peek().at() <= until) {
-            Alarm alarm = alarms.poll();
+        while (!timers.isEmpty() && timers.peek().at() <= until) {
+            Timer alarm = timers.poll();
             now = Math.max(now, alarm.at());
             balancer.timer(now, alarm.token());
         }
@@ -185,7 +186,7 @@
 
     @Override
     public void setTimer(long token, double at) {
-        alarms.add(new Alarm(at, alarmsSet++, token));
+        timers.add(new Timer(at, timersSet++, token));
     }
 
     @Override
@@ -200,7 +201,7 @@
 
     @Override
     public void probe(long upstream) {
-        throw new AssertionError("no site of these tests allows probes");
+        throw new AssertionError("these tests use no site with probes");
     }
 
     @Override
@@ -210,11 +211,11 @@
 
     @Override
     public void sendToPeer(int peer, byte[] payload) {
-        throw new AssertionError("no site of these tests has peers");
+        throw new AssertionError("these tests use no site with peers");
     }
 
     @Override
     public void log(String text) {
-        // Log lines decide nothing.
+        // Log lines are not checked.
     }
 }
--- a/src/test/java/cranedeal/CapacityPageTest.java
+++ b/src/test/java/cranedeal/CapacityPageTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The figures of the page on capacity are those of the runs. Each row of its table of slopes names a series
- * and a place in it, the command, the file, and what stands there, rounded to what is printed.
+ * Checks that the numbers on the capacity page are those of the runs. Each row of its table of slopes names a
+ * series and a place in it, the command, the file, and the value found there, rounded as printed.
  */
 class CapacityPageTest {
 
@@ -36,11 +36,11 @@
     private static final List<String> HEADER =
             List.of("slope", "command", "file", "value", "unit", "basis");
     private static final Pattern PLACE = Pattern.compile("`(/[^`]+)`");
-    private static final int LEAST_DIGITS = 2;
+    private static final int MIN_DIGITS = 2;
     private static final String NOT_STRAIGHT = "not straight";
     private static final String NOR_ITS_PIECES = "nor its pieces";
 
-    private static final String GOOD = """
+    private static final String GOOD_PAGE = """
             # Capacity
             ## Slopes, measured
             Some words.
@@ -65,10 +65,10 @@
             """;
 
     @Test
-    void thePageSaysWhatWasMeasured() throws IOException {
+    void thePageMatchesTheMeasurements() throws IOException {
         Map<String, JsonNode> files = new TreeMap<>();
         try (Stream<Path> all = Files.list(SLOPES)) {
-            for (Path file : all.filter(one -> one.toString().endsWith(".json")).toList()) {
+            for (Path file : all.filter(path -> path.toString().endsWith(".json")).toList()) {
                 files.put("slopes/" + file.getFileName(), JSON.readTree(file.toFile()));
             }
         }
@@ -77,8 +77,8 @@
     }
 
     @Test
-    void aPageThatAgreesIsFine() throws IOException {
-        assertEquals(List.of(), complaints(GOOD, Map.of("slopes/x.json", JSON.readTree(FILE))));
+    void aMatchingPageIsAccepted() throws IOException {
+        assertEquals(List.of(), complaints(GOOD_PAGE, Map.of("slopes/x.json", JSON.readTree(FILE))));
     }
 
     @ParameterizedTest
@@ -101,26 +101,26 @@
         "| simulated |;| simulated | more |;has 7 cells",
         "| basis |;| grounds |;has another header",
         "## Slopes, measured;## Slopes;has no section"})
-    void aPageThatDisagreesIsNot(String from, String to, String complaint) throws IOException {
-        assertFalse(GOOD.replace(from, to == null ? "" : to).equals(GOOD), "nothing was changed");
-        List<String> found = complaints(GOOD.replace(from, to == null ? "" : to),
+    void aDifferingPageIsRejected(String from, String to, String complaint) throws IOException {
+        assertFalse(GOOD_PAGE.replace(from, to == null ? "" : to).equals(GOOD_PAGE), "nothing was changed");
+        List<String> found = complaints(GOOD_PAGE.replace(from, to == null ? "" : to),
                 Map.of("slopes/x.json", JSON.readTree(FILE)));
-        assertFalse(found.stream().noneMatch(one -> one.contains(complaint)), found.toString());
+        assertFalse(found.stream().noneMatch(message -> message.contains(complaint)), found.toString());
     }
 
     @Test
-    void piecesThatAreNotStraightEitherAreCalledSo() throws IOException {
+    void piecesThatAreNotStraightMustBeLabelledSo() throws IOException {
         JsonNode file = JSON.readTree(FILE.replace("\"cut_straight\":true", "\"cut_straight\":false"));
-        assertEquals(1, complaints(GOOD, Map.of("slopes/x.json", file)).size());
-        String said = GOOD.replace("| not straight `", "| not straight, nor its pieces `");
+        assertEquals(1, complaints(GOOD_PAGE, Map.of("slopes/x.json", file)).size());
+        String said = GOOD_PAGE.replace("| not straight `", "| not straight, nor its pieces `");
         assertEquals(List.of(), complaints(said, Map.of("slopes/x.json", file)));
     }
 
     @Test
-    void aFileThatNobodyNamesIsMissed() throws IOException {
+    void aFileMissingFromThePageIsReported() throws IOException {
         JsonNode file = JSON.readTree(FILE);
         assertEquals(List.of("slopes/z.json is not on the page"),
-                complaints(GOOD, Map.of("slopes/x.json", file, "slopes/z.json", file)));
+                complaints(GOOD_PAGE, Map.of("slopes/x.json", file, "slopes/z.json", file)));
     }
 
     private static List<String> complaints(String page, Map<String, JsonNode> files) {
@@ -142,7 +142,7 @@
                 complaints.add(line + " has " + cells.size() + " cells");
             } else {
                 named.add(cells.get(2));
-                row(cells, files.get(cells.get(2)), complaints);
+                checkRow(cells, files.get(cells.get(2)), complaints);
             }
         }
         if (!headed) {
@@ -158,7 +158,7 @@
                 .takeWhile(line -> !line.startsWith("## ")).toList();
     }
 
-    private static void row(List<String> cells, JsonNode file, List<String> complaints) {
+    private static void checkRow(List<String> cells, JsonNode file, List<String> complaints) {
         String slope = "'" + cells.get(0) + "' ";
         Matcher place = PLACE.matcher(cells.get(0));
         if (file == null) {
@@ -169,11 +169,11 @@
             if (!cells.get(1).equals("`" + file.path("command").asText() + "`")) {
                 complaints.add(slope + "has another command than the file: " + file.path("command"));
             }
-            figure(slope, place.group(1), cells, file.path("series"), complaints);
+            checkNumber(slope, place.group(1), cells, file.path("series"), complaints);
         }
     }
 
-    private static void figure(String slope, String place, List<String> cells, JsonNode all,
+    private static void checkNumber(String slope, String place, List<String> cells, JsonNode all,
             List<String> complaints) {
         JsonNode number = all.at(place);
         String name = place.substring(1).replaceAll("/.*", "");
@@ -215,8 +215,8 @@
         }
         if (value.compareTo(number.setScale(value.scale(), RoundingMode.HALF_UP)) != 0) {
             complaints.add(says + ", and the file " + number);
-        } else if (value.compareTo(number) != 0 && value.precision() < LEAST_DIGITS) {
-            complaints.add(says + ": fewer than " + LEAST_DIGITS + " digits of " + number);
+        } else if (value.compareTo(number) != 0 && value.precision() < MIN_DIGITS) {
+            complaints.add(says + ": fewer than " + MIN_DIGITS + " digits of " + number);
         }
     }
 }
--- a/src/test/java/cranedeal/ColdFleet.java
+++ b/src/test/java/cranedeal/ColdFleet.java
@@ -17,78 +17,80 @@
 import java.util.function.Consumer;
 
 /**
- * Many balancers, each the real module, before the same servers in virtual time. Some of the servers start
- * anew and are cold; what all balancers together send to each of them is counted in every window.
+ * Simulates many balancers, each running the real decision code, and their shared servers in virtual time.
+ * Some of the servers restart and are cold; the calls of all balancers to each cold server are counted over
+ * sliding windows.
  */
 final class ColdFleet {
 
-    /** Ms of steady traffic before servers start anew. */
-    private static final double BEFORE = 15_000;
-    private static final double AFTER = 12_000;
+    /** Ms of steady traffic before servers restart. */
+    private static final double STEADY_MS = 15_000;
+    private static final double MEASURED_MS = 12_000;
     private static final int CORES = 4;
-    /** Requests that a server holds, in service and waiting. */
-    private static final int HOLDS = 40;
-    private static final double TRIP = 1;
-    /** Ms within which all balancers are told of the start. */
-    private static final double TOLD_WITHIN = 300;
-    private static final int TRIES = 4;
-    private static final double RETURN_SHARE = 0.8;
+    /** Max requests at a server, in service and queued. */
+    private static final int MAX_HELD = 40;
+    private static final double NETWORK_MS = 1;
+    /** Ms within which all balancers are notified of the restart. */
+    private static final double MAX_NOTICE_MS = 300;
+    private static final int MAX_TRIES = 4;
+    private static final double REPEAT_SHARE = 0.8;
 
     /**
-     * What happens.
+     * A scenario.
      *
-     * @param perBalancer requests a second of a balancer in the mean
-     * @param load steady traffic over the capacity of all servers when warm
-     * @param cold how many of the servers start anew
-     * @param burst times the traffic during the burst
-     * @param burstAfter ms from the start of the cold servers to that of the burst
-     * @param lost share of the warm servers that are lost for the time of the burst
-     * @param loss how: they can't be reached and the list doesn't tell, or it lists them as draining
-     * @param start whether the list tells of the start, or operators put the servers back and it doesn't
-     * @param heaviest times the mean traffic that one balancer has
-     * @param repeats whether clients come again after a refusal or failure, and whether they mark that
+     * @param perBalancer mean requests per second of a balancer
+     * @param load steady traffic divided by the capacity of all warm servers
+     * @param cold number of servers that restart
+     * @param burst factor on the traffic during the burst
+     * @param burstAfter ms from the restart to the burst
+     * @param lost share of the warm servers that are lost during the burst
+     * @param loss how they are lost: unreachable and still listed, or listed as draining
+     * @param heaviest traffic of the busiest balancer, as a multiple of the mean
+     * @param repeats whether clients retry after a refusal or failure, and whether they mark retries
+     * @param start whether the list reports the restart, or operators enable the servers again and it
+     *     does not
      */
-    record Case(String name, int balancers, int servers, double perBalancer, double load, int cold,
+    record Scenario(String name, int balancers, int servers, double perBalancer, double load, int cold,
             double burst, double burstAfter, double lost, Loss loss, double heaviest, Repeats repeats,
             Start start) {
 
-        Case named(String newName) {
-            return new Case(newName, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
+        Scenario named(String newName) {
+            return new Scenario(newName, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
                     loss, heaviest, repeats, start);
         }
 
-        Case with(Start how) {
-            return new Case(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
+        Scenario with(Start how) {
+            return new Scenario(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
                     loss, heaviest, repeats, how);
         }
 
-        Case with(Repeats how) {
-            return new Case(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
+        Scenario with(Repeats how) {
+            return new Scenario(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
                     loss, heaviest, how, start);
         }
 
-        Case rate(double mean) {
-            return new Case(name, balancers, servers, mean, load, cold, burst, burstAfter, lost,
+        Scenario rate(double mean) {
+            return new Scenario(name, balancers, servers, mean, load, cold, burst, burstAfter, lost,
                     loss, heaviest, repeats, start);
         }
 
-        Case cold(int count) {
-            return new Case(name, balancers, servers, perBalancer, load, count, burst, burstAfter, lost,
+        Scenario cold(int count) {
+            return new Scenario(name, balancers, servers, perBalancer, load, count, burst, burstAfter, lost,
                     loss, heaviest, repeats, start);
         }
 
-        Case heaviest(double times) {
-            return new Case(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
+        Scenario heaviest(double times) {
+            return new Scenario(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, lost,
                     loss, times, repeats, start);
         }
 
-        Case burst(double times, double after) {
-            return new Case(name, balancers, servers, perBalancer, load, cold, times, after, lost,
+        Scenario burst(double times, double after) {
+            return new Scenario(name, balancers, servers, perBalancer, load, cold, times, after, lost,
                     loss, heaviest, repeats, start);
         }
 
-        Case lose(double part, Loss how) {
-            return new Case(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, part,
+        Scenario lose(double part, Loss how) {
+            return new Scenario(name, balancers, servers, perBalancer, load, cold, burst, burstAfter, part,
                     how, heaviest, repeats, start);
         }
     }
@@ -100,19 +102,20 @@
     enum Start { LISTED, PUT_BACK }
 
     /**
-     * What was seen.
+     * Results of a run.
      *
-     * @param worst most sent to a cold server in a window, over what it may get
-     * @param most that count
-     * @param allowed that bound
-     * @param share calls to cold servers over their capacity's share of the requests, while cold
-     * @param served share of the first tries that were served in time, or a repeat of them
+     * @param worstRatio max calls to a cold server in a window, divided by the allowed number
+     * @param worstCount number of calls in that window
+     * @param allowed allowed number of calls in that window
+     * @param coldShare calls to cold servers divided by their share of the requests by capacity
+     * @param servedShare share of the first tries that were served in time, or of which a retry was
      */
-    record Seen(double worst, int most, double allowed, double share, double served) { }
+    record Observed(double worstRatio, int worstCount, double allowed, double coldShare,
+            double servedShare) { }
 
     private record Event(double at, long order, Runnable action) { }
 
-    private final Case its;
+    private final Scenario scenario;
     private final SplittableRandom random;
     private final Settings settings;
     private final PriorityQueue<Event> events =
@@ -120,8 +123,8 @@
     private final List<Machine> machines = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     private final double startAt = 100_000;
-    private final double coldAt = startAt + BEFORE;
-    private final double end = coldAt + AFTER;
+    private final double coldAt = startAt + STEADY_MS;
+    private final double end = coldAt + MEASURED_MS;
     private final double capacityPerMs;
     private double now = startAt;
     private long order;
@@ -130,88 +133,90 @@
     private int answered;
     private int toCold;
     private double coldShare;
-    private Seen seen = new Seen(0, 0, 0, 0, 0);
+    private Observed observed = new Observed(0, 0, 0, 0, 0);
 
-    private ColdFleet(Case its, long seed) {
-        this.its = its;
+    private ColdFleet(Scenario scenario, long seed) {
+        this.scenario = scenario;
         random = new SplittableRandom(seed);
-        settings = site(0, its);
-        capacityPerMs = its.balancers() * its.perBalancer() / 1_000 / its.load() / its.servers();
-        for (int i = 0; i < its.servers(); i++) {
+        settings = site(0, scenario);
+        capacityPerMs = scenario.balancers() * scenario.perBalancer() / 1_000 / scenario.load()
+                / scenario.servers();
+        for (int i = 0; i < scenario.servers(); i++) {
             machines.add(new Machine(i + 1));
         }
-        for (int i = 0; i < its.balancers(); i++) {
+        for (int i = 0; i < scenario.balancers(); i++) {
             nodes.add(new Node(i, seed * 1_000 + i));
         }
     }
 
-    private static Settings site(int position, Case its) {
-        return Sites.plain().siblings(its.balancers()).position(position)
-                .retriesMarked(its.repeats() == Repeats.MARKED).startCapacity(0.15).build();
+    private static Settings site(int position, Scenario scenario) {
+        return Sites.plain().siblings(scenario.balancers()).position(position)
+                .retriesMarked(scenario.repeats() == Repeats.MARKED).startCapacity(0.15).build();
     }
 
-    static Seen play(Case its, long seed) {
-        return new ColdFleet(its, seed).play();
+    static Observed run(Scenario scenario, long seed) {
+        return new ColdFleet(scenario, seed).run();
     }
 
-    private Seen play() {
+    private Observed run() {
         nodes.forEach(node -> node.list(Change.CACHED));
-        double rest = its.balancers() == 1 ? 1
-                : (its.balancers() - its.heaviest()) / (its.balancers() - 1);
+        double otherTraffic = scenario.balancers() == 1 ? 1
+                : (scenario.balancers() - scenario.heaviest()) / (scenario.balancers() - 1);
         for (Node node : nodes) {
-            double part = node.position == 0 ? its.heaviest() : rest;
-            node.perMs = its.perBalancer() / 1_000 * part;
-            at(now + random.nextDouble() / node.perMs, node::arrive);
+            double part = node.position == 0 ? scenario.heaviest() : otherTraffic;
+            node.perMs = scenario.perBalancer() / 1_000 * part;
+            schedule(now + random.nextDouble() / node.perMs, node::arrive);
         }
-        at(coldAt, this::restart);
-        if (its.start() == Start.PUT_BACK) {
-            at(coldAt - 3_000, () -> tellAll(node -> node.ban(true)));
+        schedule(coldAt, this::restart);
+        if (scenario.start() == Start.PUT_BACK) {
+            schedule(coldAt - 3_000, () -> notifyAll(node -> node.disable(true)));
         }
-        if (its.loss() == Loss.DRAINING) {
-            at(coldAt + its.burstAfter(), this::drain);
+        if (scenario.loss() == Loss.DRAINING) {
+            schedule(coldAt + scenario.burstAfter(), this::drain);
         }
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event event = events.poll();
             now = Math.max(now, event.at());
             event.action().run();
         }
-        return new Seen(seen.worst(), seen.most(), seen.allowed(), toCold / Math.max(1, coldShare),
-                (double) answered / Math.max(1, asked));
+        return new Observed(observed.worstRatio(), observed.worstCount(), observed.allowed(),
+                toCold / Math.max(1, coldShare), (double) answered / Math.max(1, asked));
     }
 
     private void restart() {
-        for (Machine machine : machines.subList(0, its.cold())) {
+        for (Machine machine : machines.subList(0, scenario.cold())) {
             machine.startedAt = now;
-            if (its.start() == Start.LISTED) {
+            if (scenario.start() == Start.LISTED) {
                 machine.listed.startedAt(now);
             }
         }
-        tellAll(node -> {
+        notifyAll(node -> {
             node.list(Change.FULL);
-            if (its.start() == Start.PUT_BACK) {
-                node.ban(false);
+            if (scenario.start() == Start.PUT_BACK) {
+                node.disable(false);
             }
         });
     }
 
     private void drain() {
         machines.stream().filter(this::isLost).forEach(machine -> machine.listed.state(State.DRAINING));
-        tellAll(node -> node.list(Change.FULL));
+        notifyAll(node -> node.list(Change.FULL));
     }
 
     private boolean isLost(Machine machine) {
-        return machine.id > its.servers() - its.lost() * (its.servers() - its.cold());
+        return machine.id > scenario.servers() - scenario.lost() * (scenario.servers() - scenario.cold());
     }
 
-    private void tellAll(Consumer<Node> news) {
-        nodes.forEach(node -> at(now + random.nextDouble() * TOLD_WITHIN, () -> news.accept(node)));
+    private void notifyAll(Consumer<Node> notification) {
+        nodes.forEach(node -> schedule(now + random.nextDouble() * MAX_NOTICE_MS,
+                () -> notification.accept(node)));
     }
 
     private boolean inBurst() {
-        return now >= coldAt + its.burstAfter() && now < coldAt + its.burstAfter() + 4_000;
+        return now >= coldAt + scenario.burstAfter() && now < coldAt + scenario.burstAfter() + 4_000;
     }
 
-    private void at(double time, Runnable action) {
+    private void schedule(double time, Runnable action) {
         events.add(new Event(time, order++, action));
     }
 
@@ -224,7 +229,7 @@
         private final Sites.Server listed;
         private final double[] free = new double[CORES];
         private double startedAt;
-        private int held;
+        private int inProgress;
         private final ArrayDeque<Double> window = new ArrayDeque<>();
 
         Machine(long id) {
@@ -233,9 +238,10 @@
         }
 
         double warmth(double time) {
-            double from = settings.rules().startCapacity();
+            double startCapacity = settings.rules().startCapacity();
             double age = Math.max(0, time - startedAt);
-            return startedAt == 0 ? 1 : Math.min(1, from + (1 - from) * age / settings.rules().warmUp());
+            return startedAt == 0 ? 1 : Math.min(1, startCapacity
+                    + (1 - startCapacity) * age / settings.rules().warmUp());
         }
 
         void count() {
@@ -243,29 +249,29 @@
                 return;
             }
             toCold++;
-            double span = settings.rules().fallAfter();
+            double span = settings.rules().overloadWindow();
             window.addLast(now);
             while (window.peekFirst() <= now - span) {
                 window.removeFirst();
             }
-            // Of the capacities in the window the least counts.
-            double n = settings.rules().fallMultiple() * capacityPerMs * span
+            // The lowest capacity in the window counts.
+            double n = settings.rules().overloadFactor() * capacityPerMs * span
                     * warmth(Math.max(startedAt, now - span));
             double allowed = n + 2 * Math.sqrt(n) + 2;
-            if (window.size() / allowed > seen.worst()) {
-                seen = new Seen(window.size() / allowed, window.size(), allowed, 0, 0);
+            if (window.size() / allowed > observed.worstRatio()) {
+                observed = new Observed(window.size() / allowed, window.size(), allowed, 0, 0);
             }
         }
 
-        /** Serves a request or turns it away, and tells when and how. */
+        /** Serves or rejects a request; returns the result, and its duration in {@code takes[0]}. */
         Result take(double[] takes) {
             count();
-            if (its.loss() == Loss.UNREACHABLE && isLost(this) && inBurst()) {
+            if (scenario.loss() == Loss.UNREACHABLE && isLost(this) && inBurst()) {
                 takes[0] = settings.limits().connectTimeout();
                 return Result.CONNECT_FAILED;
             }
-            if (held >= HOLDS) {
-                takes[0] = TRIP;
+            if (inProgress >= MAX_HELD) {
+                takes[0] = NETWORK_MS;
                 return Result.FULL;
             }
             int core = 0;
@@ -273,11 +279,11 @@
                 core = free[i] < free[core] ? i : core;
             }
             double work = (0.5 + 0.5 * exponential()) * CORES / (capacityPerMs * warmth(now));
-            // Smaller than a real server's queue would make it, so that latencies stay far below the aim.
+            // Shorter than with a real server's queue, so that latencies stay far below the aim.
             free[core] = Math.max(now, free[core]) + work;
-            held++;
-            at(free[core], () -> held--);
-            takes[0] = free[core] - now + TRIP;
+            inProgress++;
+            schedule(free[core], () -> inProgress--);
+            takes[0] = free[core] - now + NETWORK_MS;
             return Result.OK;
         }
     }
@@ -291,7 +297,7 @@
 
         Node(int position, long seed) {
             this.position = position;
-            balancer.start(now, site(position, its), seed);
+            balancer.start(now, site(position, scenario), seed);
         }
 
         void list(Change change) {
@@ -299,18 +305,18 @@
                     machines.stream().map(machine -> machine.listed.listed()).toList());
         }
 
-        void ban(boolean banned) {
-            machines.subList(0, its.cold()).forEach(machine ->
-                    balancer.upstreamDisabled(now, machine.id, banned));
+        void disable(boolean disabled) {
+            machines.subList(0, scenario.cold()).forEach(machine ->
+                    balancer.upstreamDisabled(now, machine.id, disabled));
         }
 
         void arrive() {
-            double rate = perMs * (inBurst() ? its.burst() : 1);
-            at(now + exponential() / rate, this::arrive);
+            double rate = perMs * (inBurst() ? scenario.burst() : 1);
+            schedule(now + exponential() / rate, this::arrive);
             if (now >= coldAt) {
                 asked++;
                 double warm = machines.stream().mapToDouble(machine -> machine.warmth(now)).sum();
-                coldShare += machines.subList(0, its.cold()).stream().mapToDouble(machine ->
+                coldShare += machines.subList(0, scenario.cold()).stream().mapToDouble(machine ->
                         machine.warmth(now) < 1 ? machine.warmth(now) : 0).sum() / warm;
             }
             ask(1);
@@ -320,7 +326,7 @@
             long id = ids++;
             tries.put(id, attempt);
             attempts.put(id, 0);
-            boolean marked = attempt > 1 && its.repeats() == Repeats.MARKED;
+            boolean marked = attempt > 1 && scenario.repeats() == Repeats.MARKED;
             balancer.request(now, new Request(id, random.nextInt(2), 0, id, now + Sites.DEADLINE, 0, marked,
                     false));
         }
@@ -328,9 +334,10 @@
         private void unserved(long id, double wait) {
             Integer attempt = tries.remove(id);
             attempts.remove(id);
-            if (attempt != null && its.repeats() != Repeats.NONE && attempt < TRIES
-                    && random.nextDouble() < RETURN_SHARE) {
-                at(now + Math.max(wait, 100 * attempt * (0.5 + random.nextDouble())), () -> ask(attempt + 1));
+            if (attempt != null && scenario.repeats() != Repeats.NONE && attempt < MAX_TRIES
+                    && random.nextDouble() < REPEAT_SHARE) {
+                schedule(now + Math.max(wait, 100 * attempt * (0.5 + random.nextDouble())),
+                        () -> ask(attempt + 1));
             }
         }
 
@@ -340,17 +347,17 @@
             double[] takes = new double[1];
             Result result = machines.get((int) upstream - 1).take(takes);
             double sentAt = now;
-            double most = timeout > 0 ? Math.min(timeout, Sites.DEADLINE) : Sites.DEADLINE;
-            Result ends = takes[0] > most ? Result.TIMEOUT : result;
-            at(now + Math.min(takes[0], most), () -> {
+            double limit = timeout > 0 ? Math.min(timeout, Sites.DEADLINE) : Sites.DEADLINE;
+            Result endsWith = takes[0] > limit ? Result.TIMEOUT : result;
+            schedule(now + Math.min(takes[0], limit), () -> {
                 boolean open = attempts.containsKey(id);
-                if (ends == Result.OK && open) {
+                if (endsWith == Result.OK && open) {
                     answered += sentAt >= coldAt ? 1 : 0;
                     attempts.remove(id);
                     tries.remove(id);
                     open = false;
                 }
-                balancer.attemptFinished(now, new Outcome(id, number, upstream, ends, !open, now - sentAt,
+                balancer.attemptFinished(now, new Outcome(id, number, upstream, endsWith, !open, now - sentAt,
                         null));
             });
         }
@@ -367,27 +374,27 @@
 
         @Override
         public void setTimer(long token, double time) {
-            at(time, () -> balancer.timer(now, token));
+            schedule(time, () -> balancer.timer(now, token));
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            throw new AssertionError("nothing is sent in two copies, and no client leaves");
+            throw new AssertionError("nothing is hedged, and no client disconnects");
         }
 
         @Override
         public void closeIdle(long upstream) {
-            // No connection is kept here.
+            // No connections are simulated.
         }
 
         @Override
         public void watch(boolean on) {
-            throw new AssertionError("lists are pushed here");
+            throw new AssertionError("lists are pushed in this simulation");
         }
 
         @Override
         public void probe(long upstream) {
-            throw new AssertionError("no site of these tests allows probes");
+            throw new AssertionError("these tests use no site with probes");
         }
 
         @Override
@@ -397,12 +404,12 @@
 
         @Override
         public void sendToPeer(int peer, byte[] payload) {
-            throw new AssertionError("no site of these tests has peers");
+            throw new AssertionError("these tests use no site with peers");
         }
 
         @Override
         public void log(String text) {
-            // Log lines decide nothing.
+            // Log lines are not checked.
         }
     }
 }
--- a/src/test/java/cranedeal/ColdFleetBenchmark.java
+++ b/src/test/java/cranedeal/ColdFleetBenchmark.java
@@ -1,17 +1,17 @@
 package cranedeal;
 
-import cranedeal.ColdFleet.Case;
+import cranedeal.ColdFleet.Scenario;
 import cranedeal.ColdFleet.Loss;
 import cranedeal.ColdFleet.Repeats;
-import cranedeal.ColdFleet.Seen;
+import cranedeal.ColdFleet.Observed;
 import cranedeal.ColdFleet.Start;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
 /**
- * What fleets of 4 to 100 balancers send to servers that are cold, beside what these may get, in virtual
- * time. Run by hand; prints the worst of a few seeds of each case.
+ * Compares in virtual time what fleets of 4 to 100 balancers send to cold servers with the allowed number.
+ * Run by hand; prints the worst window of each seed of a scenario.
  */
 final class ColdFleetBenchmark {
 
@@ -20,14 +20,14 @@
     private ColdFleetBenchmark() {
     }
 
-    /** The cases of a fleet; servers as many as half of its balancers, at least eight. */
-    static List<Case> cases(int balancers) {
+    /** Returns the scenarios of a fleet, with half as many servers as balancers and at least eight. */
+    static List<Scenario> cases(int balancers) {
         int servers = Math.max(8, balancers / 2);
         int fifth = servers / 5;
         double rate = balancers < 16 ? 40 : 10;
-        Case plain = new Case("steady", balancers, servers, rate, 0.55, fifth, 1, 0, 0, Loss.UNREACHABLE, 1,
-                Repeats.MARKED, Start.LISTED);
-        List<Case> cases = new ArrayList<>();
+        Scenario plain = new Scenario("steady", balancers, servers, rate, 0.55, fifth, 1, 0, 0,
+                Loss.UNREACHABLE, 1, Repeats.MARKED, Start.LISTED);
+        List<Scenario> cases = new ArrayList<>();
         cases.add(plain);
         cases.add(plain.named("put back").with(Start.PUT_BACK));
         cases.add(plain.named("put back, thin").with(Start.PUT_BACK).rate(rate / 3));
@@ -58,20 +58,21 @@
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 3;
         for (int balancers : FLEETS) {
-            for (Case its : cases(balancers)) {
-                StringBuilder most = new StringBuilder();
+            for (Scenario scenario : cases(balancers)) {
+                StringBuilder worstWindows = new StringBuilder();
                 double share = 0;
                 double served = 0;
                 double worst = 0;
                 for (int seed = 1; seed <= seeds; seed++) {
-                    Seen seen = ColdFleet.play(its, seed);
-                    most.append(String.format(Locale.ROOT, " %d/%.0f", seen.most(), seen.allowed()));
-                    share += seen.share() / seeds;
-                    served += seen.served() / seeds;
-                    worst = Math.max(worst, seen.worst());
+                    Observed observed = ColdFleet.run(scenario, seed);
+                    worstWindows.append(String.format(Locale.ROOT, " %d/%.0f", observed.worstCount(),
+                            observed.allowed()));
+                    share += observed.coldShare() / seeds;
+                    served += observed.servedShare() / seeds;
+                    worst = Math.max(worst, observed.worstRatio());
                 }
                 System.out.printf(Locale.ROOT, "%3d %-24s %s worst %.2f; %.2f of its share, served %.3f%n",
-                        balancers, its.name(), most, worst, share, served);
+                        balancers, scenario.name(), worstWindows, worst, share, served);
             }
         }
     }
--- a/src/test/java/cranedeal/ColdFleetTest.java
+++ b/src/test/java/cranedeal/ColdFleetTest.java
@@ -2,15 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.ColdFleet.Case;
-import cranedeal.ColdFleet.Seen;
+import cranedeal.ColdFleet.Scenario;
+import cranedeal.ColdFleet.Observed;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /**
- * Rule 4 over all balancers: what they send together to a cold server stays within what it may get in any
- * window, N + 2 x root of N + 2, though none of them knows of the others.
+ * Rule 4 over all balancers: no cold server may receive more than N + 2 * sqrt(N) + 2 calls in any window
+ * from all balancers together, though each balancer sees only its own calls.
  */
 class ColdFleetTest {
 
@@ -35,26 +35,28 @@
     }
 
     @Test
-    void coldServersAreNotStarvedForIt() {
+    void coldServersStillGetTheirShare() {
         for (int balancers : ColdFleetBenchmark.FLEETS) {
-            Case steady = ColdFleetBenchmark.cases(balancers).get(0);
-            Seen seen = ColdFleet.play(steady, 1);
-            assertTrue(seen.share() > 0.2, balancers + " balancers: " + seen.share() + " of its share");
-            assertTrue(seen.served() > 0.97, balancers + " balancers: served " + seen.served());
+            Scenario steady = ColdFleetBenchmark.cases(balancers).get(0);
+            Observed observed = ColdFleet.run(steady, 1);
+            assertTrue(observed.coldShare() > 0.2, balancers + " balancers: " + observed.coldShare()
+                    + " of its share");
+            assertTrue(observed.servedShare() > 0.97, balancers + " balancers: served "
+                    + observed.servedShare());
         }
     }
 
-    /** Plays all cases, so that a failure tells of each that goes over. */
+    /** Runs all scenarios, so that a failure lists each that exceeds the limit. */
     private static void check(int balancers, int seeds) {
         List<String> over = new ArrayList<>();
         int sent = 0;
-        for (Case its : ColdFleetBenchmark.cases(balancers)) {
+        for (Scenario scenario : ColdFleetBenchmark.cases(balancers)) {
             for (int seed = 1; seed <= seeds; seed++) {
-                Seen seen = ColdFleet.play(its, seed);
-                sent += seen.most();
-                if (seen.worst() > 1) {
-                    over.add(String.format("%s, seed %d: %d of %.0f", its.name(), seed, seen.most(),
-                            seen.allowed()));
+                Observed observed = ColdFleet.run(scenario, seed);
+                sent += observed.worstCount();
+                if (observed.worstRatio() > 1) {
+                    over.add(String.format("%s, seed %d: %d of %.0f", scenario.name(), seed,
+                            observed.worstCount(), observed.allowed()));
                 }
             }
         }
