--- a/src/main/java/cranedeal/CostModel.java
+++ b/src/main/java/cranedeal/CostModel.java
@@ -116,8 +116,8 @@
     }
 
     /** Like the method above, for a known l without calls in flight. */
-    double weight(Server server, ClassStats c, double atRest, double now) {
-        double l = atRest * (1 + IN_FLIGHT_WEIGHT * server.inFlight.size());
+    double weight(Server server, ClassStats c, double idleCost, double now) {
+        double l = idleCost * (1 + IN_FLIGHT_WEIGHT * server.inFlight.size());
         if (!server.inFlight.isEmpty()) {
             Attempt oldest = server.inFlight.peekFirst();
             l += OVERDUE_WEIGHT * Math.max(0, now - oldest.sentAt - oldest.call.slowAfter());
--- a/src/main/java/cranedeal/LatencyWeightedBalancer.java
+++ b/src/main/java/cranedeal/LatencyWeightedBalancer.java
@@ -75,8 +75,8 @@
     private static final int MAX_WOKEN = 4;
     private static final int MAX_WOKEN_BY_LIST = 64;
     /**
-     * Max delay before the watch is retried, as a share of askEvery and in ms: an update counts as known 6 s
-     * after it was made.
+     * Max delay before the watch is retried, as a share of the registry poll interval and in ms: an update
+     * counts as known 6 s after it was made.
      */
     private static final double WATCH_RETRY_SHARE = 0.2;
     private static final double MAX_WATCH_RETRY = 1_200;
@@ -432,17 +432,17 @@
 
     /** Draws among the servers that remain allowed after the attempts that may have run. */
     private Server draw(Call call, boolean openOnly, Predicate<Server> fits, double now) {
-        ClassStats record = call.stats;
-        if (record.index < 0) {
-            return ready.drawFromAll(record, fits, random, now);
+        ClassStats stats = call.stats;
+        if (stats.index < 0) {
+            return ready.drawFromAll(stats, fits, random, now);
         }
         Attempt first = call.type.idempotency() == Idempotency.DEDUPLICATED ? call.firstMaybeRun() : null;
         if (first != null && call.type.dedupScope() == DedupScope.CELL) {
-            return ready.drawFromCell(record, first.server.listed.cell(), fits, random, now);
+            return ready.drawFromCell(stats, first.server.listed.cell(), fits, random, now);
         }
         int zone = first != null && call.type.dedupScope() == DedupScope.ZONE ? first.server.listed.zone()
                 : ReadyServers.ANY_ZONE;
-        return ready.draw(record, zone, openOnly, fits, random, now);
+        return ready.draw(stats, zone, openOnly, fits, random, now);
     }
 
     /** Returns true if a server can take a call now. */
@@ -801,7 +801,8 @@
     @Override
     public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
         if (change == Change.FAILED) {
-            double maxDelay = Math.min(MAX_WATCH_RETRY, WATCH_RETRY_SHARE * settings.rules().askEvery());
+            double maxDelay = Math.min(MAX_WATCH_RETRY,
+                    WATCH_RETRY_SHARE * settings.rules().registryPollInterval());
             actions.setTimer(WATCH_TOKEN, now + maxDelay * (1 + random.nextDouble()) / 2);
             return;
         }
--- a/src/main/java/cranedeal/LoadBalancer.java
+++ b/src/main/java/cranedeal/LoadBalancer.java
@@ -336,8 +336,8 @@
      * @param overloadWindow length of that window in ms
      * @param orderSettle ms for which a key is blocked after an attempt was abandoned that may still run
      */
-    record Rules(double answerGrace, double drainGrace, double askEvery, double startCapacity, double warmUp,
-            double overloadFactor, double overloadWindow, double orderSettle) { }
+    record Rules(double answerGrace, double drainGrace, double registryPollInterval, double startCapacity,
+            double warmUp, double overloadFactor, double overloadWindow, double orderSettle) { }
 
     /**
      * Weights of the parts of the result; a part that a site does not use has weight 0.
--- a/src/main/java/cranedeal/ReadyServers.java
+++ b/src/main/java/cranedeal/ReadyServers.java
@@ -194,9 +194,9 @@
         double warming = costs.warmupGain(server, now, now + REFRESH_MS);
         boolean grows = server.cold;
         for (ClassStats c : classes) {
-            double atRest = costs.idleCost(server, c, now);
-            grows |= atRest > MAX_DRIFT * CostModel.unknownCost(server.machineType, c) * c.latency.value();
-            classWeights[c.index] = costs.weight(server, c, atRest, now) * warming;
+            double idleCost = costs.idleCost(server, c, now);
+            grows |= idleCost > MAX_DRIFT * CostModel.unknownCost(server.machineType, c) * c.latency.value();
+            classWeights[c.index] = costs.weight(server, c, idleCost, now) * warming;
         }
         return grows;
     }
--- a/src/main/java/cranedeal/RequestQueue.java
+++ b/src/main/java/cranedeal/RequestQueue.java
@@ -40,7 +40,8 @@
     }
 
     /**
-     * Returns the first requests of each class that meet a condition, examining at most {@code most} of each.
+     * Returns the first requests of each class that meet a condition, examining at most {@code limitPerClass}
+     * of each.
      */
     List<Call> first(int limitPerClass, Predicate<Call> condition) {
         List<Call> first = new ArrayList<>();
--- a/src/main/java/cranedeal/Server.java
+++ b/src/main/java/cranedeal/Server.java
@@ -38,7 +38,7 @@
     double[] servedByClass;
     double[] attemptsByClass;
     /** Consecutive failures of each class since its last success. */
-    private int[] faultsByClass;
+    private int[] failuresByClass;
     /** True if it belongs to the subset that this instance prefers. */
     boolean preferred;
     /** Send budget while it is cold, in calls. */
@@ -85,7 +85,7 @@
         this.startedAt = startedAt;
         servedByClass = new double[classes];
         attemptsByClass = new double[classes];
-        faultsByClass = new int[classes];
+        failuresByClass = new int[classes];
         this.listed = listed;
         this.machineType = machineType;
         this.coldBudget = coldBudget;
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Restores state saved at the given time. {@code places} holds for each class its index in that state,
-     * negative for a new class.
+     * Restores state saved at the given time. {@code oldIndices} holds for each class its index in that
+     * state, negative for a new class.
      */
     void restore(LoadBalancer.WarmState.UpstreamState saved, double savedAt, int[] oldIndices) {
         latencySum = saved.latencySum();
@@ -132,7 +132,7 @@
         double[] oldTries = attemptsByClass;
         servedByClass = new double[oldIndices.length];
         attemptsByClass = new double[oldIndices.length];
-        faultsByClass = new int[oldIndices.length];
+        failuresByClass = new int[oldIndices.length];
         for (int i = 0; i < oldIndices.length; i++) {
             if (oldIndices[i] >= 0) {
                 servedByClass[i] = oldServed[oldIndices[i]];
@@ -164,24 +164,25 @@
     }
 
     /**
-     * Detects outages from served and failed calls that do not indicate overload. After {@code run}
-     * consecutive failures of a class, the earlier successes are outdated, and after the next success so are
-     * the failures: the given shares of them are kept, at each further failure and at the recovery.
+     * Detects outages from served and failed calls that do not indicate overload. After {@code
+     * outageFailures} consecutive failures of a class, the earlier successes are outdated, and after the next
+     * success so are the failures: the given shares of them are kept, at each further failure and at the
+     * recovery.
      */
     void updateOutage(int serviceClass, boolean wasServed, int outageFailures, double servedKept,
-            double brokenKept) {
+            double failedKept) {
         if (serviceClass < 0) {
             return;
         }
-        int faults = wasServed ? faultsByClass[serviceClass]
-                : Math.min(outageFailures, faultsByClass[serviceClass] + 1);
-        faultsByClass[serviceClass] = wasServed ? 0 : faults;
-        if (faults == outageFailures) {
+        int failures = wasServed ? failuresByClass[serviceClass]
+                : Math.min(outageFailures, failuresByClass[serviceClass] + 1);
+        failuresByClass[serviceClass] = wasServed ? 0 : failures;
+        if (failures == outageFailures) {
             // The sums over all classes stay, as they measure throughput and thereby the room of the server.
-            double broken = (wasServed ? brokenKept : 1)
+            double failed = (wasServed ? failedKept : 1)
                     * (attemptsByClass[serviceClass] - servedByClass[serviceClass]);
             servedByClass[serviceClass] *= wasServed ? 1 : servedKept;
-            attemptsByClass[serviceClass] = servedByClass[serviceClass] + broken;
+            attemptsByClass[serviceClass] = servedByClass[serviceClass] + failed;
         }
     }
 
@@ -207,8 +208,9 @@
      * Returns the success rate of a class, pooled with that of all classes, which is pooled with that of its
      * machine type.
      */
-    double successRate(int serviceClass, double kindPool, double classPool) {
-        double overall = (served + kindPool * machineType.served.value()) / (attempts + kindPool);
+    double successRate(int serviceClass, double machineTypePool, double classPool) {
+        double overall = (served + machineTypePool * machineType.served.value())
+                / (attempts + machineTypePool);
         if (serviceClass < 0) {
             return overall;
         }
--- a/src/main/java/cranedeal/ServerPool.java
+++ b/src/main/java/cranedeal/ServerPool.java
@@ -72,7 +72,7 @@
         if (server.cold) {
             coldCount++;
             coldStartSum += server.startedAt - origin;
-            mark(server);
+            rememberSums(server);
             updateBudget(server, now);
         }
     }
@@ -87,7 +87,7 @@
 
     /** Ends a cold server's warm-up, also when it is removed; it keeps its earnings. */
     void endCold(Server server, double now) {
-        settle(server, now);
+        creditEarnings(server, now);
         waiting.remove(server);
         server.cold = false;
         server.outOfBudget = false;
@@ -114,7 +114,7 @@
     Server nextWithBudget(double now) {
         while (!waiting.isEmpty() && waiting.first().dueAtEarned <= earned) {
             Server due = waiting.pollFirst();
-            settle(due, now);
+            creditEarnings(due, now);
             updateBudget(due, now);
             if (!due.outOfBudget) {
                 return due;
@@ -126,7 +126,7 @@
     /** Deducts a sent call from a cold server's budget. */
     void spend(Server server, double now) {
         if (server.cold) {
-            settle(server, now);
+            creditEarnings(server, now);
             server.coldBudget -= 1;
             updateBudget(server, now);
         }
@@ -135,7 +135,7 @@
     /** Recomputes when a server is expected to have earned its next call, as it is warmer now. */
     void refresh(Server server, double now) {
         if (server.outOfBudget) {
-            settle(server, now);
+            creditEarnings(server, now);
             updateBudget(server, now);
         }
     }
@@ -143,7 +143,7 @@
     /** Starts or ends a server's trial, which changes its earnings from now on. */
     void setInTrial(Server server, boolean inTrial, double now) {
         if (server.cold) {
-            settle(server, now);
+            creditEarnings(server, now);
         }
         server.inTrial = inTrial;
         if (server.cold) {
@@ -151,20 +151,20 @@
         }
     }
 
-    private void mark(Server server) {
+    private void rememberSums(Server server) {
         server.earnedBefore = earned;
         server.earnedByTimeBefore = earnedByTime;
     }
 
     /** Adds a server's earnings since the last update to its budget. */
-    private void settle(Server server, double now) {
+    private void creditEarnings(Server server, double now) {
         double parts = earned - server.earnedBefore;
-        double aged = earnedByTime - server.earnedByTimeBefore - (server.startedAt - origin) * parts;
+        double ageWeighted = earnedByTime - server.earnedByTimeBefore - (server.startedAt - origin) * parts;
         double startCapacity = rules.startCapacity();
-        double gain = startCapacity * parts + (1 - startCapacity) * Math.max(0, aged) / rules.warmUp();
+        double gain = startCapacity * parts + (1 - startCapacity) * Math.max(0, ageWeighted) / rules.warmUp();
         double budget = server.coldBudget + gain * (server.inTrial ? TRIAL_RATE : 1);
         server.coldBudget = budget >= 1 - ROUNDING ? 1 : budget;
-        mark(server);
+        rememberSums(server);
     }
 
     /** Sets when a server is expected to have earned its next call; it is out of budget until then. */
--- a/src/main/java/cranedeal/WeightBins.java
+++ b/src/main/java/cranedeal/WeightBins.java
@@ -52,14 +52,14 @@
     /** Adds a server, which is in no bin of its class. */
     void add(Server server, double weight) {
         int bin = binOf(weight);
-        Server[] all = members[bin];
-        if (all == null) {
-            all = new Server[FIRST_CAPACITY];
-        } else if (counts[bin] == all.length) {
-            all = Arrays.copyOf(all, 2 * all.length);
+        Server[] binMembers = members[bin];
+        if (binMembers == null) {
+            binMembers = new Server[FIRST_CAPACITY];
+        } else if (counts[bin] == binMembers.length) {
+            binMembers = Arrays.copyOf(binMembers, 2 * binMembers.length);
         }
-        members[bin] = all;
-        all[counts[bin]] = server;
+        members[bin] = binMembers;
+        binMembers[counts[bin]] = server;
         server.bins[serviceClass] = bin;
         server.slots[serviceClass] = counts[bin];
         counts[bin]++;
--- a/src/main/java/cranedeal/wire/SettingsParser.java
+++ b/src/main/java/cranedeal/wire/SettingsParser.java
@@ -38,7 +38,7 @@
             }
             int equals = trimmed.indexOf('=');
             if (equals <= 0) {
-                throw new MalformedInputException("settings line " + number + " is no path=value pair");
+                throw new MalformedInputException("settings line " + number + " is not a path=value pair");
             }
             values.put(trimmed.substring(0, equals), trimmed.substring(equals + 1));
         }
--- a/src/main/java/cranedeal/wire/WireHost.java
+++ b/src/main/java/cranedeal/wire/WireHost.java
@@ -31,7 +31,7 @@
     private final Function<LoadBalancer.Actions, LoadBalancer> factory;
     private final ReplyWriter reply = new ReplyWriter();
     /** Looked up by number only, never iterated. */
-    private final Map<Integer, Hosted> instances = new HashMap<>();
+    private final Map<Integer, Instance> instances = new HashMap<>();
     /** Upstream lists, shared by all instances that refer to them. */
     private final List<List<Upstream>> lists = new ArrayList<>();
     private double clock = Double.NEGATIVE_INFINITY;
@@ -41,7 +41,7 @@
     private int tailAt;
 
     /** An instance and the settings that its events are checked against. */
-    private record Hosted(LoadBalancer balancer, Settings settings) { }
+    private record Instance(LoadBalancer balancer, Settings settings) { }
 
     WireHost(Function<LoadBalancer.Actions, LoadBalancer> factory) {
         this.factory = factory;
@@ -107,11 +107,11 @@
         }
         int instance = LittleEndian.getInt(body, at + 1);
         if (code == 0) {
-            provision(instance, at);
+            createInstance(instance, at);
             return;
         }
-        Hosted hosted = instances.get(instance);
-        if (hosted == null) {
+        Instance target = instances.get(instance);
+        if (target == null) {
             throw new MalformedInputException("event " + code + " for unknown instance "
                     + Integer.toUnsignedString(instance));
         }
@@ -119,12 +119,12 @@
             instances.remove(instance);
             return;
         }
-        Runnable event = decode(code, at, hosted);
-        decide(instance, event);
+        Runnable event = decode(code, at, target);
+        runEvent(instance, event);
     }
 
     /** Runs the decisions of one event; a failure of the decision code is reported in the reply. */
-    private void decide(int instance, Runnable event) {
+    private void runEvent(int instance, Runnable event) {
         reply.select(instance);
         try {
             event.run();
@@ -134,25 +134,25 @@
         }
     }
 
-    private void provision(int instance, int at) {
+    private void createInstance(int instance, int at) {
         byte[] text = tail(at + 13, 1);
         long seed = LittleEndian.getLong(body, at + 5);
         Settings settings = SettingsParser.parse(text);
         LoadBalancer balancer = factory.apply(reply);
-        instances.put(instance, new Hosted(balancer, settings));
+        instances.put(instance, new Instance(balancer, settings));
         double now = clock;
-        decide(instance, () -> balancer.start(now, settings, seed));
+        runEvent(instance, () -> balancer.start(now, settings, seed));
     }
 
     /** Validates an event's fields and returns the call for it. */
-    private Runnable decode(int code, int at, Hosted hosted) {
-        LoadBalancer balancer = hosted.balancer();
+    private Runnable decode(int code, int at, Instance target) {
+        LoadBalancer balancer = target.balancer();
         double now = clock;
         switch (code) {
             case 1:
                 return decodeDiscovery(at, balancer);
             case 2:
-                Request request = readRequest(at, hosted.settings());
+                Request request = readRequest(at, target.settings());
                 return () -> balancer.request(now, request);
             case 3:
                 long streamed = LittleEndian.getLong(body, at + 5);
@@ -194,7 +194,7 @@
         List<Upstream> list = lists.get(listNumber(at + 10));
         if (list == null) {
             throw new MalformedInputException("list " + LittleEndian.getShort(body, at + 10)
-                    + " was never given");
+                    + " is not defined");
         }
         return () -> balancer.upstreamsChanged(now, change, list);
     }
--- a/src/test/java/cranedeal/Bench.java
+++ b/src/test/java/cranedeal/Bench.java
@@ -30,8 +30,8 @@
     final List<Sent> cancelled = new ArrayList<>();
     final Set<Long> open = new HashSet<>();
     private final Set<Sent> finished = new HashSet<>();
-    int closed;
-    int watches;
+    int idleCloses;
+    int watchCalls;
     double now = 100_000;
 
     private Settings settings;
@@ -87,7 +87,7 @@
     }
 
     /** Sends a request with a key and the full deadline of its class. */
-    void keyed(long id, int serviceClass, long key) {
+    void requestWithKey(long id, int serviceClass, long key) {
         request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0, key);
     }
 
@@ -191,12 +191,12 @@
 
     @Override
     public void closeIdle(long upstream) {
-        closed++;
+        idleCloses++;
     }
 
     @Override
     public void watch(boolean on) {
-        watches++;
+        watchCalls++;
     }
 
     @Override
--- a/src/test/java/cranedeal/CapacityPageTest.java
+++ b/src/test/java/cranedeal/CapacityPageTest.java
@@ -93,10 +93,10 @@
         "slopes/x.json | 0 |;slopes/y.json | 0 |;has no file slopes/y.json",
         "`/bytes/points/520/median`;`/bytes/points/521/median`;has no number at /bytes/points/521/median",
         "`/bytes/points/520/median`;`/bytes/unit`;has no number at /bytes/unit",
-        "`/bytes/points/520/median`;;names no place",
+        "`/bytes/points/520/median`;;names no position",
         "bytes/s per member;bytes/s;has the unit bytes/s, and the file bytes/s per member",
         "calls | reckoned;calls | measured;is called measured, and the file says reckoned",
-        "`/wrong/pieces/0/slope`;`/wrong/fit/slope`;draws one line through what is not straight",
+        "`/wrong/pieces/0/slope`;`/wrong/fit/slope`;has one slope for a series that is not straight",
         "| not straight `;| straight `;does not say that it is not straight",
         "| simulated |;| simulated | more |;has 7 cells",
         "| basis |;| grounds |;has another header",
@@ -164,7 +164,7 @@
         if (file == null) {
             complaints.add(slope + "has no file " + cells.get(2));
         } else if (!place.find()) {
-            complaints.add(slope + "names no place in its file");
+            complaints.add(slope + "names no position in its file");
         } else {
             if (!cells.get(1).equals("`" + file.path("command").asText() + "`")) {
                 complaints.add(slope + "has another command than the file: " + file.path("command"));
@@ -183,14 +183,14 @@
             return;
         }
         if (place.startsWith("/" + name + "/fit/") && !series.path("straight").asBoolean()) {
-            complaints.add(slope + "draws one line through what is not straight");
+            complaints.add(slope + "has one slope for a series that is not straight");
         }
         if (place.contains("/pieces/") && !slope.contains(NOT_STRAIGHT)) {
             complaints.add(slope + "does not say that it is " + NOT_STRAIGHT);
         }
         if (place.contains("/pieces/") && !series.path("cut_straight").asBoolean()
                 && !slope.contains(NOR_ITS_PIECES)) {
-            complaints.add(slope + "does not say that its pieces aren't straight either");
+            complaints.add(slope + "does not say that its pieces are not straight either");
         }
         String unit = place.endsWith("/slope")
                 ? all.at(place.substring(0, place.lastIndexOf('/'))).path("slope_unit").asText()
--- a/src/test/java/cranedeal/ColdFleet.java
+++ b/src/test/java/cranedeal/ColdFleet.java
@@ -99,7 +99,7 @@
 
     enum Loss { UNREACHABLE, DRAINING }
 
-    enum Start { LISTED, PUT_BACK }
+    enum Start { LISTED, REENABLED }
 
     /**
      * Results of a run.
@@ -128,10 +128,10 @@
     private final double capacityPerMs;
     private double now = startAt;
     private long order;
-    private long ids;
-    private int asked;
-    private int answered;
-    private int toCold;
+    private long nextId;
+    private int firstTries;
+    private int servedTries;
+    private int coldCalls;
     private double coldShare;
     private Observed observed = new Observed(0, 0, 0, 0, 0);
 
@@ -168,7 +168,7 @@
             schedule(now + random.nextDouble() / node.perMs, node::arrive);
         }
         schedule(coldAt, this::restart);
-        if (scenario.start() == Start.PUT_BACK) {
+        if (scenario.start() == Start.REENABLED) {
             schedule(coldAt - 3_000, () -> notifyAll(node -> node.disable(true)));
         }
         if (scenario.loss() == Loss.DRAINING) {
@@ -180,7 +180,7 @@
             event.action().run();
         }
         return new Observed(observed.worstRatio(), observed.worstCount(), observed.allowed(),
-                toCold / Math.max(1, coldShare), (double) answered / Math.max(1, asked));
+                coldCalls / Math.max(1, coldShare), (double) servedTries / Math.max(1, firstTries));
     }
 
     private void restart() {
@@ -192,7 +192,7 @@
         }
         notifyAll(node -> {
             node.list(Change.FULL);
-            if (scenario.start() == Start.PUT_BACK) {
+            if (scenario.start() == Start.REENABLED) {
                 node.disable(false);
             }
         });
@@ -248,7 +248,7 @@
             if (startedAt == 0 || warmth(now) >= 1) {
                 return;
             }
-            toCold++;
+            coldCalls++;
             double span = settings.rules().overloadWindow();
             window.addLast(now);
             while (window.peekFirst() <= now - span) {
@@ -314,7 +314,7 @@
             double rate = perMs * (inBurst() ? scenario.burst() : 1);
             schedule(now + exponential() / rate, this::arrive);
             if (now >= coldAt) {
-                asked++;
+                firstTries++;
                 double warm = machines.stream().mapToDouble(machine -> machine.warmth(now)).sum();
                 coldShare += machines.subList(0, scenario.cold()).stream().mapToDouble(machine ->
                         machine.warmth(now) < 1 ? machine.warmth(now) : 0).sum() / warm;
@@ -323,7 +323,7 @@
         }
 
         private void ask(int attempt) {
-            long id = ids++;
+            long id = nextId++;
             tries.put(id, attempt);
             attempts.put(id, 0);
             boolean marked = attempt > 1 && scenario.repeats() == Repeats.MARKED;
@@ -352,7 +352,7 @@
             schedule(now + Math.min(takes[0], limit), () -> {
                 boolean open = attempts.containsKey(id);
                 if (endsWith == Result.OK && open) {
-                    answered += sentAt >= coldAt ? 1 : 0;
+                    servedTries += sentAt >= coldAt ? 1 : 0;
                     attempts.remove(id);
                     tries.remove(id);
                     open = false;
--- a/src/test/java/cranedeal/ColdFleetBenchmark.java
+++ b/src/test/java/cranedeal/ColdFleetBenchmark.java
@@ -29,8 +29,8 @@
                 Loss.UNREACHABLE, 1, Repeats.MARKED, Start.LISTED);
         List<Scenario> cases = new ArrayList<>();
         cases.add(plain);
-        cases.add(plain.named("put back").with(Start.PUT_BACK));
-        cases.add(plain.named("put back, thin").with(Start.PUT_BACK).rate(rate / 3));
+        cases.add(plain.named("re-enabled").with(Start.REENABLED));
+        cases.add(plain.named("re-enabled, low traffic").with(Start.REENABLED).rate(rate / 3));
         cases.add(plain.named("burst at the start").burst(3, 0));
         cases.add(plain.named("burst later").burst(3, 3_000));
         cases.add(plain.named("burst, unmarked").burst(3, 3_000).with(Repeats.UNMARKED));
@@ -43,12 +43,13 @@
         cases.add(plain.named("all drain early").burst(1.5, 1_000).lose(1, Loss.DRAINING));
         cases.add(plain.named("all drain, unmarked").burst(1.5, 1_500).lose(1, Loss.DRAINING)
                 .with(Repeats.UNMARKED));
-        cases.add(plain.named("all drain, thin").burst(1.5, 2_000).lose(1, Loss.DRAINING).rate(rate / 5));
-        cases.add(plain.named("all drain, thinnest").burst(1.5, 2_000).lose(1, Loss.DRAINING)
+        cases.add(plain.named("all drain, low traffic").burst(1.5, 2_000).lose(1, Loss.DRAINING)
+                .rate(rate / 5));
+        cases.add(plain.named("all drain, lowest traffic").burst(1.5, 2_000).lose(1, Loss.DRAINING)
                 .rate(rate / 10));
-        cases.add(plain.named("one has most").burst(2, 1_000).lose(0.5, Loss.UNREACHABLE)
+        cases.add(plain.named("one busy balancer").burst(2, 1_000).lose(0.5, Loss.UNREACHABLE)
                 .heaviest(Math.min(8, balancers / 2)));
-        cases.add(plain.named("one has most, all drain").burst(1, 1_000).lose(1, Loss.DRAINING)
+        cases.add(plain.named("one busy, all drain").burst(1, 1_000).lose(1, Loss.DRAINING)
                 .heaviest(Math.min(8, balancers / 2)));
         cases.add(plain.named("most are cold").burst(2, 500).cold(servers * 3 / 4));
         cases.add(plain.named("all are cold").burst(2, 500).cold(servers).with(Repeats.UNMARKED));
--- a/src/test/java/cranedeal/DepartedClientTest.java
+++ b/src/test/java/cranedeal/DepartedClientTest.java
@@ -16,7 +16,7 @@
 
     private static final long GONE_ID = 1;
 
-    private static void checkUnsent(Bench bench, int sends) {
+    private static void assertNotSentAgain(Bench bench, int sends) {
         bench.advance(5 * Sites.DEADLINE);
         assertEquals(sends, bench.sends.stream().filter(sent -> sent.request() == GONE_ID).count());
         assertTrue(bench.refused.isEmpty() && bench.failed.isEmpty(), "answered");
@@ -30,7 +30,7 @@
         bench.advance(10);
         bench.clientGone(GONE_ID);
         bench.list(Change.FULL, Sites.server(1));
-        checkUnsent(bench, 0);
+        assertNotSentAgain(bench, 0);
     }
 
     @Test
@@ -50,29 +50,29 @@
         Bench.Sent queued = bench.lastSend();
         assertEquals(inFlight.size() + 1, bench.sends.size(), "the other queued request");
         bench.finish(queued, Result.OK);
-        checkUnsent(bench, 0);
+        assertNotSentAgain(bench, 0);
     }
 
     @Test
     void aRequestInAKeyQueueIsSkipped() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(10, 0, 7);
-        bench.keyed(GONE_ID, 0, 7);
-        bench.keyed(11, 0, 7);
+        bench.requestWithKey(10, 0, 7);
+        bench.requestWithKey(GONE_ID, 0, 7);
+        bench.requestWithKey(11, 0, 7);
         bench.clientGone(GONE_ID);
         bench.finish(bench.lastSend(), Result.OK);
         assertEquals(11, bench.lastSend().request());
         bench.finish(bench.lastSend(), Result.OK);
-        checkUnsent(bench, 0);
+        assertNotSentAgain(bench, 0);
     }
 
     @Test
     void theFirstRequestOfAKeyQueueIsNotSentAgain() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(GONE_ID, 0, 7);
-        bench.keyed(10, 0, 7);
+        bench.requestWithKey(GONE_ID, 0, 7);
+        bench.requestWithKey(10, 0, 7);
         Bench.Sent first = bench.lastSend();
         bench.clientGone(GONE_ID);
         bench.advance(10);
@@ -80,7 +80,7 @@
         bench.advance(200);
         assertEquals(10, bench.lastSend().request());
         bench.finish(bench.lastSend(), Result.OK);
-        checkUnsent(bench, 1);
+        assertNotSentAgain(bench, 1);
     }
 
     @Test
@@ -95,7 +95,7 @@
         bench.advance(1_500);
         assertEquals(1, bench.sends.size());
         bench.finish(first, Result.CANCELLED);
-        checkUnsent(bench, 1);
+        assertNotSentAgain(bench, 1);
     }
 
     @Test
@@ -108,7 +108,7 @@
             bench.clientGone(GONE_ID);
             bench.advance(10);
             bench.finishUnclosed(bench.lastSend(), result);
-            checkUnsent(bench, 1);
+            assertNotSentAgain(bench, 1);
         }
     }
 
@@ -122,6 +122,6 @@
         bench.bodyArrived(GONE_ID, bench.now + Sites.DEADLINE);
         bench.finishUnclosed(first, Result.FULL);
         bench.bodyArrived(GONE_ID, bench.now + Sites.DEADLINE);
-        checkUnsent(bench, 1);
+        assertNotSentAgain(bench, 1);
     }
 }
--- a/src/test/java/cranedeal/ModuleTest.java
+++ b/src/test/java/cranedeal/ModuleTest.java
@@ -25,7 +25,7 @@
     private static final double NOW = 100_000;
 
     @Test
-    void picksAreInProportionToOneOverL() {
+    void drawsAreInProportionToOneOverL() {
         // One of two servers answers in half the time of the other, so it is drawn twice as often.
         Bench bench = new Bench(Sites.plain().build(), 7);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aKeyedRequestStaysInItsGroupAndWindow() {
+    void aDeduplicatedRequestStaysInItsScopeAndWindow() {
         Bench bench = new Bench(Sites.plain().tier(1).idempotency(Idempotency.DEDUPLICATED)
                 .dedupScope(DedupScope.CELL).dedupWindow(500).build(), 1);
         bench.list(Change.CACHED, Sites.server(1).cell(0), Sites.server(2).cell(0), Sites.server(3).cell(1));
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void nothingGoesToAServerThatDrainsOrIsGone() {
+    void nothingIsSentToADrainingOrRemovedServer() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         bench.list(Change.DELTA, Sites.server(1).state(State.DRAINING), Sites.server(2).state(State.REMOVED));
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void extraAttemptsStayBoundedWhenEverythingFails() {
+    void retriesStayBoundedWhenEverythingFails() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         for (int i = 0; i < 1_000; i++) {
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void extraAttemptsThatServeAreNotBoundedByTheBudget() {
+    void retriesThatSucceedAreNotBoundedByTheBudget() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
         int served = 0;
@@ -219,14 +219,14 @@
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.OK);
-        assertEquals(0, bench.closed);
+        assertEquals(0, bench.idleCloses);
         bench.request(2, 0);
         long full = bench.lastSend().upstream();
         bench.finish(bench.lastSend(), Result.CONNECT_FAILED);
-        assertEquals(1, bench.closed);
+        assertEquals(1, bench.idleCloses);
         assertTrue(bench.lastSend().upstream() != full);
         bench.finish(bench.lastSend(), Result.OK);
-        assertEquals(1, bench.closed, "the other server's connections are kept");
+        assertEquals(1, bench.idleCloses, "the other server's connections are kept");
     }
 
     @Test
@@ -256,12 +256,12 @@
     @Test
     void aSubscriptionIsAskedForAtStartAndAgainAfterAFailure() {
         Bench bench = new Bench(Sites.plain().subscribe(true).build(), 1);
-        assertEquals(1, bench.watches);
+        assertEquals(1, bench.watchCalls);
         bench.list(Change.CACHED, Sites.server(1));
         bench.list(Change.FAILED);
-        assertEquals(1, bench.watches);
+        assertEquals(1, bench.watchCalls);
         bench.advance(10_000);
-        assertEquals(2, bench.watches);
+        assertEquals(2, bench.watchCalls);
     }
 
     @Test
@@ -447,7 +447,7 @@
     }
 
     @Test
-    void callsThatBreakAtOnceAreNoSignOfOverload() {
+    void callsThatFailAtOnceAreNoSignOfOverload() {
         Bench bench = new Bench(Sites.plain().lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 400; i++) {
@@ -739,7 +739,7 @@
     }
 
     @Test
-    void aServerThatFailsOneClassLosesThatClassAndKeepsTheOther() {
+    void aServerThatFailsOneClassLosesOnlyThatClass() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
         int[] toFailing = new int[2];
@@ -758,7 +758,7 @@
     }
 
     @Test
-    void aMachineTypeThatFailsIsAvoidedAlsoAtServersNotYetTried() {
+    void aFailingMachineTypeIsAvoidedAlsoAtServersNotYetTried() {
         Bench bench = new Bench(Sites.plain().tier(1).idempotency(Idempotency.AT_MOST_ONCE).build(), 3);
         Sites.Server[] list = new Sites.Server[80];
         for (int i = 0; i < list.length; i++) {
@@ -783,11 +783,11 @@
     void requestsOfOneKeyRunInOrderOfArrivalAndOthersAreNotOrdered() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(1, 0, 7);
-        bench.keyed(2, 1, 7);
-        bench.keyed(3, 0, 8);
-        bench.keyed(4, 0, 0);
-        bench.keyed(5, 0, 0);
+        bench.requestWithKey(1, 0, 7);
+        bench.requestWithKey(2, 1, 7);
+        bench.requestWithKey(3, 0, 8);
+        bench.requestWithKey(4, 0, 0);
+        bench.requestWithKey(5, 0, 0);
         assertEquals(List.of(1L, 3L, 4L, 5L), bench.sends.stream().map(Bench.Sent::request).toList());
         bench.advance(50);
         bench.finish(bench.sends.get(0), Result.OK);
@@ -798,8 +798,8 @@
     void aKeyIsBlockedAfterAnAttemptThatMayStillRunAlsoAfterItsClientDisconnected() {
         Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(1, 0, 7);
-        bench.keyed(2, 0, 7);
+        bench.requestWithKey(1, 0, 7);
+        bench.requestWithKey(2, 0, 7);
         bench.clientGone(1);
         bench.advance(100);
         assertEquals(1, bench.sends.size(), "an attempt of the first is still in flight");
@@ -811,11 +811,11 @@
     }
 
     @Test
-    void theRequestWhoseTurnItIsMayBeSentAgain() {
+    void theFirstRequestOfAKeyMayBeSentAgain() {
         Bench bench = new Bench(Sites.plain().inOrder(true).tier(1).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(1, 0, 7);
-        bench.keyed(2, 0, 7);
+        bench.requestWithKey(1, 0, 7);
+        bench.requestWithKey(2, 0, 7);
         bench.finish(bench.lastSend(), Result.RESET);
         assertEquals(1, bench.lastSend().request());
         assertEquals(2, bench.sends.size());
@@ -826,7 +826,7 @@
         Bench bench = new Bench(Sites.plain().inOrder(true).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 1; i <= 20; i++) {
-            bench.keyed(i, 0, 7);
+            bench.requestWithKey(i, 0, 7);
         }
         // The initial estimate is 200 ms per call and the aim 1000 ms, so about five can be served in time.
         assertEquals(1, bench.sends.size());
@@ -838,8 +838,8 @@
     void aWaitingRequestIsAnsweredInTime() {
         Bench bench = new Bench(Sites.plain().inOrder(true).idempotency(Idempotency.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.keyed(1, 0, 7);
-        bench.keyed(2, 0, 7);
+        bench.requestWithKey(1, 0, 7);
+        bench.requestWithKey(2, 0, 7);
         bench.advance(2_000);
         assertEquals(List.of(2L), bench.refused);
     }
@@ -1183,7 +1183,7 @@
         return (int) bench.sends.stream().skip(before).filter(sent -> sent.upstream() == 1).count();
     }
 
-    private static Bench successor(long seed, Bench earlier, double age, double startedAt) {
+    private static Bench startSuccessor(long seed, Bench earlier, double age, double startedAt) {
         Bench bench = new Bench(Sites.plain().tier(1).build(), seed);
         if (earlier != null) {
             bench.restoreFrom(earlier, age);
@@ -1201,12 +1201,12 @@
         int restarted = 0;
         int wellAgain = 0;
         for (int seed = 0; seed < 40; seed++) {
-            cold += runRequests(successor(seed, null, 0, 7), 20, Result.ERROR);
-            warm += runRequests(successor(seed, earlier, 1_000, 7), 20, Result.ERROR);
-            old += runRequests(successor(seed, earlier, 3_600_000, 7), 20, Result.ERROR);
-            restarted += runRequests(successor(seed, earlier, 1_000, 8), 20, Result.ERROR);
+            cold += runRequests(startSuccessor(seed, null, 0, 7), 20, Result.ERROR);
+            warm += runRequests(startSuccessor(seed, earlier, 1_000, 7), 20, Result.ERROR);
+            old += runRequests(startSuccessor(seed, earlier, 3_600_000, 7), 20, Result.ERROR);
+            restarted += runRequests(startSuccessor(seed, earlier, 1_000, 8), 20, Result.ERROR);
             // A recovered server is used again, as it would be without the restart.
-            wellAgain += runRequests(successor(seed, earlier, 1_000, 7), 2_000, Result.OK);
+            wellAgain += runRequests(startSuccessor(seed, earlier, 1_000, 7), 2_000, Result.OK);
         }
         assertTrue(warm * 5 <= cold, warm + " warm, " + cold + " cold");
         assertTrue(old > cold / 2 && restarted > cold / 2, old + " and " + restarted + " of " + cold);
@@ -1222,8 +1222,8 @@
         int failed = 0;
         int served = 0;
         for (int seed = 0; seed < 40; seed++) {
-            failed += runRequests(successor(seed, earlier, 100, 7), 4, Result.ERROR, 0);
-            served += runRequests(successor(seed, earlier, 100, 7), 4, Result.OK, 1);
+            failed += runRequests(startSuccessor(seed, earlier, 100, 7), 4, Result.ERROR, 0);
+            served += runRequests(startSuccessor(seed, earlier, 100, 7), 4, Result.OK, 1);
         }
         assertTrue(failed * 4 < served, failed + " of the class that it fails, " + served + " of the other");
     }
@@ -1231,7 +1231,7 @@
     @Test
     void aSuccessorSendsAServerNoMoreThanBefore() {
         Bench earlier = withFailingFirstServer();
-        Bench bench = successor(1, earlier, 100, 7);
+        Bench bench = startSuccessor(1, earlier, 100, 7);
         for (int i = 0; i < 60; i++) {
             bench.request(i, 0);
         }
--- a/src/test/java/cranedeal/OutageBenchmark.java
+++ b/src/test/java/cranedeal/OutageBenchmark.java
@@ -77,13 +77,13 @@
         bench.list(Change.CACHED, list);
         SplittableRandom random = new SplittableRandom(7L * seed + 1);
         PriorityQueue<Finish> finishes = new PriorityQueue<>(Comparator.comparingDouble(Finish::at));
-        double failsFrom = bench.now + HEALTHY_MS;
-        double wellFrom = failsFrom + FAILING_MS;
+        double failsAt = bench.now + HEALTHY_MS;
+        double recoversAt = failsAt + FAILING_MS;
         int[] failingCalls = new int[(int) (AFTER_MS / SLOT_MS) + 1];
         int[] allCalls = new int[failingCalls.length];
         double next = bench.now;
         int checkedSends = 0;
-        for (long id = 0; bench.now < wellFrom + AFTER_MS;) {
+        for (long id = 0; bench.now < recoversAt + AFTER_MS;) {
             if (!finishes.isEmpty() && finishes.peek().at() <= next) {
                 Finish finish = finishes.poll();
                 bench.advance(Math.max(0, finish.at() - bench.now));
@@ -96,14 +96,14 @@
             for (; checkedSends < bench.sends.size(); checkedSends++) {
                 Bench.Sent sent = bench.sends.get(checkedSends);
                 double now = bench.now;
-                boolean isBad = sent.upstream() <= failingServers;
-                boolean outage = isBad && now >= failsFrom && now < wellFrom;
-                earlyCalls += outage && now < failsFrom + EARLY_MS ? 1 : 0;
-                laterCalls += outage && now >= wellFrom - FAILING_MS / 2 ? 1 : 0;
-                int slot = (int) Math.floor((now - wellFrom) / SLOT_MS);
+                boolean toFailing = sent.upstream() <= failingServers;
+                boolean outage = toFailing && now >= failsAt && now < recoversAt;
+                earlyCalls += outage && now < failsAt + EARLY_MS ? 1 : 0;
+                laterCalls += outage && now >= recoversAt - FAILING_MS / 2 ? 1 : 0;
+                int slot = (int) Math.floor((now - recoversAt) / SLOT_MS);
                 if (slot >= 0 && slot < failingCalls.length) {
                     allCalls[slot]++;
-                    failingCalls[slot] += isBad ? 1 : 0;
+                    failingCalls[slot] += toFailing ? 1 : 0;
                 }
                 boolean fails = outage && random.nextDouble() < failureShare;
                 double served = SERVED_MS[(int) (sent.upstream() - 1) % 2];
--- a/src/test/java/cranedeal/RandomEventsTest.java
+++ b/src/test/java/cranedeal/RandomEventsTest.java
@@ -82,8 +82,8 @@
         private final double[] started = new double[SERVERS];
         private final int[] sentTo = new int[SERVERS];
         private final double[] earned = new double[SERVERS];
-        private int seen;
-        private int refusedSeen;
+        private int checkedSends;
+        private int checkedRefusals;
         private long nextId;
 
         Driver(long seed) {
@@ -259,15 +259,15 @@
         }
 
         private void check(String where) {
-            for (; seen < bench.sends.size(); seen++) {
-                Bench.Sent sent = bench.sends.get(seen);
+            for (; checkedSends < bench.sends.size(); checkedSends++) {
+                Bench.Sent sent = bench.sends.get(checkedSends);
                 checkSend(sent, where + ": " + sent);
                 checkColdBudget(sent, where + ": " + sent);
                 byRequest.computeIfAbsent(sent.request(), k -> new ArrayList<>()).add(sent);
                 inFlight.add(sent);
             }
-            for (; refusedSeen < bench.refused.size(); refusedSeen++) {
-                long id = bench.refused.get(refusedSeen);
+            for (; checkedRefusals < bench.refused.size(); checkedRefusals++) {
+                long id = bench.refused.get(checkedRefusals);
                 boolean maybeRun = byRequest.getOrDefault(id, List.of()).stream()
                         .anyMatch(s -> !neverRan.contains(s));
                 assertTrue(!maybeRun || idempotency == Idempotency.IDEMPOTENT
@@ -303,10 +303,10 @@
                 }
                 assertTrue(idempotency == Idempotency.DEDUPLICATED, where + ": unsafe request repeated");
                 assertTrue(sent.at() <= before.at() + 700, where + ": outside the deduplication window");
-                int was = (int) before.upstream() - 1;
+                int previousServer = (int) before.upstream() - 1;
                 assertTrue(dedupScope == DedupScope.ALL || (dedupScope == DedupScope.ZONE
-                        ? was % 2 == server % 2
-                        : was / 2 == server / 2), where + ": outside the deduplication scope");
+                        ? previousServer % 2 == server % 2
+                        : previousServer / 2 == server / 2), where + ": outside the deduplication scope");
             }
         }
 
--- a/src/test/java/cranedeal/wire/SettingsParserTest.java
+++ b/src/test/java/cranedeal/wire/SettingsParserTest.java
@@ -126,7 +126,7 @@
                 COMPLETE.replace("services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
         assertRefused("services.count has the bad value",
                 COMPLETE.replace("services.count=2", "services.count=-1"));
-        assertRefused("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
+        assertRefused("settings line 1 is not a path=value pair", "nonsense\n" + COMPLETE);
     }
 
     @Test
--- a/src/test/java/cranedeal/wire/WireHostTest.java
+++ b/src/test/java/cranedeal/wire/WireHostTest.java
@@ -92,14 +92,14 @@
         return frame(10_000, concat(text, entry(UPSTREAM)), provision, list, discovery);
     }
 
-    private static byte[] incoming(long id) {
+    private static byte[] request(long id) {
         byte[] record = record(2, INSTANCE);
         LittleEndian.putLong(record, 5, id);
         LittleEndian.putDouble(record, 24, 12_000);
         return record;
     }
 
-    private static byte[] finished(long id, int code) {
+    private static byte[] outcome(long id, int code) {
         byte[] record = record(4, INSTANCE);
         LittleEndian.putLong(record, 5, id);
         record[13] = (byte) (code == 10 ? 1 : 0);
@@ -127,7 +127,7 @@
 
     @Test
     void aRequestIsSentToTheListedUpstream() {
-        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
+        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], request(0xfa3135d3a91c4L))));
         assertEquals(0, run.status, run.err);
         byte[] reply = run.out;
         // An empty reply to the first frame, then one record: send, instance, request, upstream, timeout.
@@ -147,7 +147,7 @@
         // be lost.
         byte[][] requests = new byte[1_500][];
         for (int i = 0; i < requests.length; i++) {
-            requests[i] = incoming(i + 1);
+            requests[i] = request(i + 1);
             // Too late to be sent to any upstream.
             LittleEndian.putDouble(requests[i], 24, 10_006);
         }
@@ -172,8 +172,8 @@
                     return null;
                 });
         WireHost host = new WireHost(actions -> broken);
-        byte[] ring = frame(10_001, new byte[0], record(6, INSTANCE));
-        host.serve(new ByteArrayInputStream(concat(firstFrame(), ring)), out);
+        byte[] timerFrame = frame(10_001, new byte[0], record(6, INSTANCE));
+        host.serve(new ByteArrayInputStream(concat(firstFrame(), timerFrame)), out);
         byte[] reply = out.toByteArray();
         assertEquals(4, reply[16]);
         assertTrue(new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8)
@@ -184,8 +184,8 @@
     void unusualButValidEventsGiveNoError() {
         byte[] gone = record(5, INSTANCE);
         LittleEndian.putLong(gone, 5, 99);
-        byte[] ring = record(6, INSTANCE);
-        LittleEndian.putLong(ring, 5, 12345);
+        byte[] timer = record(6, INSTANCE);
+        LittleEndian.putLong(timer, 5, 12345);
         byte[] probed = record(7, INSTANCE);
         probed[11] = 10;
         byte[] headers = record(3, INSTANCE);
@@ -193,10 +193,10 @@
         byte[] message = record(8, INSTANCE);
         byte[] failed = record(1, INSTANCE);
         failed[5] = 3;
-        byte[] late = incoming(5);
+        byte[] late = request(5);
         LittleEndian.putDouble(late, 24, 9_000);
-        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], gone, ring, probed, headers, message,
-                finished(97, 40), late), frame(10_010, new byte[0], record(9, INSTANCE))));
+        Run run = run(concat(firstFrame(), frame(10_005, new byte[0], gone, timer, probed, headers, message,
+                outcome(97, 40), late), frame(10_010, new byte[0], record(9, INSTANCE))));
         assertEquals(0, run.status, run.err);
         // Only the request whose deadline has passed is answered, with a refusal.
         assertEquals(8 + 8 + 32 + 8, run.out.length);
@@ -229,13 +229,13 @@
         assertRefused("list number 16", frame(1, none, number));
         byte[] unknownList = record(1, INSTANCE);
         LittleEndian.putShort(unknownList, 10, 5);
-        assertRefused("list 5 was never given", concat(firstFrame(), frame(10_001, none, unknownList)));
+        assertRefused("list 5 is not defined", concat(firstFrame(), frame(10_001, none, unknownList)));
         byte[] offset = record(10, 0);
         LittleEndian.putInt(offset, 3, 4);
         LittleEndian.putInt(offset, 7, 1);
         assertRefused("leaves the tail", frame(1, entry(UPSTREAM), offset));
-        assertRefused("unknown outcome 11", concat(firstFrame(), frame(10_001, none, finished(1, 11))));
-        byte[] serviceClass = incoming(1);
+        assertRefused("unknown outcome 11", concat(firstFrame(), frame(10_001, none, outcome(1, 11))));
+        byte[] serviceClass = request(1);
         serviceClass[13] = 9;
         assertRefused("unknown class 9", concat(firstFrame(), frame(10_001, none, serviceClass)));
     }
@@ -250,8 +250,8 @@
 
     @Test
     void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
-        byte[] good = concat(firstFrame(), frame(10_005, new byte[0], incoming(1), incoming(2)),
-                frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
+        byte[] good = concat(firstFrame(), frame(10_005, new byte[0], request(1), request(2)),
+                frame(10_025, new byte[0], outcome(1, 10), outcome(2, 20)));
         SplittableRandom random = new SplittableRandom(20261128);
         int refused = 0;
         for (int i = 0; i < 4_000; i++) {
